--- a/internal/entry/node/confirmation.go
+++ b/internal/entry/node/confirmation.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// confirmation.go keeps when the store last confirmed the revision that this instance goes by.
+// confirmation.go records when the store last confirmed the revision that this instance uses.
 
-// outageGap is how long nobody may have had a confirmation until that counts as an outage of the store: several reads.
-const outageGap = 1500 * time.Millisecond
+// outageThreshold is how long no instance may receive a confirmation before that counts as an outage of the store. It
+// spans several reads.
+const outageThreshold = 1500 * time.Millisecond
 
-// confirmation is when the store last confirmed the revision of the replica as its newest. It is safe for use by several
-// goroutines: requests ask for it without waiting for a batch that is being merged.
+// confirmation is the time at which the store last confirmed that the revision of the replica is its newest. It is safe
+// for concurrent use: requests read it without waiting for a merge that is in progress.
 type confirmation struct{ at atomic.Pointer[time.Time] }
 
-// last is zero if the store never confirmed anything.
+// last returns zero if the store never confirmed anything.
 func (c *confirmation) last() time.Time {
 	if at := c.at.Load(); at != nil {
 		return *at
@@ -24,7 +25,7 @@
 
 func (c *confirmation) set(at time.Time) { c.at.Store(&at) }
 
-// age is negative if the store never confirmed anything.
+// age returns a negative value if the store never confirmed anything.
 func (c *confirmation) age(now time.Time) time.Duration {
 	at := c.last()
 	if at.IsZero() {
@@ -33,42 +34,45 @@
 	return now.Sub(at)
 }
 
-// ConfirmedAge is an upper bound on how long ago the store confirmed this instance's revision; negative if never.
-func (n *Node) ConfirmedAge() time.Duration { return n.knowledge.confirmed.age(time.Now()) }
+// ConfirmedAge returns an upper bound on the time since the store confirmed the revision of this instance. It is
+// negative if the store never did.
+func (n *Node) ConfirmedAge() time.Duration { return n.view.confirmed.age(time.Now()) }
 
-// MayLackChanges reports whether the last confirmation is older than a change may take until it is in force.
+// MayLackChanges reports whether the last confirmation is older than the time within which a change has to be in force.
 func (n *Node) MayLackChanges() bool {
 	age := n.ConfirmedAge()
 	return age < 0 || age > n.current.Load().Callers.ChangeWithin
 }
 
-// confirm notes that the store confirmed what is known; the lock is held.
+// confirm records that the store confirmed the replicated state. The caller holds the lock.
 func (n *Node) confirm(at time.Time) {
-	k := &n.knowledge
-	before := k.confirmed.last()
-	if !at.After(before) {
+	v := &n.view
+	previous := v.confirmed.last()
+	if !at.After(previous) {
 		return
 	}
-	if gap := at.Sub(before); !before.IsZero() && gap > outageGap {
-		outage := n.wasOutage(before)
+	if gap := at.Sub(previous); !previous.IsZero() && gap > outageThreshold {
+		outage := n.wasOutage(previous)
 		if outage {
-			k.returned = time.Now()
+			v.outageEnded = time.Now()
 		}
 		n.Log.Warn().Int64("GapMillis", gap.Milliseconds()).Bool("Outage", outage).Msg("StoreReturned")
 	}
-	k.confirmed.set(at)
+	v.confirmed.set(at)
 }
 
-// wasOutage reports whether the store was unreachable for the fleet since it last confirmed anything, and not only for
-// this instance or for the one that read for all: at least half of the instances have failed to read it.
+// wasOutage reports whether the store has been unreachable for the whole fleet since its last confirmation, and not
+// only for this instance or for the instance that reads for all. It requires that at least half of the instances failed
+// to read the store.
 //
-// Made for a reader that the store refuses, or whose connections to it are cut. The next instance begins to read some
-// time later, so that nobody had a confirmation for a while. Taken for an outage, the removal of an upstream's entry
-// would be put down to it, and requests would be sent to an upstream that left two seconds ago and is gone by now.
+// It covers a reader whose calls the store refuses, or whose connections to the store are cut. The next instance starts
+// to read some time later, so no instance receives a confirmation for a while. If that counted as an outage, the
+// removal of an upstream's entry would be attributed to the outage, and requests would still be sent to an upstream
+// that left two seconds ago and no longer exists.
 func (n *Node) wasOutage(since time.Time) bool {
-	failed, heard := n.overlay.storeFailedSince(since)
-	if n.storeFailed.Load() >= since.UnixNano() {
+	failed, reachable := n.overlay.storeFailedSince(since)
+	if n.storeFailedAt.Load() >= since.UnixNano() {
 		failed++
 	}
-	return 2*failed >= heard+1
+	return 2*failed >= reachable+1
 }
--- a/internal/entry/node/confirmation_test.go
+++ b/internal/entry/node/confirmation_test.go
@@ -19,28 +19,28 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// changeWithin is how soon a change has to be in force on the smallest deployments, and the soonest of all.
+// changeWithin is how soon a change has to be in force on the smallest deployments, which is the shortest time of all.
 const changeWithin = 2 * time.Second
 
-// sentMessage is a message on its way, and when it arrives.
+// sentMessage is a message in transit, and the time of its arrival.
 type sentMessage struct {
 	message mesh.Message
 	arrives time.Time
 }
 
-// lateStream is one end of a link in memory on which messages take a while.
-type lateStream struct {
-	takes func() time.Duration
+// delayedStream is one end of an in-memory link that delays messages.
+type delayedStream struct {
+	delay func() time.Duration
 	out   chan<- sentMessage
 	in    <-chan sentMessage
 }
 
-func (s lateStream) Send(message mesh.Message) error {
-	s.out <- sentMessage{message: message, arrives: time.Now().Add(s.takes())}
+func (s delayedStream) Send(message mesh.Message) error {
+	s.out <- sentMessage{message: message, arrives: time.Now().Add(s.delay())}
 	return nil
 }
 
-func (s lateStream) Receive() (mesh.Message, error) {
+func (s delayedStream) Receive() (mesh.Message, error) {
 	sent, open := <-s.in
 	if !open {
 		return mesh.Message{}, io.EOF
@@ -49,18 +49,19 @@
 	return sent.message, nil
 }
 
-// messagesOnTheWay is more than a test sends over one link.
-const messagesOnTheWay = 1000
+// maxInTransit is more than a test sends over one link.
+const maxInTransit = 1000
 
-// linkLate links two instances until the context ends. A message takes there from a to b, and back from b to a.
-func linkLate(ctx context.Context, a, b *Node, there, back func() time.Duration) {
-	toA, toB := make(chan sentMessage, messagesOnTheWay), make(chan sentMessage, messagesOnTheWay)
+// linkWithDelay links two instances until the context ends. Messages from a to b are delayed by there, and messages
+// from b to a by back.
+func linkWithDelay(ctx context.Context, a, b *Node, there, back func() time.Duration) {
+	toA, toB := make(chan sentMessage, maxInTransit), make(chan sentMessage, maxInTransit)
 	for _, end := range []struct {
 		of, to *Node
-		stream lateStream
+		stream delayedStream
 	}{
-		{a, b, lateStream{takes: there, out: toB, in: toA}},
-		{b, a, lateStream{takes: back, out: toA, in: toB}},
+		{a, b, delayedStream{delay: there, out: toB, in: toA}},
+		{b, a, delayedStream{delay: back, out: toA, in: toB}},
 	} {
 		go func() {
 			_ = newLinkEnd(end.of, end.stream, end.to.self).run(ctx)
@@ -69,77 +70,82 @@
 	}
 }
 
-// endLinks ends what runs by a context, and lets all messages arrive that are on their way.
+// endLinks cancels the context of the links and lets all messages in transit arrive.
 func endLinks(cancel context.CancelFunc) {
 	cancel()
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
 
-func always(wait time.Duration) func() time.Duration { return func() time.Duration { return wait } }
+func constantDelay(wait time.Duration) func() time.Duration {
+	return func() time.Duration { return wait }
+}
 
-// beating has an instance send over its links as often as it does when it runs.
-func beating(ctx context.Context, nodes ...*Node) {
-	for pause.For(ctx, beatEvery) {
+// sendHeartbeats makes instances send over their links as often as a running instance does.
+func sendHeartbeats(ctx context.Context, nodes ...*Node) {
+	for pause.For(ctx, heartbeatInterval) {
 		for _, n := range nodes {
-			n.overlay.wake(true)
+			n.overlay.requestMessages(true)
 		}
 	}
 }
 
-// readingStore notes when it was last asked, in Unix nanoseconds, and has no changes.
-type readingStore struct {
+// recordingStore records the time of the last watch, in Unix nanoseconds, and has no changes.
+type recordingStore struct {
 	coordination.Store
-	asked atomic.Int64
+	lastWatch atomic.Int64
 }
 
-func (s *readingStore) Watch(_ context.Context, after int64, _ time.Duration) (replica.Batch, error) {
-	s.asked.Store(time.Now().UnixNano())
+func (s *recordingStore) Watch(_ context.Context, after int64, _ time.Duration) (replica.Batch, error) {
+	s.lastWatch.Store(time.Now().UnixNano())
 	return replica.Batch{After: after, Through: after}, nil
 }
 
-// askedSince reports whether the store was asked after a moment.
-func (s *readingStore) askedSince(moment time.Time) bool { return s.asked.Load() > moment.UnixNano() }
+// watchedSince reports whether a watch began after the given time.
+func (s *recordingStore) watchedSince(moment time.Time) bool {
+	return s.lastWatch.Load() > moment.UnixNano()
+}
 
-// lateStore has no changes, and its answers take a while.
-type lateStore struct {
+// delayedStore has no changes and delays its responses.
+type delayedStore struct {
 	coordination.Store
-	answersAfter, onTheWay time.Duration
+	wait, transit time.Duration
 }
 
-func (s lateStore) Watch(_ context.Context, after int64, _ time.Duration) (replica.Batch, error) {
-	time.Sleep(s.answersAfter + s.onTheWay)
+func (s delayedStore) Watch(_ context.Context, after int64, _ time.Duration) (replica.Batch, error) {
+	time.Sleep(s.wait + s.transit)
 	return replica.Batch{After: after, Through: after}, nil
 }
 
-// instanceThatKnows is an instance of a fleet of the given names that has read the store.
-func instanceThatKnows(t *testing.T, name string, names []string) *Node {
+// syncedNode returns an instance that has read the store, of a fleet with the given names.
+func syncedNode(t *testing.T, name string, names []string) *Node {
 	t.Helper()
-	n := nodeAmong(t, 0, nil)
+	n := nodeWithPeers(t, 0, nil)
 	n.self.Name = name
-	n.overlay.prepare(name)
+	n.overlay.initialise(name)
 	n.scope = tally.NoopScope
 	for i, other := range names {
 		n.applyOne(t, roster.InstanceKey(other), int64(i+1), func() ([]byte, error) {
 			return roster.EncodeInstance(roster.Instance{Name: other})
 		})
 	}
-	n.merge(replica.Batch{Snapshot: true, Through: int64(len(names))}, time.Now(), fromStore)
+	n.merge(replica.Batch{Snapshot: true, Through: int64(len(names))}, time.Now(), sourceStore)
 	return n
 }
 
-// firstAndLastReader gives two names, the first of which is before the other in the line of readers.
+// firstAndLastReader returns two names, the first of which is ranked before the other as a reader.
 func firstAndLastReader() (first, last string) {
 	for i := 0; ; i++ {
 		first, last = fmt.Sprint("a", i), fmt.Sprint("b", i)
-		if roster.Rank(readingOrder, last, []string{first, last}) == 1 {
+		if roster.Rank(readerRankSubject, last, []string{first, last}) == 1 {
 			return first, last
 		}
 	}
 }
 
-// Guards against an instance that goes by an old configuration behind a relay that is short of its processor: what the
-// relay sends lies in buffers for seconds, and each message that says how fresh the relay is counts as written just now.
+// Guards against an instance that uses an old configuration behind a relay that is short of processor time. The
+// messages of the relay stay in buffers for seconds, and each message about the freshness of the relay counts as
+// written just now.
 func TestInstanceBehindASlowRelayReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,43 +153,42 @@
 		defer endLinks(cancel)
 		relayName, name := firstAndLastReader()
 		names := []string{relayName, name}
-		relay, n := instanceThatKnows(t, relayName, names), instanceThatKnows(t, name, names)
-		store := &readingStore{}
+		relay, n := syncedNode(t, relayName, names), syncedNode(t, name, names)
+		store := &recordingStore{}
 		n.Store = store
 		began := time.Now()
 		growing := func() time.Duration { return min(time.Since(began)/2, 2*changeWithin) }
-		linkLate(ctx, n, relay, always(0), growing)
-		go beating(ctx, n, relay)
+		linkWithDelay(ctx, n, relay, constantDelay(0), growing)
+		go sendHeartbeats(ctx, n, relay)
 		go func() {
-			for pause.For(ctx, watchEvery) {
-				relay.merge(replica.Batch{After: 2, Through: 2}, time.Now(), fromStore)
+			for pause.For(ctx, watchInterval) {
+				relay.merge(replica.Batch{After: 2, Through: 2}, time.Now(), sourceStore)
 			}
 		}()
-		go func() { _ = n.runReading(ctx) }()
-		time.Sleep(4 * changeWithin) // until the relay's messages take twice as long as a change may
+		go func() { _ = n.runStoreReading(ctx) }()
+		time.Sleep(4 * changeWithin) // until the messages of the relay take twice the time that a change may take
 		changed := time.Now()
 		is.True(n.overlay.isAlive(changed, relayName))
 		time.Sleep(changeWithin)
-		is.True(store.askedSince(changed))
+		is.True(store.watchedSince(changed))
 	})
 }
 
-// Guards against a reader that is short of its processor: the store's answer that nothing has changed lies in a buffer,
-// and counts as of when it is taken up, while changes are made.
+// Guards against a reader that is short of processor time. The response of the store that nothing has changed stays in
+// a buffer and counts as of the time when it is read, while changes are made.
 func TestLateAnswerOfTheStoreIsOld(t *testing.T) {
-	const onTheWay = time.Second
+	const transit = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := instanceThatKnows(t, "a", []string{"a"})
-		n.Store = lateStore{answersAfter: watchFor, onTheWay: onTheWay}
+		n := syncedNode(t, "a", []string{"a"})
+		n.Store = delayedStore{wait: watchTimeout, transit: transit}
 		is.NoErr(n.read(t.Context()))
-		is.Equal(n.ConfirmedAge(), onTheWay)
+		is.Equal(n.ConfirmedAge(), transit)
 	})
 }
 
-// Guards against instances that keep each other's knowledge fresh while none of them reads the store: each passes
-// the last confirmation on as a little younger than it is, for the time that a message takes, and gets it back younger
-// still.
+// Guards against instances that confirm the state of each other while none of them reads the store: each one relays the
+// last confirmation as younger than it is, by the transit time of a message, and gets it back younger still.
 func TestConfirmationAgesWhileItIsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,19 +197,19 @@
 		names := []string{"a", "b", "c"}
 		var fleet []*Node
 		for _, name := range names {
-			fleet = append(fleet, instanceThatKnows(t, name, names))
+			fleet = append(fleet, syncedNode(t, name, names))
 		}
-		const takes = 60 * time.Millisecond
-		for i, one := range fleet {
-			linkLate(ctx, one, fleet[(i+1)%len(fleet)], always(takes), always(takes))
-			go beating(ctx, one)
-			time.Sleep(beatEvery / 3) // the beats of instances are not at the same time
+		const transit = 60 * time.Millisecond
+		for i, node := range fleet {
+			linkWithDelay(ctx, node, fleet[(i+1)%len(fleet)], constantDelay(transit), constantDelay(transit))
+			go sendHeartbeats(ctx, node)
+			time.Sleep(heartbeatInterval / 3) // the heartbeats of the instances are not synchronised
 		}
-		confirmed := fleet[0].knowledge.confirmed.last()
+		confirmed := fleet[0].view.confirmed.last()
 		for range 12 {
-			time.Sleep(beatEvery)
-			for _, one := range fleet {
-				is.True(!one.knowledge.confirmed.last().After(confirmed))
+			time.Sleep(heartbeatInterval)
+			for _, node := range fleet {
+				is.True(!node.view.confirmed.last().After(confirmed))
 			}
 		}
 	})
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -14,55 +14,55 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// losses.go finds out whether an upstream crashed when an answer of it broke. A request that crashes each
-// upstream that runs it comes again and again; all instances count the crashes that a request was in
-// flight at. A broken answer alone is no crash: answers are lost, and connections reset, without one.
+// crash_detection.go detects whether an upstream crashed when one of its responses broke off. A request that crashes
+// each upstream that runs it is sent again and again, so all instances count the crashes during which a request was in
+// flight. A broken response alone is not a crash: responses are lost and connections reset without one.
 
 const (
-	// lossesKept bounds the broken answers that wait to be looked into.
-	lossesKept = 64
-	// lossSettle is how long after a broken answer the upstream is tried: a crash takes all its requests
-	// with it, and all of them are to be counted at once.
-	lossSettle = 15 * time.Millisecond
-	// lossDial bounds the try.
-	lossDial = 150 * time.Millisecond
+	// maxBrokenResponses bounds the queue of broken responses that wait for the crash check.
+	maxBrokenResponses = 64
+	// crashSettleTime is the wait between a broken response and the crash check. A crash breaks all requests of the
+	// upstream, and all of them have to be counted together.
+	crashSettleTime = 15 * time.Millisecond
+	// probeTimeout bounds the connection attempt of the check.
+	probeTimeout = 150 * time.Millisecond
 )
 
-// loss is a request whose answer broke.
-type loss struct {
+// brokenResponse is a request whose response broke off.
+type brokenResponse struct {
 	upstream    traffic.Upstream
 	fingerprint suspect.Fingerprint
 }
 
-// Broke is told that an answer broke with its connection.
+// Broke queues a crash check for a response that broke off with its connection.
 func (n *Node) Broke(upstream traffic.Upstream, fingerprint suspect.Fingerprint) {
 	select {
-	case n.losses <- loss{upstream: upstream, fingerprint: fingerprint}:
+	case n.brokenResponses <- brokenResponse{upstream: upstream, fingerprint: fingerprint}:
 	default:
-		n.Log.Warn().Str("Upstream", upstream.ID).Msg("LossNotLookedInto")
+		n.Log.Warn().Str("Upstream", upstream.ID).Msg("CrashCheckDropped")
 	}
 }
 
-// runLosses looks into broken answers.
-func (n *Node) runLosses(ctx context.Context) error {
+// runCrashDetection checks broken responses.
+func (n *Node) runCrashDetection(ctx context.Context) error {
 	for {
 		select {
-		case first := <-n.losses:
-			pause.For(ctx, lossSettle)
-			n.lookInto(ctx, first)
+		case first := <-n.brokenResponses:
+			pause.For(ctx, crashSettleTime)
+			n.detectCrashes(ctx, first)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// lookInto counts a crash for all requests that broke at upstreams where nothing listens any more.
-func (n *Node) lookInto(ctx context.Context, first loss) {
+// detectCrashes counts a crash for all requests with broken responses whose upstreams refuse connections.
+func (n *Node) detectCrashes(ctx context.Context, first brokenResponse) {
 	broken := map[string][]suspect.Fingerprint{first.upstream.ID: {first.fingerprint}}
 	addresses := map[string]string{first.upstream.ID: first.upstream.Address}
 	for more := true; more; {
 		select {
-		case next := <-n.losses:
+		case next := <-n.brokenResponses:
 			broken[next.upstream.ID] = append(broken[next.upstream.ID], next.fingerprint)
 			addresses[next.upstream.ID] = next.upstream.Address
 		default:
@@ -70,7 +70,7 @@
 		}
 	}
 	for id, fingerprints := range broken {
-		if !isDown(ctx, addresses[id]) {
+		if !refusesConnections(ctx, addresses[id]) {
 			continue
 		}
 		now := time.Now()
@@ -79,18 +79,18 @@
 			a.Pool.Crashed(now, id)
 		})
 		n.Log.Warn().Str("Upstream", id).Int("Requests", len(fingerprints)).Msg("UpstreamCrashed")
-		n.overlay.urge()
+		n.overlay.requestStateSend()
 	}
 }
 
-// dial makes a connection to an upstream just to see whether that can be done.
+// dial opens a connection to an upstream only to test whether it accepts one.
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: lossDial}
+	dialer := net.Dialer{Timeout: probeTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// isDown tells whether nothing listens at the address.
-func isDown(ctx context.Context, address string) bool {
+// refusesConnections reports whether no process listens at the address.
+func refusesConnections(ctx context.Context, address string) bool {
 	connection, err := dial(ctx, address)
 	if err == nil {
 		connection.Close()
--- a/internal/entry/node/declarations_test.go
+++ b/internal/entry/node/declarations_test.go
@@ -1,6 +1,6 @@
 package node_test
 
-// Declarations and a dialect of these tests' own, so that they depend on no platform's names.
+// Declarations and a dialect for these tests only, so that they do not depend on the names of any platform.
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// Keys of what is declared.
+// Keys of the declared items.
 const (
 	keyConfiguration  = "declared/configuration"
 	prefixUpstreams   = "declared/upstreams/"
@@ -25,7 +25,7 @@
 	pathReady    = "/ready"
 )
 
-// configuration has one public route to a plain service, and a service of engines.
+// configuration has one public route to a plain service, and a service with engines.
 func configuration(version int, prefix string) string {
 	return encoded(traffic.Configuration{
 		Version: int64(version),
@@ -54,7 +54,7 @@
 
 type decoder struct{}
 
-// Decode gives what an item declares.
+// Decode returns the declaration of an item.
 func (decoder) Decode(key string, value []byte) (traffic.Fact, error) {
 	if key == keyConfiguration {
 		var configuration traffic.Configuration
@@ -71,12 +71,12 @@
 	return upstream, err
 }
 
-// UpstreamID tells which upstream a key belongs to.
+// UpstreamID returns the upstream that a key belongs to.
 func (decoder) UpstreamID(key string) (id string, ok bool) {
 	return strings.CutPrefix(key, prefixUpstreams)
 }
 
-// EvacuatedDataCentre tells which data centre a key evacuates.
+// EvacuatedDataCentre returns the data centre that a key evacuates.
 func (decoder) EvacuatedDataCentre(key string) (dataCentre string, ok bool) {
 	return strings.CutPrefix(key, prefixEvacuations)
 }
--- a/internal/entry/node/fleet_cost_test.go
+++ b/internal/entry/node/fleet_cost_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// fleet_cost_test.go measures what instances spend on each other: whole fleets of real nodes in one process, over
-// loopback, with a store in memory and upstreams that nobody calls.
+// fleet_cost_test.go measures the cost of coordination between instances: whole fleets of real nodes in one process,
+// over loopback, with an in-memory store and upstreams without calls.
 
-// fleetSizes are instances and upstreams of the fleets that are measured.
+// fleetSizes are the numbers of instances and upstreams in the measured fleets.
 var fleetSizes = []struct{ instances, upstreams int }{{7, 12}, {30, 50}, {60, 100}, {100, 130}, {195, 160}, {40, 3000}}
 
-// restProfile is a file for the processor profile of the time in which a fleet rests, starts and stops left out.
+// restProfile is the file for the CPU profile of an idle fleet, without its start and stop.
 var restProfile = flag.String("rest-profile", "", "file for the processor profile of fleets at rest")
 
-// processorTime is what this process has used so far.
+// processorTime returns the CPU time that this process has used so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -30,8 +30,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkFleetAtRest starts a fleet at once and lets it rest. Reported for one instance: milliseconds of processor
-// time until each upstream has a holder and the fleet has settled, cores at rest, goroutines and heap.
+// BenchmarkFleetAtRest starts a whole fleet at the same time and leaves it idle. It reports for one instance:
+// milliseconds of CPU time until each upstream has a holder and the fleet has settled, cores while idle, goroutines and
+// heap.
 func BenchmarkFleetAtRest(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.instances), func(b *testing.B) {
@@ -42,8 +43,8 @@
 	}
 }
 
-// BenchmarkFleetWithChanges is the same with upstreams that load adapters forty times a second, each of which
-// changes an entry in the store.
+// BenchmarkFleetWithChanges is the same with upstreams that load adapters forty times a second. Each load changes an
+// entry in the store.
 func BenchmarkFleetWithChanges(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.instances), func(b *testing.B) {
@@ -81,7 +82,7 @@
 			s.put(fmt.Sprint(prefixUpstreams, "u", i), upstreamEntry("llm", "127.0.0.1:1"))
 		}
 	}
-	rested := processorTime()
+	idled := processorTime()
 	took := time.Since(began)
 	stopProfile()
 	var memory runtime.MemStats
@@ -89,14 +90,14 @@
 	runtime.ReadMemStats(&memory)
 	each := float64(instances)
 	b.ReportMetric((started-before).Seconds()*1000/each, "start-ms/instance")
-	b.ReportMetric((rested-started).Seconds()/took.Seconds()/each, "cores/instance")
+	b.ReportMetric((idled-started).Seconds()/took.Seconds()/each, "cores/instance")
 	b.ReportMetric(float64(runtime.NumGoroutine())/each, "goroutines/instance")
 	b.ReportMetric(float64(memory.HeapInuse)/each/1e6, "heap-MB/instance")
-	for _, one := range fleet {
-		one.stop()
+	for _, member := range fleet {
+		member.stop()
 	}
-	for _, one := range fleet {
-		<-one.ended
+	for _, member := range fleet {
+		<-member.ended
 	}
 }
 
@@ -117,7 +118,7 @@
 	}
 }
 
-// count is how many keys there are with a prefix.
+// count returns the number of keys with a prefix.
 func (s *store) count(prefix string) (count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -23,7 +23,7 @@
 	"lacewingrock.example/lacewingrock/internal/placement/residence"
 )
 
-// instance is a node that runs in the test's process, on loopback.
+// instance is a node that runs in the process of the test, on loopback.
 type instance struct {
 	name     string
 	settings node.Settings
@@ -32,34 +32,34 @@
 	ended    chan error
 	mutex    sync.Mutex
 	reread   func() (node.Settings, error)
-	log      *lines
+	log      *logBuffer
 }
 
-// lines collects what an instance logs.
-type lines struct {
+// logBuffer collects the log of an instance.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
-// orders accepts everything and keeps under which fence it was ordered.
-type orders struct {
+// acceptingOrders accepts every order and records its fence.
+type acceptingOrders struct {
 	mutex  sync.Mutex
 	fences []int64
 }
 
-func (o *orders) Order(
+func (o *acceptingOrders) Order(
 	_ context.Context, _ traffic.Upstream, _ string, fence int64, _ residence.Order,
 ) (residence.Outcome, error) {
 	o.mutex.Lock()
@@ -68,18 +68,18 @@
 	return residence.Accepted, nil
 }
 
-func (*orders) Report(context.Context, traffic.Upstream) (residence.Report, error) {
+func (*acceptingOrders) Report(context.Context, traffic.Upstream) (residence.Report, error) {
 	return residence.Report{Models: []traffic.LoadedModel{{Name: "m", Version: 1}}}, nil
 }
 
-// anyPort has an instance take free ports; it logs which.
+// anyPort makes an instance listen on a free port, which it logs.
 const anyPort = "127.0.0.1:0"
 
-// address is what an instance has logged for one of its doors.
-func (i *instance) address(door string) string {
+// address returns the listen address that an instance has logged under a field.
+func (i *instance) address(field string) string {
 	i.log.mutex.Lock()
 	defer i.log.mutex.Unlock()
-	found := regexp.MustCompile(`"` + door + `":"([^"]+)"`).FindStringSubmatch(i.log.text.String())
+	found := regexp.MustCompile(`"` + field + `":"([^"]+)"`).FindStringSubmatch(i.log.text.String())
 	if found == nil {
 		return ""
 	}
@@ -88,7 +88,7 @@
 
 func start(t testing.TB, s *store, name string) *instance {
 	t.Helper()
-	i := &instance{name: name, client: &client{store: s}, ended: make(chan error, 1), log: &lines{}}
+	i := &instance{name: name, client: &client{store: s}, ended: make(chan error, 1), log: &logBuffer{}}
 	i.settings = node.Settings{
 		Instance: node.InstanceSettings{
 			Name: name, DataCentre: "here", CallerAddress: anyPort, ReadyAddress: anyPort,
@@ -102,7 +102,7 @@
 	i.reread = func() (node.Settings, error) { return i.settings, nil }
 	n := &node.Node{
 		Settings: i.settings, Store: i.client, Decoder: decoder{}, Dialect: dialect{},
-		Orders: &orders{}, ReadyPath: pathReady, Log: zerolog.New(i.log).With().Timestamp().Logger(),
+		Orders: &acceptingOrders{}, ReadyPath: pathReady, Log: zerolog.New(i.log).With().Timestamp().Logger(),
 		Dropped: func() int { return 0 },
 		Apply:   func(node.Settings) {},
 		Reread: func() (node.Settings, error) {
@@ -126,15 +126,15 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t testing.TB, within time.Duration, what string, holds func() bool) {
+func eventually(t testing.TB, within time.Duration, what string, condition func() bool) {
 	t.Helper()
 	began := time.Now()
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %s since %s: %s", within, began.Format(time.RFC3339Nano), what)
+	t.Fatalf("condition not met within %s since %s: %s", within, began.Format(time.RFC3339Nano), what)
 }
 
 func (i *instance) status(path string) int {
@@ -162,7 +162,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// newUpstream is a plain service that answers after a while.
+// newUpstream starts a plain service that responds after a delay.
 func newUpstream(t *testing.T, after time.Duration) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -174,53 +174,53 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// The store turns one of three instances away and serves the others. Its callers would go on by the old
-// configuration for as long as that lasts; the other instances tell it.
+// Guards against an old configuration at an instance whose calls the store refuses while it serves the other two. The
+// refused instance gets the change from its peers.
 func TestChangeReachesAnInstanceThatTheStoreTurnsAway(t *testing.T) {
 	t.Parallel()
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/old/"))
 	s.put(prefixUpstreams+"u", upstreamEntry("app", newUpstream(t, 0)))
 	fleet := []*instance{start(t, s, "a"), start(t, s, "b"), start(t, s, "c")}
-	for _, one := range fleet {
-		eventually(t, 2*time.Second, one.name+" serves", func() bool { return one.ready() && one.status("/old/") == 200 })
+	for _, member := range fleet {
+		eventually(t, 2*time.Second, member.name+" serves", func() bool { return member.ready() && member.status("/old/") == 200 })
 	}
-	eventually(t, 3*time.Second, "all know each other", func() bool {
+	eventually(t, 3*time.Second, "all instances have found each other", func() bool {
 		return len(fleet) == 3 && fleet[0].log.has(`"Peer":"b"`) && fleet[0].log.has(`"Peer":"c"`) && fleet[1].log.has(`"Peer":"c"`)
 	})
-	for _, turnedAway := range fleet {
-		turnedAway.client.deny(true)
+	for _, refused := range fleet {
+		refused.client.setRefused(true)
 		version := time.Now().UnixNano()
-		prefix := "/" + turnedAway.name + "/"
+		prefix := "/" + refused.name + "/"
 		s.put(keyConfiguration, configuration(int(version), prefix))
-		eventually(t, 2*time.Second, turnedAway.name+" has the change", func() bool { return turnedAway.status(prefix) == 200 })
-		turnedAway.client.deny(false)
+		eventually(t, 2*time.Second, refused.name+" applies the change", func() bool { return refused.status(prefix) == 200 })
+		refused.client.setRefused(false)
 	}
 }
 
-// Guards against an instance that the store turns away and that goes on sending to a data centre that operators empty,
-// or that keeps out of it once it was taken back.
+// Guards against an instance whose calls the store refuses and that keeps sending to an evacuated data centre, or that
+// still avoids the data centre after the evacuation has ended.
 func TestEvacuationReachesAnInstanceThatTheStoreTurnsAway(t *testing.T) {
 	t.Parallel()
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/p/"))
 	s.put(prefixUpstreams+"u", upstreamEntry("app", newUpstream(t, 0)))
 	fleet := []*instance{start(t, s, "a"), start(t, s, "b")}
-	for _, one := range fleet {
-		eventually(t, 2*time.Second, one.name+" serves", func() bool { return one.ready() && one.status("/p/") == 200 })
+	for _, member := range fleet {
+		eventually(t, 2*time.Second, member.name+" serves", func() bool { return member.ready() && member.status("/p/") == 200 })
 	}
-	eventually(t, 3*time.Second, "both know each other", func() bool { return fleet[0].log.has(`"Peer":"b"`) })
-	for _, turnedAway := range fleet {
-		turnedAway.client.deny(true)
+	eventually(t, 3*time.Second, "both instances have found each other", func() bool { return fleet[0].log.has(`"Peer":"b"`) })
+	for _, refused := range fleet {
+		refused.client.setRefused(true)
 		s.put(prefixEvacuations+"here", "{}")
-		eventually(t, 2*time.Second, "nothing is sent there", func() bool { return turnedAway.status("/p/") == 503 })
+		eventually(t, 2*time.Second, "requests to the evacuated data centre are refused", func() bool { return refused.status("/p/") == 503 })
 		s.drop(prefixEvacuations + "here")
-		eventually(t, 2*time.Second, "it is taken back", func() bool { return turnedAway.status("/p/") == 200 })
-		turnedAway.client.deny(false)
+		eventually(t, 2*time.Second, "the evacuation has ended", func() bool { return refused.status("/p/") == 200 })
+		refused.client.setRefused(false)
 	}
 }
 
-// Guards against an instance that starts while a data centre is evacuated and sends there all the same.
+// Guards against an instance that starts during the evacuation of a data centre and still sends there.
 func TestInstanceThatStartsKnowsWhatIsEvacuated(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -228,13 +228,13 @@
 	s.put(keyConfiguration, configuration(1, "/p/"))
 	s.put(prefixUpstreams+"u", upstreamEntry("app", newUpstream(t, 0)))
 	s.put(prefixEvacuations+"here", "{}")
-	one := start(t, s, "a")
-	eventually(t, 2*time.Second, "it is ready", one.ready)
-	is.Equal(one.status("/p/"), 503)
+	member := start(t, s, "a")
+	eventually(t, 2*time.Second, "the instance is ready", member.ready)
+	is.Equal(member.status("/p/"), 503)
 }
 
-// The instance that holds an upstream is gone without a word. Nobody could load adapters there until
-// another takes over, under a higher fence, once its lease has ended.
+// Guards against an upstream whose holder disappears without revoking its lease. No instance could load adapters there
+// until another one becomes holder, with a higher fence, after the lease has expired.
 func TestLostHolderIsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -243,14 +243,14 @@
 	s.put(prefixUpstreams+"e", upstreamEntry("llm", "127.0.0.1:1"))
 	fleet := map[string]*instance{"a": start(t, s, "a"), "b": start(t, s, "b")}
 	const key = "fleet/holders/e"
-	eventually(t, 4*time.Second, "there is a holder", func() bool { _, found := s.get(key); return found })
+	eventually(t, 4*time.Second, "the upstream has a holder", func() bool { _, found := s.get(key); return found })
 	before, _ := s.get(key)
-	for name, one := range fleet {
+	for name, member := range fleet {
 		if strings.Contains(string(before.Value), fmt.Sprintf("%q", name)) {
-			one.client.deny(true) // its lease ends as if it were gone
+			member.client.setRefused(true) // its lease expires as if the instance were gone
 		}
 	}
-	eventually(t, 6*time.Second, "another holds it", func() bool {
+	eventually(t, 6*time.Second, "another instance is the holder", func() bool {
 		now, found := s.get(key)
 		return found && string(now.Value) != string(before.Value)
 	})
@@ -258,79 +258,81 @@
 	is.True(after.Revision > before.Revision)
 }
 
-// The store is away for a while, and the entry of an upstream that lives lapses meanwhile. Dropped at once,
-// the service would have no upstream; dropped never, requests would go on to one that is gone.
+// Guards against two faults after an outage of the store in which the entry of a live upstream expires. If the upstream
+// is removed immediately, its service has no upstream. If it is never removed, requests are sent to an upstream that is
+// gone.
 func TestEntriesLapsedInAnOutageMayComeBack(t *testing.T) {
 	t.Parallel()
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/p/"))
 	address := newUpstream(t, 0)
 	s.put(prefixUpstreams+"u", upstreamEntry("app", address))
-	one := start(t, s, "a")
-	eventually(t, 2*time.Second, "serves", func() bool { return one.status("/p/") == 200 })
+	member := start(t, s, "a")
+	eventually(t, 2*time.Second, "serves", func() bool { return member.status("/p/") == 200 })
 	s.setDown(true)
 	time.Sleep(2 * time.Second)
 	s.drop(prefixUpstreams + "u")
 	s.setDown(false)
-	eventually(t, time.Second, "the outage is noticed", func() bool { return one.log.has("StoreReturned") })
+	eventually(t, time.Second, "the outage is noticed", func() bool { return member.log.has("StoreReturned") })
 	for range 10 {
-		if status := one.status("/p/"); status != 200 {
+		if status := member.status("/p/"); status != 200 {
 			t.Fatalf("status %d right after the outage", status)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	eventually(t, 4*time.Second, "the upstream is gone", func() bool { return one.status("/p/") == 503 })
+	eventually(t, 4*time.Second, "the upstream is removed", func() bool { return member.status("/p/") == 503 })
 }
 
-// The platform says by SIGHUP that the settings file has changed. The default of that signal ends the
-// process and cuts all its requests; settings that cannot be read must not do so either.
+// Guards against a SIGHUP, which signals a changed settings file, that ends the process and cuts all its requests, as
+// its default action does. Settings that cannot be read must not end the process either.
 func TestHangupReloads(t *testing.T) {
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/p/"))
-	one := start(t, s, "a")
-	eventually(t, 2*time.Second, "ready", one.ready)
-	one.mutex.Lock()
-	one.reread = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
-	one.mutex.Unlock()
+	member := start(t, s, "a")
+	eventually(t, 2*time.Second, "ready", member.ready)
+	member.mutex.Lock()
+	member.reread = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
+	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, time.Second, "the failure is logged", func() bool { return one.log.has("ReloadFailed") })
-	changed := one.settings
+	eventually(t, time.Second, "the failure is logged", func() bool { return member.log.has("ReloadFailed") })
+	changed := member.settings
 	changed.Retries.Slack = 5
-	one.mutex.Lock()
-	one.reread = func() (node.Settings, error) { return changed, nil }
-	one.mutex.Unlock()
+	member.mutex.Lock()
+	member.reread = func() (node.Settings, error) { return changed, nil }
+	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, time.Second, "the change is taken over", func() bool { return one.log.has(`"Changed":true`) })
-	if !one.ready() {
-		t.Fatal("not ready any more")
+	eventually(t, time.Second, "the changed settings are applied", func() bool { return member.log.has(`"Changed":true`) })
+	if !member.ready() {
+		t.Fatal("instance is not ready after the reload")
 	}
 }
 
-// An instance is told to stop while a request runs. The balancer hears first; the request ends as usual.
+// Guards against a planned stop that cuts a running request. The readiness check fails first, and the request finishes
+// as usual.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/p/"))
 	s.put(prefixUpstreams+"u", upstreamEntry("app", newUpstream(t, time.Second)))
-	one := start(t, s, "a")
-	eventually(t, 2*time.Second, "ready", one.ready)
+	member := start(t, s, "a")
+	eventually(t, 2*time.Second, "ready", member.ready)
 	status := make(chan int)
-	go func() { status <- one.status("/p/") }()
+	go func() { status <- member.status("/p/") }()
 	time.Sleep(100 * time.Millisecond)
-	one.stop()
-	eventually(t, 500*time.Millisecond, "not ready any more", func() bool { return !one.ready() })
+	member.stop()
+	eventually(t, 500*time.Millisecond, "the readiness check fails", func() bool { return !member.ready() })
 	is.Equal(<-status, 200)
 	select {
-	case err := <-one.ended:
+	case err := <-member.ended:
 		is.NoErr(err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("still there")
+		t.Fatal("the instance did not stop within 5 s")
 	}
 	_, found := s.get("fleet/instances/a")
-	is.True(!found) // what it held is free at once
+	is.True(!found) // its upstreams can be claimed immediately
 }
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -14,47 +14,47 @@
 	"lacewingrock.example/lacewingrock/internal/placement/turn"
 )
 
-// holding.go carries out, at one upstream that this instance holds, what the planner decides.
+// held_upstream.go carries out the decisions of the planner at one upstream that this instance holds.
 
-type holding struct {
+type heldUpstream struct {
 	node     *Node
 	upstream traffic.Upstream
 	fence    int64
-	// lease is what the holder's key is bound to, and ordersFrom when this instance may order again if it has
-	// ordered here before.
-	lease      int64
-	ordersFrom time.Time
-	stop       context.CancelFunc
-	// plain: the upstream is no engine. Nothing is loaded there; its holder adds up what is in flight.
+	// lease is the lease that the holder key is bound to. mayOrderFrom is the earliest time at which this instance may
+	// send orders again if it sent orders to this upstream before.
+	lease        int64
+	mayOrderFrom time.Time
+	stop         context.CancelFunc
+	// plain: the upstream is not an engine. It loads no adapters; its holder only adds up the requests in flight.
 	plain bool
-	// ended is closed when the instance does not hold the upstream any more.
+	// ended is closed when the instance no longer holds the upstream.
 	ended <-chan struct{}
 	wake  chan struct{}
 
-	// declarations counts the declared versions that the planner knows; only the loop uses it.
+	// declarations counts the declared versions that the planner has received. Only the loop uses it.
 	declarations int
 
-	mutex   sync.Mutex
-	planner residence.Planner
-	line    turn.Line
-	changed chan struct{}
-	fenced  bool
-	learnt  bool
-	// away: nothing listens at the upstream, or it does not answer.
-	away bool
+	mutex        sync.Mutex
+	planner      residence.Planner
+	prefillQueue turn.Line
+	changed      chan struct{}
+	fenced       bool
+	hasReport    bool
+	// unreachable: the upstream refuses connections or does not respond.
+	unreachable bool
 }
 
-func newHolding(
+func newHeldUpstream(
 	ctx context.Context, n *Node, upstream traffic.Upstream, holder roster.Holder, stop context.CancelFunc,
-) *holding {
-	h := &holding{
+) *heldUpstream {
+	h := &heldUpstream{
 		node: n, upstream: upstream, fence: holder.Fence, lease: holder.Lease, stop: stop, ended: ctx.Done(),
 		wake: make(chan struct{}, 1), changed: make(chan struct{}),
 	}
 	service, configured := n.Table().Configuration.Services[upstream.Service]
 	if configured && service.Engine == nil {
 		h.plain = true
-		h.learnt = true
+		h.hasReport = true
 		return h
 	}
 	if service.Engine != nil {
@@ -66,19 +66,19 @@
 	return h
 }
 
-// longestRest bounds a rest, so that adapters that came into use are noticed.
-const longestRest = 200 * time.Millisecond
+// maxRest bounds the pause between two steps, so that newly used adapters are noticed.
+const maxRest = 200 * time.Millisecond
 
-// run carries out steps until the context ends or another holder's fence was seen.
-func (h *holding) run(ctx context.Context) {
+// run carries out steps until the context ends or an order is refused because another holder has a later fence.
+func (h *heldUpstream) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch step := h.next().(type) {
 		case residence.Give:
-			h.give(ctx, step.Order)
+			h.sendOrder(ctx, step.Order)
 		case residence.Inspect:
 			h.inspect(ctx)
 		case residence.Rest:
-			h.rest(ctx, min(time.Until(step.Until), longestRest))
+			h.pause(ctx, min(time.Until(step.Until), maxRest))
 		}
 		if h.isFenced() {
 			h.node.Log.Warn().Str("Upstream", h.upstream.ID).Int64("Fence", h.fence).Msg("Fenced")
@@ -87,19 +87,19 @@
 	}
 }
 
-func (h *holding) isFenced() bool {
+func (h *heldUpstream) isFenced() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.fenced
 }
 
-// next asks the planner, with what is in use and declared by now.
-func (h *holding) next() residence.Step {
+// next returns the next step of the planner, based on the adapters in use and the versions declared so far.
+func (h *heldUpstream) next() residence.Step {
 	now := time.Now()
 	var inUse []traffic.Adapter
 	h.node.advice.With(func(a *serve.Advice) { inUse = a.Pool.InUse(now, h.upstream.ID) })
 	var versions map[traffic.Adapter]int64
-	versions, h.declarations = h.node.knowledge.newestSince(h.declarations)
+	versions, h.declarations = h.node.view.newestSince(h.declarations)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.planner.Use(now, inUse)
@@ -109,7 +109,7 @@
 	return h.planner.Next(now)
 }
 
-func (h *holding) rest(ctx context.Context, wait time.Duration) {
+func (h *heldUpstream) pause(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(max(wait, time.Millisecond))
 	defer timer.Stop()
 	select {
@@ -119,36 +119,36 @@
 	}
 }
 
-func (h *holding) give(ctx context.Context, order residence.Order) {
-	began := time.Now()
-	if !h.mayOrder(began) {
-		h.rest(ctx, longestRest)
+func (h *heldUpstream) sendOrder(ctx context.Context, order residence.Order) {
+	start := time.Now()
+	if !h.mayOrder(start) {
+		h.pause(ctx, maxRest)
 		return
 	}
-	h.node.holdings.noteOrder(h.upstream.ID, began)
+	h.node.heldUpstreams.recordOrder(h.upstream.ID, start)
 	outcome, err := h.node.Orders.Order(ctx, h.upstream, h.node.self.Name, h.fence, order)
-	away := outcome == residence.NoAnswer && !h.isReached(ctx)
+	unreachable := outcome == residence.NoAnswer && !h.isReachable(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	h.node.Log.Info().Str("Upstream", h.upstream.ID).Int64("Fence", h.fence).Bool("Unload", order.Unload).
 		Str("Adapter", order.Adapter.String()).Int64("Version", order.Version).Int64("Sequence", order.Sequence).
-		Str("Outcome", string(outcome)).Err(err).Int64("TookMillis", time.Since(began).Milliseconds()).Msg("Order")
+		Str("Outcome", string(outcome)).Err(err).Int64("TookMillis", time.Since(start).Milliseconds()).Msg("Order")
 	h.node.scope.Tagged(map[string]string{"outcome": string(outcome)}).Counter("orders").Inc(1)
-	h.setAway(away)
+	h.setUnreachable(unreachable)
 	h.mutex.Lock()
 	h.planner.Ordered(time.Now(), order, outcome)
 	h.fenced = outcome == residence.Fenced
-	h.announce()
+	h.notifyWaiters()
 	h.mutex.Unlock()
 	if outcome == residence.OtherUpstream {
 		h.node.advice.With(func(a *serve.Advice) { a.Pool.Crashed(time.Now(), h.upstream.ID) })
 	}
-	h.tellOwn()
+	h.updateOwnPool()
 }
 
-// tellOwn tells this instance's own pool what the others learn by heartbeats.
-func (h *holding) tellOwn() {
+// updateOwnPool gives the pool of this instance the residency that the other instances receive with heartbeats.
+func (h *heldUpstream) updateOwnPool() {
 	now := time.Now()
 	residency, known := h.residency(now)
 	if known {
@@ -156,33 +156,33 @@
 	}
 }
 
-func (h *holding) inspect(ctx context.Context) {
+func (h *heldUpstream) inspect(ctx context.Context) {
 	report, err := h.node.Orders.Report(ctx, h.upstream)
-	away := err != nil && !h.isReached(ctx)
+	unreachable := err != nil && !h.isReachable(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	h.node.Log.Info().Str("Upstream", h.upstream.ID).Int64("Sequence", report.Sequence).
 		Bool("Busy", report.Busy).Interface("Models", report.Models).Interface("Pending", report.Pending).
 		Err(err).Msg("Report")
-	h.setAway(away)
+	h.setUnreachable(unreachable)
 	h.mutex.Lock()
 	if err != nil || report.Born != 0 && h.upstream.Born != 0 && report.Born != h.upstream.Born {
-		h.planner.ReportFailed(time.Now()) // no answer, or another upstream's
+		h.planner.ReportFailed(time.Now()) // no response, or the response of another upstream
 		h.mutex.Unlock()
-		h.tellOwn()
+		h.updateOwnPool()
 		return
 	}
-	h.learnt = true
+	h.hasReport = true
 	h.planner.Learn(time.Now(), report)
-	h.announce()
+	h.notifyWaiters()
 	h.mutex.Unlock()
-	h.tellOwn()
+	h.updateOwnPool()
 }
 
-// isReached tells whether the upstream takes a connection. An order or report without an answer alone does not tell:
-// answers are lost, and orders carried out late, at upstreams that serve.
-func (h *holding) isReached(ctx context.Context) bool {
+// isReachable reports whether the upstream accepts a connection. A missing response to an order or a report does not
+// prove that it is unreachable: a working upstream may lose responses or carry out orders late.
+func (h *heldUpstream) isReachable(ctx context.Context) bool {
 	connection, err := dial(ctx, h.upstream.Address)
 	if err != nil {
 		return false
@@ -191,37 +191,38 @@
 	return true
 }
 
-// setAway takes note of whether the upstream is away. Requests that wait for an adapter there are told at once: as
-// long as they waited in vain they could have been served elsewhere.
-func (h *holding) setAway(away bool) {
+// setUnreachable records whether the upstream is unreachable. Requests that wait for an adapter there are notified
+// immediately, so that they can be served elsewhere while there is still time.
+func (h *heldUpstream) setUnreachable(unreachable bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.away == away {
+	if h.unreachable == unreachable {
 		return
 	}
-	h.away = away
-	h.node.Log.Warn().Str("Upstream", h.upstream.ID).Int64("Fence", h.fence).Bool("Away", away).Msg("UpstreamAway")
-	h.announce()
+	h.unreachable = unreachable
+	h.node.Log.Warn().Str("Upstream", h.upstream.ID).Int64("Fence", h.fence).Bool("Away", unreachable).Msg("UpstreamAway")
+	h.notifyWaiters()
 }
 
-// announce wakes the requests that wait; the lock is held.
-func (h *holding) announce() {
+// notifyWaiters wakes the waiting requests. The caller holds the lock.
+func (h *heldUpstream) notifyWaiters() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// prepare waits until an adapter is there, and then for the prompt's turn. A cold upstream has to bear the request too.
-func (h *holding) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.Prepared) {
-	worthUntil := time.Now().Add(min(request.Patience, request.OnTime))
+// prepare waits until the adapter is loaded, then until the prompt may start its prefill. If the upstream is cold, its
+// limit for cold upstreams must admit the request too.
+func (h *heldUpstream) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.Prepared) {
+	deadline := time.Now().Add(min(request.Patience, request.OnTime))
 	prepared = mesh.Loaded{}
 	if !h.plain {
-		prepared = h.load(ctx, request, worthUntil)
+		prepared = h.loadAdapter(ctx, request, deadline)
 	}
 	if _, loaded := prepared.(mesh.Loaded); !loaded {
 		return prepared
 	}
 	if request.Tokens > 0 {
-		if wait, came := h.takeTurn(ctx, request, worthUntil); !came {
+		if wait, started := h.awaitPrefillTurn(ctx, request, deadline); !started {
 			return mesh.Busy{RetryAfter: wait}
 		}
 	}
@@ -231,15 +232,15 @@
 	return prepared
 }
 
-// admitCold takes a request from what the upstream bears while it is cold.
-func (h *holding) admitCold() (wait time.Duration, admitted bool) {
+// admitCold counts a request against the load that the upstream can take while it is cold.
+func (h *heldUpstream) admitCold() (wait time.Duration, admitted bool) {
 	h.node.advice.With(func(a *serve.Advice) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
 	return wait, admitted
 }
 
-// load waits until an adapter is there. A request that cannot have it within its patience is told at
-// once: it may find room elsewhere, or its caller can come back.
-func (h *holding) load(ctx context.Context, request mesh.PrepareRequest, worthUntil time.Time) mesh.Prepared {
+// loadAdapter waits until the adapter is loaded. A request that cannot get it before its deadline is refused
+// immediately: it may find capacity elsewhere, or its caller can retry later.
+func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
 	h.mutex.Lock()
 	now := time.Now()
 	if version, has := h.planner.Has(now, request.Adapter, request.Version); has {
@@ -250,34 +251,34 @@
 		h.mutex.Unlock()
 		return mesh.NotHolder{}
 	}
-	if h.away {
+	if h.unreachable {
 		h.mutex.Unlock()
 		return mesh.Busy{}
 	}
-	if wait, hopeless := h.planner.Hopeless(now, request.Adapter, worthUntil); hopeless {
+	if wait, tooLate := h.planner.Hopeless(now, request.Adapter, deadline); tooLate {
 		h.mutex.Unlock()
 		return mesh.Busy{RetryAfter: wait}
 	}
 	h.planner.Want(now, request.Adapter, request.Version, request.Priority, now.Add(request.OnTime))
 	h.mutex.Unlock()
-	prepared := h.await(ctx, request, worthUntil)
+	prepared := h.awaitAdapter(ctx, request, deadline)
 	h.mutex.Lock()
 	h.planner.Unwant(request.Adapter)
 	h.mutex.Unlock()
 	return prepared
 }
 
-func (h *holding) await(ctx context.Context, request mesh.PrepareRequest, worthUntil time.Time) mesh.Prepared {
-	timer := time.NewTimer(time.Until(worthUntil))
+func (h *heldUpstream) awaitAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
 		h.mutex.Lock()
 		now := time.Now()
 		version, has := h.planner.Has(now, request.Adapter, request.Version)
-		wait, hopeless := h.planner.Hopeless(now, request.Adapter, worthUntil)
+		wait, tooLate := h.planner.Hopeless(now, request.Adapter, deadline)
 		changed := h.changed
 		fenced := h.fenced
-		away := h.away
+		unreachable := h.unreachable
 		h.mutex.Unlock()
 		if has {
 			return mesh.Loaded{Version: version}
@@ -285,13 +286,13 @@
 		if fenced {
 			return mesh.NotHolder{}
 		}
-		if hopeless {
+		if tooLate {
 			return mesh.Busy{RetryAfter: wait}
 		}
-		if away {
+		if unreachable {
 			return mesh.Busy{}
 		}
-		h.look()
+		h.wakeLoop()
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -303,29 +304,29 @@
 	}
 }
 
-func (h *holding) hasWants() bool {
+func (h *heldUpstream) hasWaitingRequests() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.planner.HasWants()
 }
 
-// look has the loop ask the planner again.
-func (h *holding) look() {
+// wakeLoop makes the loop query the planner again.
+func (h *heldUpstream) wakeLoop() {
 	select {
 	case h.wake <- struct{}{}:
-	default: // it is about to do so anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// residency is what the others are told of the upstream.
-func (h *holding) residency(now time.Time) (residency pool.Residency, known bool) {
+// residency returns the state of the upstream that is sent to the other instances.
+func (h *heldUpstream) residency(now time.Time) (residency pool.Residency, known bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.fenced || !h.learnt && !h.away {
+	if h.fenced || !h.hasReport && !h.unreachable {
 		return residency, false
 	}
 	residency = pool.Residency{
-		Upstream: h.upstream.ID, Fence: h.fence, Version: now.Sub(h.node.began).Microseconds(), Away: h.away,
+		Upstream: h.upstream.ID, Fence: h.fence, Version: now.Sub(h.node.startedAt).Microseconds(), Away: h.unreachable,
 	}
 	residency.Loaded, residency.Idle = h.planner.Residents(now)
 	residency.Wait = h.planner.Wait(now, traffic.Adapter{})
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -15,148 +15,153 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// holdings.go decides which upstreams this instance holds, and keeps a loop for each of them. A holder is
-// made by a transaction on the upstream's key, whose revision is the fence of its orders.
+// held_upstreams.go decides which upstreams this instance holds, and runs a loop for each of them. An instance becomes
+// holder by a transaction on the holder key of the upstream. The revision of that key is the fencing token of its
+// orders.
 
 const (
-	// claimStep is how much longer each further instance in an upstream's line waits before it claims an
-	// upstream that has no holder: the first in line should have it, and two claims are one too many.
-	claimStep = 400 * time.Millisecond
-	// claimSettle is the first one's wait, in which the roster fills after a start of the fleet.
-	claimSettle = 300 * time.Millisecond
-	// claimPause is the pause between two looks while an upstream has no holder, and matchPause while each has one;
-	// changes in the store are looked at as they come.
-	claimPause = 100 * time.Millisecond
-	matchPause = 300 * time.Millisecond
+	// claimRankDelay is the additional wait per rank before an instance claims an upstream without a holder. The
+	// instance with the first rank should get it; a second claim is wasted.
+	claimRankDelay = 400 * time.Millisecond
+	// claimDelay is the wait of the instance with the first rank. The roster fills in that time after a start of the
+	// fleet.
+	claimDelay = 300 * time.Millisecond
+	// claimInterval is the interval between checks while an upstream has no holder, and ownershipInterval the interval
+	// while every upstream has one. Changes in the store trigger a check immediately.
+	claimInterval     = 100 * time.Millisecond
+	ownershipInterval = 300 * time.Millisecond
 )
 
-type holdings struct {
+type heldUpstreams struct {
 	mutex sync.Mutex
-	held  map[string]*holding
-	// unheld tells since when an upstream has had no holder; only the loop that claims uses it.
-	unheld map[string]time.Time
-	// ordered is when this instance last gave an order to an upstream, under any fence.
-	ordered map[string]time.Time
+	byID  map[string]*heldUpstream
+	// vacantSince is the time since which an upstream has had no holder. Only the ownership loop uses it.
+	vacantSince map[string]time.Time
+	// lastOrders is when this instance last sent an order to an upstream, under any fence.
+	lastOrders map[string]time.Time
 }
 
-// newHoldings is made before the duties start: a peer may ask what is held before the loop that claims has
-// taken its first step.
-func newHoldings() holdings {
-	return holdings{
-		held: make(map[string]*holding), unheld: make(map[string]time.Time), ordered: make(map[string]time.Time),
+// newHeldUpstreams is called before the tasks start: a peer may request the held upstreams before the ownership loop
+// has run its first iteration.
+func newHeldUpstreams() heldUpstreams {
+	return heldUpstreams{
+		byID: make(map[string]*heldUpstream), vacantSince: make(map[string]time.Time), lastOrders: make(map[string]time.Time),
 	}
 }
 
-func (h *holdings) get(upstream string) *holding {
+func (h *heldUpstreams) get(upstream string) *heldUpstream {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.held[upstream]
+	return h.byID[upstream]
 }
 
-// names are the upstreams that are held.
-func (h *holdings) names() map[string]bool {
+// ids returns the IDs of the held upstreams.
+func (h *heldUpstreams) ids() map[string]bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	names := make(map[string]bool, len(h.held))
-	for id := range h.held {
-		names[id] = true
+	ids := make(map[string]bool, len(h.byID))
+	for id := range h.byID {
+		ids[id] = true
 	}
-	return names
+	return ids
 }
 
-// look has the planners that have something waiting look again: what is in use may have changed.
-func (h *holdings) look() {
+// wakeWaiting wakes the loops of upstreams that have waiting requests, because the set of adapters in use may have
+// changed.
+func (h *heldUpstreams) wakeWaiting() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, one := range h.held {
-		if one.hasWants() {
-			one.look()
+	for _, held := range h.byID {
+		if held.hasWaitingRequests() {
+			held.wakeLoop()
 		}
 	}
 }
 
-// residencies is what this instance tells of the upstreams it holds.
-func (h *holdings) residencies(now time.Time) (list []pool.Residency) {
+// residencies returns the state of the held upstreams that is sent to the other instances.
+func (h *heldUpstreams) residencies(now time.Time) (list []pool.Residency) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, one := range h.held {
-		if residency, known := one.residency(now); known {
+	for _, held := range h.byID {
+		if residency, known := held.residency(now); known {
 			list = append(list, residency)
 		}
 	}
 	return list
 }
 
-// runHoldings claims upstreams without a holder, and starts and ends the loops.
-func (n *Node) runHoldings(ctx context.Context) error {
-	wait := claimPause
+// runOwnership claims upstreams without a holder, and starts and stops the loops of the held upstreams.
+func (n *Node) runOwnership(ctx context.Context) error {
+	wait := claimInterval
 	for ctx.Err() == nil {
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-n.knowledge.wake:
+		case <-n.view.wake:
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		wait = matchPause
-		if n.matchHoldings(ctx, time.Now()) {
-			wait = claimPause
+		wait = ownershipInterval
+		if n.reconcileOwnership(ctx, time.Now()) {
+			wait = claimInterval
 		}
 	}
 	return nil
 }
 
-// matchHoldings brings the loops in line with the keys, and tells whether an upstream is free to be claimed.
-func (n *Node) matchHoldings(ctx context.Context, now time.Time) (vacant bool) {
-	n.dropUndeclared()
+// reconcileOwnership starts and stops loops according to the holder keys, and reports whether an upstream can be
+// claimed.
+func (n *Node) reconcileOwnership(ctx context.Context, now time.Time) (vacant bool) {
+	n.releaseUndeclared()
 	var free []vacancy
 	vacancies := make(map[string]bool)
-	for _, upstream := range n.unsettled(now) {
-		if revision, vacant := n.matchHolding(ctx, upstream, now); vacant {
+	for _, upstream := range n.upstreamsToReconcile(now) {
+		if revision, vacant := n.reconcileUpstream(ctx, upstream, now); vacant {
 			free = append(free, vacancy{upstream: upstream, revision: revision})
 			vacancies[upstream.ID] = true
 		}
 	}
-	maps.DeleteFunc(n.holdings.unheld, func(id string, _ time.Time) bool { return !vacancies[id] })
+	maps.DeleteFunc(n.heldUpstreams.vacantSince, func(id string, _ time.Time) bool { return !vacancies[id] })
 	if len(free) > 0 && !n.stopping.Load() {
-		n.claimInTurn(ctx, free, now)
+		n.claimByRank(ctx, free, now)
 	}
 	return len(free) > 0
 }
 
-// vacancy is an upstream that was found free to be claimed, and the revision of its holder's key then, 0 for none.
-// The claim is made on that revision: a holder that others see before the claim is sent would be replaced otherwise.
+// vacancy is an upstream that can be claimed, and the revision of its holder key when that was found, 0 for none. The
+// claim is conditional on that revision. Otherwise it would replace a holder that appeared before the claim was sent.
 type vacancy struct {
 	upstream traffic.Upstream
 	revision int64
 }
 
-// matchHolding holds or drops one upstream, and tells whether it is free to be claimed on a revision of its key.
-func (n *Node) matchHolding(
+// reconcileUpstream starts or stops holding one upstream, and reports whether it can be claimed on a revision of its
+// holder key.
+func (n *Node) reconcileUpstream(
 	ctx context.Context, upstream traffic.Upstream, now time.Time,
 ) (onRevision int64, free bool) {
 	id := upstream.ID
-	n.knowledge.mutex.Lock()
-	holder, found := n.knowledge.roster.Holder(id)
-	revision := n.knowledge.replica.Revision()
-	n.knowledge.mutex.Unlock()
+	n.view.mutex.Lock()
+	holder, found := n.view.roster.Holder(id)
+	revision := n.view.replica.Revision()
+	n.view.mutex.Unlock()
 	if !n.isOpen(upstream) {
-		n.drop(id) // nothing is loaded for it any more, and those who wait are told at once
+		n.stopHolding(id) // stop loading adapters, and notify waiting requests immediately
 		return 0, false
 	}
 	if found && holder.Incarnation == n.self.Incarnation {
-		n.hold(ctx, upstream, holder)
+		n.startHolding(ctx, upstream, holder)
 		return 0, false
 	}
-	if one := n.holdings.get(id); one != nil && one.fence > revision {
-		return 0, false // claimed a moment ago; the store's word of it has not come yet
+	if held := n.heldUpstreams.get(id); held != nil && held.fence > revision {
+		return 0, false // just claimed; the replicated state does not show the claim yet
 	}
-	n.drop(id)
+	n.stopHolding(id)
 	if found && holder.Instance == n.self.Name && !n.stopping.Load() {
-		n.claim(ctx, upstream, holder.Fence) // left by this instance's last incarnation
+		n.claim(ctx, upstream, holder.Fence) // key of this instance's previous incarnation
 		return 0, false
 	}
-	return holder.Fence, !found || n.mayReplace() && n.isLost(now, holder.Instance)
+	return holder.Fence, !found || n.mayReplaceEarly() && n.isHolderLost(now, holder.Instance)
 }
 
 // isOpen reports whether an upstream takes new requests.
@@ -165,28 +170,28 @@
 	return open
 }
 
-// isLost tells whether a holder is silent although this instance hears most of the others. Its lease may
-// run for seconds yet, in which nothing would be loaded at what it holds. If it lives after all, its next
-// order is refused for its fence, and it stops.
-func (n *Node) isLost(now time.Time, name string) bool {
+// isHolderLost reports whether a holder is silent although this instance receives messages from most of the others. Its
+// lease may still run for seconds, during which nothing would be loaded at its upstreams. If the holder is in fact
+// alive, its next order is refused for its outdated fence, and it stops.
+func (n *Node) isHolderLost(now time.Time, name string) bool {
 	if n.overlay.isAlive(now, name) {
 		return false
 	}
-	heard := 0
-	others := n.others(name)
+	reachable := 0
+	others := n.otherInstances(name)
 	for _, other := range others {
 		if n.overlay.isAlive(now, other) {
-			heard++
+			reachable++
 		}
 	}
-	return len(others) > 0 && 2*heard > len(others)
+	return len(others) > 0 && 2*reachable > len(others)
 }
 
-// others lists the instances of the roster without this one and a given one.
-func (n *Node) others(without string) (names []string) {
-	n.knowledge.mutex.Lock()
-	defer n.knowledge.mutex.Unlock()
-	for _, instance := range n.knowledge.roster.Instances() {
+// otherInstances lists the instances of the roster except this one and the given one.
+func (n *Node) otherInstances(without string) (names []string) {
+	n.view.mutex.Lock()
+	defer n.view.mutex.Unlock()
+	for _, instance := range n.view.roster.Instances() {
 		if instance.Name != n.self.Name && instance.Name != without {
 			names = append(names, instance.Name)
 		}
@@ -194,34 +199,35 @@
 	return names
 }
 
-// unsettled lists the upstreams whose holder may have to change here: all but those that another live instance holds.
-// Those are most of a large service, and this is asked several times a second.
-func (n *Node) unsettled(now time.Time) (list []traffic.Upstream) {
+// upstreamsToReconcile lists the upstreams whose holder may have to change here: all except those that another live
+// instance holds. In a large service other live instances hold most of the upstreams, and this list is built several
+// times a second.
+func (n *Node) upstreamsToReconcile(now time.Time) (list []traffic.Upstream) {
 	table := n.Table()
 	if table == nil {
 		return nil
 	}
-	holders := n.knowledge.liveHolders()
-	settled := make(map[string]bool)
+	holders := n.view.liveHolders()
+	heldByOther := make(map[string]bool)
 	for _, instance := range holders {
-		if _, known := settled[instance]; !known {
-			settled[instance] = instance != n.self.Name && !n.isLost(now, instance)
+		if _, known := heldByOther[instance]; !known {
+			heldByOther[instance] = instance != n.self.Name && !n.isHolderLost(now, instance)
 		}
 	}
-	held := n.holdings.names()
+	held := n.heldUpstreams.ids()
 	n.advice.With(func(a *serve.Advice) {
 		list = a.Pool.Declared(func(upstream *traffic.Upstream) bool {
 			_, configured := table.Configuration.Services[upstream.Service]
-			return configured && (held[upstream.ID] || !settled[holders[upstream.ID]])
+			return configured && (held[upstream.ID] || !heldByOther[holders[upstream.ID]])
 		})
 	})
 	return list
 }
 
-// dropUndeclared ends the holdings of upstreams that are not declared any more, or whose service is not configured.
-func (n *Node) dropUndeclared() {
+// releaseUndeclared stops holding upstreams that are no longer declared or whose service is not configured.
+func (n *Node) releaseUndeclared() {
 	table := n.Table()
-	for id := range n.holdings.names() {
+	for id := range n.heldUpstreams.ids() {
 		var upstream traffic.Upstream
 		declared := false
 		n.advice.With(func(a *serve.Advice) { upstream, declared = a.Pool.Upstream(id) })
@@ -230,45 +236,45 @@
 			_, configured = table.Configuration.Services[upstream.Service]
 		}
 		if !declared || !configured {
-			n.drop(id)
+			n.stopHolding(id)
 		}
 	}
 }
 
-// claimInTurn claims the upstreams without a holder for which this instance is in line.
-func (n *Node) claimInTurn(ctx context.Context, free []vacancy, now time.Time) {
+// claimByRank claims the upstreams without a holder whose claim delay for the rank of this instance has passed.
+func (n *Node) claimByRank(ctx context.Context, free []vacancy, now time.Time) {
 	names := []string{n.self.Name}
-	for _, name := range n.others("") {
+	for _, name := range n.otherInstances("") {
 		if n.overlay.isAlive(now, name) {
 			names = append(names, name)
 		}
 	}
 	held := make(map[string]int)
-	n.knowledge.mutex.Lock()
-	for _, holder := range n.knowledge.roster.Holders() {
+	n.view.mutex.Lock()
+	for _, holder := range n.view.roster.Holders() {
 		held[holder.Instance]++
 	}
-	n.knowledge.mutex.Unlock()
+	n.view.mutex.Unlock()
 	var subjects []string
 	for _, vacant := range free {
 		subjects = append(subjects, vacant.upstream.ID)
 	}
-	turns := roster.Turns(subjects, names, held, n.self.Name)
+	ranks := roster.Turns(subjects, names, held, n.self.Name)
 	for _, vacant := range free {
 		id := vacant.upstream.ID
-		since, found := n.holdings.unheld[id]
+		since, found := n.heldUpstreams.vacantSince[id]
 		if !found {
-			n.holdings.unheld[id] = now
+			n.heldUpstreams.vacantSince[id] = now
 			continue
 		}
-		if now.Sub(since) >= claimSettle+time.Duration(turns[id])*claimStep && !now.Before(n.ordersFrom(id)) {
+		if now.Sub(since) >= claimDelay+time.Duration(ranks[id])*claimRankDelay && !now.Before(n.mayOrderFrom(id)) {
 			n.claim(ctx, vacant.upstream, vacant.revision)
 		}
 	}
 }
 
-// claim makes this instance the holder if the key is still as known. It orders from then on, without
-// waiting for the store's word: after a restart of the whole fleet every adapter waits for a holder.
+// claim makes this instance the holder if the key is unchanged. The instance sends orders from then on, without waiting
+// until the claim appears in the replicated state: after a restart of the whole fleet every adapter waits for a holder.
 func (n *Node) claim(ctx context.Context, upstream traffic.Upstream, revision int64) {
 	id := upstream.ID
 	now := time.Now()
@@ -287,7 +293,7 @@
 		Conditions: []coordination.Condition{{Key: key, Revision: revision}},
 		Writes:     []coordination.Write{{Key: key, Value: value, Lease: leaseID}},
 	})
-	n.holdings.unheld[id] = time.Now()
+	n.heldUpstreams.vacantSince[id] = time.Now()
 	switch {
 	case errors.Is(err, coordination.ErrConflict):
 		n.Log.Info().Str("Upstream", id).Msg("ClaimLost")
@@ -296,38 +302,38 @@
 	default:
 		n.Log.Info().Str("Upstream", id).Int64("Fence", fence).Msg("Claimed")
 		holder.Fence = fence
-		n.hold(ctx, upstream, holder)
+		n.startHolding(ctx, upstream, holder)
 	}
 }
 
-// hold runs a loop for an upstream that this instance holds.
-func (n *Node) hold(ctx context.Context, upstream traffic.Upstream, holder roster.Holder) {
-	before := n.holdings.get(upstream.ID)
-	if before != nil && before.fence == holder.Fence && before.upstream.Born == upstream.Born {
+// startHolding runs a loop for an upstream that this instance holds.
+func (n *Node) startHolding(ctx context.Context, upstream traffic.Upstream, holder roster.Holder) {
+	previous := n.heldUpstreams.get(upstream.ID)
+	if previous != nil && previous.fence == holder.Fence && previous.upstream.Born == upstream.Born {
 		return
 	}
-	n.drop(upstream.ID)
+	n.stopHolding(upstream.ID)
 	ctx, cancel := context.WithCancel(ctx)
-	one := newHolding(ctx, n, upstream, holder, cancel)
-	if before == nil || before.fence != holder.Fence {
-		one.ordersFrom = n.ordersFrom(upstream.ID)
+	held := newHeldUpstream(ctx, n, upstream, holder, cancel)
+	if previous == nil || previous.fence != holder.Fence {
+		held.mayOrderFrom = n.mayOrderFrom(upstream.ID)
 	}
-	n.holdings.mutex.Lock()
-	n.holdings.held[upstream.ID] = one
-	n.holdings.mutex.Unlock()
-	if !one.plain {
-		go one.run(ctx)
+	n.heldUpstreams.mutex.Lock()
+	n.heldUpstreams.byID[upstream.ID] = held
+	n.heldUpstreams.mutex.Unlock()
+	if !held.plain {
+		go held.run(ctx)
 	}
 }
 
-// drop ends the loop for an upstream.
-func (n *Node) drop(id string) {
-	n.holdings.mutex.Lock()
-	one := n.holdings.held[id]
-	delete(n.holdings.held, id)
-	n.holdings.mutex.Unlock()
-	if one != nil {
-		one.stop()
-		n.Log.Info().Str("Upstream", id).Int64("Fence", one.fence).Msg("HoldingEnded")
+// stopHolding ends the loop of an upstream.
+func (n *Node) stopHolding(id string) {
+	n.heldUpstreams.mutex.Lock()
+	held := n.heldUpstreams.byID[id]
+	delete(n.heldUpstreams.byID, id)
+	n.heldUpstreams.mutex.Unlock()
+	if held != nil {
+		held.stop()
+		n.Log.Info().Str("Upstream", id).Int64("Fence", held.fence).Msg("HoldingEnded")
 	}
 }
--- a/internal/entry/node/held_upstreams_test.go
+++ b/internal/entry/node/held_upstreams_test.go
@@ -8,16 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// A peer greets an instance in the same moment in which the instance starts, and is answered with what is held
-// there while the duty that claims upstreams is only beginning. If that duty made the list, the answer would read
-// it as it is written: the process could end at its start, and callers would find one instance fewer.
+// Guards against a data race at the start. A peer may request the held upstreams while the ownership loop is starting.
+// If that loop created the map, the response would be built from the map while it is written. The process could end at
+// its start, and callers would have one instance fewer.
 func TestPeersMayAskBeforeTheFirstClaim(t *testing.T) {
 	is := is.New(t)
-	n := &Node{holdings: newHoldings()}
+	n := &Node{heldUpstreams: newHeldUpstreams()}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	answered := make(chan int)
-	go func() { answered <- len(n.holdings.residencies(time.Now())) }()
-	is.NoErr(n.runHoldings(ended))
-	is.Equal(<-answered, 0)
+	heldCount := make(chan int)
+	go func() { heldCount <- len(n.heldUpstreams.residencies(time.Now())) }()
+	is.NoErr(n.runOwnership(ended))
+	is.Equal(<-heldCount, 0)
 }
--- a/internal/entry/node/holder_requests.go
+++ b/internal/entry/node/holder_requests.go
@@ -8,19 +8,19 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/roster"
 )
 
-// asking.go is what a request asks of the holders of upstreams, this instance or another.
+// holder_requests.go sends requests to the holders of upstreams, whether this instance or another.
 
-// prepareWithin bounds the wait for an adapter at one upstream, whatever the request's patience: a holder
-// that froze with requests waiting would hold them to their end.
-const prepareWithin = 3 * time.Second
+// prepareTimeout bounds the wait for an adapter at one upstream, even if the request has more time left. Otherwise a
+// frozen holder would block its waiting requests until they time out.
+const prepareTimeout = 3 * time.Second
 
-// Prepare has an adapter loaded, here or at the instance that holds the upstream.
+// Prepare has an adapter loaded by the holder of the upstream, which may be this instance.
 func (n *Node) Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared {
-	request.Patience = min(request.Patience, prepareWithin)
+	request.Patience = min(request.Patience, prepareTimeout)
 	ctx, cancel := context.WithTimeout(ctx, request.Patience)
 	defer cancel()
-	if one := n.holdings.get(request.Upstream); one != nil {
-		return one.prepare(ctx, request)
+	if held := n.heldUpstreams.get(request.Upstream); held != nil {
+		return held.prepare(ctx, request)
 	}
 	instance, found := n.holderOf(request.Upstream)
 	if !found || instance.Name == n.self.Name || !n.overlay.isAlive(time.Now(), instance.Name) {
@@ -34,49 +34,50 @@
 	return prepared
 }
 
-// askTimeout bounds a question to a holder. An answer takes a few milliseconds; a request that waits longer for
-// it loses more than a better choice would win.
-const askTimeout = 30 * time.Millisecond
+// holderQueryTimeout bounds a query to a holder. A response takes a few milliseconds. A longer wait costs a request
+// more than a better choice of upstream would save.
+const holderQueryTimeout = 30 * time.Millisecond
 
-// Ask asks the holder of an upstream what is loaded and under way there. No answer changes nothing.
+// Ask queries the holder of an upstream for the models that are loaded and the requests that are in flight
+// there. If no response arrives, nothing changes.
 func (n *Node) Ask(ctx context.Context, upstream string) {
 	instance, found := n.holderOf(upstream)
 	if !found || instance.Name == n.self.Name || !n.overlay.isAlive(time.Now(), instance.Name) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, holderQueryTimeout)
 	defer cancel()
 	held, err := n.peers.Ask(ctx, instance.Address, n.loadReport(instance.Name))
 	if err != nil {
-		n.Log.Debug().Err(err).Str("Upstream", upstream).Str("Holder", instance.Name).Msg("AskFailed")
+		n.Log.Debug().Err(err).Str("Upstream", upstream).Str("Holder", instance.Name).Msg("HolderQueryFailed")
 		return
 	}
-	n.learnHeld(held)
+	n.applyHeldReport(held)
 }
 
-// holderOf is the live instance that holds an upstream.
+// holderOf returns the live instance that holds an upstream.
 func (n *Node) holderOf(upstream string) (instance roster.Instance, found bool) {
-	n.knowledge.mutex.Lock()
-	defer n.knowledge.mutex.Unlock()
-	holder, held := n.knowledge.roster.Holder(upstream)
+	n.view.mutex.Lock()
+	defer n.view.mutex.Unlock()
+	holder, held := n.view.roster.Holder(upstream)
 	if !held {
 		return instance, false
 	}
-	return n.knowledge.roster.Instance(holder.Instance)
+	return n.view.roster.Instance(holder.Instance)
 }
 
-// Touch tells the holder of an upstream at once that this instance begins or ends a send there. Without it an
-// adapter's place would stay reserved, or be taken, for a heartbeat's time too long, and others would queue behind
-// requests that they do not know of.
+// Touch notifies the holder of an upstream immediately that this instance begins or ends a send there.
+// Otherwise the slot of an adapter would stay reserved, or count as occupied, for one heartbeat too long,
+// and the requests of other instances would queue behind requests that those instances cannot see.
 func (n *Node) Touch(upstream string) {
-	if one := n.holdings.get(upstream); one != nil {
-		one.look()
+	if held := n.heldUpstreams.get(upstream); held != nil {
+		held.wakeLoop()
 		return
 	}
-	n.knowledge.mutex.Lock()
-	holder, held := n.knowledge.roster.Holder(upstream)
-	n.knowledge.mutex.Unlock()
+	n.view.mutex.Lock()
+	holder, held := n.view.roster.Holder(upstream)
+	n.view.mutex.Unlock()
 	if held {
-		n.report(holder.Instance)
+		n.scheduleReport(holder.Instance)
 	}
 }
--- a/internal/entry/node/lease.go
+++ b/internal/entry/node/lease.go
@@ -12,111 +12,112 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// lease.go keeps the instance's lease in the store, to which all its keys are bound: when the instance is
-// gone, they go with it.
+// lease.go renews the lease of the instance in the store. All keys of the instance are bound to the lease and are
+// removed when it expires.
 
 const (
-	// leaseTime is how late the others learn that an instance is gone.
-	leaseTime = 3 * time.Second
-	// renewEvery lets two renewals in a row fail.
-	renewEvery = time.Second
-	// leasePause is the pause after a failure.
-	leasePause = 250 * time.Millisecond
+	// leaseTTL is how late the other instances learn that an instance is gone.
+	leaseTTL = 3 * time.Second
+	// renewInterval lets two renewals in a row fail.
+	renewInterval = time.Second
+	// leaseRetryPause is the pause after a failure.
+	leaseRetryPause = 250 * time.Millisecond
 )
 
-// lease is safe for use by several goroutines.
+// lease is safe for concurrent use.
 type lease struct {
-	// suspended tells for how long in all the machine has been suspended, which the runtime's clock does not
-	// count and the store's does.
+	// suspended returns the total time for which the machine has been suspended. The clock of the runtime does not
+	// count that time, but the clock of the store does.
 	suspended func() time.Duration
 
 	mutex sync.Mutex
 	id    int64
-	// until is when the lease ends unless it was renewed in the meantime, as long as the machine is not
-	// suspended; suspendedBefore is for how long it had been when the lease was granted or renewed.
-	until           time.Time
+	// expires is when the lease ends unless it is renewed, provided that the machine is not suspended. suspendedBefore
+	// is the total suspended time when the lease was granted or renewed.
+	expires         time.Time
 	suspendedBefore time.Duration
 }
 
-// current gives the lease if it surely has not ended.
+// current returns the lease if it is certain not to have expired.
 func (l *lease) current(now time.Time) (id int64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now = now.Add(l.suspended() - l.suspendedBefore)
-	return l.id, l.id != 0 && now.Before(l.until)
+	return l.id, l.id != 0 && now.Before(l.expires)
 }
 
-// moment is when a call that grants or renews a lease began.
-type moment struct {
+// callStart is when a call that grants or renews a lease started.
+type callStart struct {
 	at        time.Time
 	suspended time.Duration
 }
 
-// begin has to be read before the call is made: the lease runs from when the store gets it.
-func (l *lease) begin() moment { return moment{at: time.Now(), suspended: l.suspended()} }
+// startCall must be called before the call to the store: the lease may run from the moment when the store receives the
+// call.
+func (l *lease) startCall() callStart { return callStart{at: time.Now(), suspended: l.suspended()} }
 
-// hold takes note of a lease that was granted or renewed by a call.
-func (l *lease) hold(id int64, began moment) {
+// set records a lease that a call granted or renewed.
+func (l *lease) set(id int64, start callStart) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.id = id
-	l.until = began.at.Add(leaseTime)
-	l.suspendedBefore = began.suspended
+	l.expires = start.at.Add(leaseTTL)
+	l.suspendedBefore = start.suspended
 }
 
-// end forgets the lease.
-func (l *lease) end() {
+// clear discards the lease.
+func (l *lease) clear() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.id = 0
 }
 
-// last is the lease as of the last call, whether it has ended or not; 0 for none.
-func (l *lease) last() int64 {
+// lastID returns the lease of the last call, whether it has expired or not, and 0 for none.
+func (l *lease) lastID() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.id
 }
 
-// runLease gets and renews the lease.
+// runLease acquires and renews the lease.
 func (n *Node) runLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if n.stopping.Load() {
-			pause.For(ctx, leasePause)
+			pause.For(ctx, leaseRetryPause)
 			continue
 		}
 		if err := n.renew(ctx); err != nil {
 			n.Log.Warn().Err(err).Msg("LeaseNotRenewed")
-			pause.For(ctx, leasePause)
+			pause.For(ctx, leaseRetryPause)
 			continue
 		}
-		pause.For(ctx, renewEvery)
+		pause.For(ctx, renewInterval)
 	}
 	return nil
 }
 
-// renew extends the lease, or gets a new one.
+// renew extends the lease, or acquires a new one.
 func (n *Node) renew(ctx context.Context) error {
-	began := n.lease.begin()
-	id := n.lease.last()
+	start := n.lease.startCall()
+	id := n.lease.lastID()
 	if id != 0 {
 		err := n.Store.Renew(ctx, id)
 		if err == nil {
-			n.lease.hold(id, began)
+			n.lease.set(id, start)
 			return nil
 		}
 		if !errors.Is(err, coordination.ErrLeaseEnded) {
 			return err
 		}
-		n.lease.end()
+		n.lease.clear()
 		n.Log.Warn().Int64("Lease", id).Msg("LeaseEnded")
 	}
-	return n.join(ctx, began)
+	return n.register(ctx, start)
 }
 
-// join gets a lease and enters the roster.
-func (n *Node) join(ctx context.Context, began moment) error {
-	id, err := n.Store.Grant(ctx, leaseTime)
+// register acquires a lease and adds the instance to the roster.
+func (n *Node) register(ctx context.Context, start callStart) error {
+	id, err := n.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
@@ -130,21 +131,22 @@
 	if err != nil {
 		return err
 	}
-	n.lease.hold(id, began)
+	n.lease.set(id, start)
 	n.Log.Info().Int64("Lease", id).Msg("Joined")
 	return nil
 }
 
-// endLease leaves the roster at once, so that what this instance holds is taken over without waiting.
-func (n *Node) endLease() {
+// revokeLease removes the instance from the roster immediately, so that other instances claim its upstreams without
+// waiting for the lease to expire.
+func (n *Node) revokeLease() {
 	ctx, cancel := context.WithTimeout(context.Background(), n.current.Load().Platform.StoreTimeout)
 	defer cancel()
-	id := n.lease.last()
-	n.lease.end()
+	id := n.lease.lastID()
+	n.lease.clear()
 	if id == 0 {
 		return
 	}
 	if err := n.Store.Revoke(ctx, id); err != nil {
-		n.Log.Warn().Err(err).Msg("LeaseNotEnded")
+		n.Log.Warn().Err(err).Msg("LeaseRevokeFailed")
 	}
 }
--- a/internal/entry/node/link_end.go
+++ b/internal/entry/node/link_end.go
@@ -16,22 +16,22 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// link_end.go sends and receives over one link, which either instance may have opened.
+// link_end.go sends and receives messages over one gossip link, which either instance may have opened.
 
 const (
-	// linkSilent is how long nothing may come over a link. Both ends send at each beat.
-	linkSilent = time.Second
-	// gatherFor collects what changes within a short time into one message.
-	gatherFor = 40 * time.Millisecond
-	// catchUpTimeout bounds how long a peer may take to hand over what this instance lacks. A large
-	// configuration takes a good part of a second on a slow link; cut off before, it would be fetched again
-	// and again and never arrive.
+	// linkTimeout is how long a link may be without a received message. Both ends send at each heartbeat.
+	linkTimeout = time.Second
+	// batchDelay collects changes that occur within a short time into one message.
+	batchDelay = 40 * time.Millisecond
+	// catchUpTimeout bounds how long a peer may take to send the changes that this instance lacks. A large
+	// configuration takes a large part of a second on a slow link. With a shorter timeout it would be fetched
+	// repeatedly and never arrive.
 	catchUpTimeout = 1500 * time.Millisecond
 )
 
-var errLinkSilent = errors.New("nothing came over the link")
+var errLinkTimeout = errors.New("no message received over the gossip link within the timeout")
 
-// linkEnd is this instance's end of a link.
+// linkEnd is the local end of a link.
 type linkEnd struct {
 	node    *Node
 	stream  mesh.Stream
@@ -40,37 +40,37 @@
 	// attached: this instance is attached to the peer.
 	attached bool
 	link     gossip.Link
-	// beat and news ask for a message.
-	beat chan struct{}
-	news chan struct{}
-	// received is when something last came, as time since the end was made.
-	made     time.Time
-	received atomic.Int64
+	// heartbeat requests a message immediately, update after batchDelay.
+	heartbeat chan struct{}
+	update    chan struct{}
+	// lastReceived is when the last message arrived, as time since created.
+	created      time.Time
+	lastReceived atomic.Int64
 }
 
 func newLinkEnd(n *Node, stream mesh.Stream, peer roster.Instance) *linkEnd {
 	return &linkEnd{
 		node: n, stream: stream, peer: peer.Name, address: peer.Address,
-		beat: make(chan struct{}, 1), news: make(chan struct{}, 1), made: time.Now(),
+		heartbeat: make(chan struct{}, 1), update: make(chan struct{}, 1), created: time.Now(),
 	}
 }
 
-// signal asks for a message.
-func (e *linkEnd) signal(beat bool) {
-	wake := e.news
-	if beat {
-		wake = e.beat
+// requestMessage schedules a message.
+func (e *linkEnd) requestMessage(heartbeat bool) {
+	requests := e.update
+	if heartbeat {
+		requests = e.heartbeat
 	}
 	select {
-	case wake <- struct{}{}:
-	default: // one is due already
+	case requests <- struct{}{}:
+	default: // a message is already pending
 	}
 }
 
-// run keeps the link until it breaks, falls silent or the context ends.
+// run serves the link until it breaks, times out or the context ends.
 func (e *linkEnd) run(ctx context.Context) error {
-	e.node.overlay.add(e)
-	defer e.node.overlay.remove(e)
+	e.node.overlay.addLink(e)
+	defer e.node.overlay.removeLink(e)
 	broken := make(chan error, 1)
 	reader := linkReader{end: e, broken: broken}
 	go reader.run(ctx)
@@ -82,34 +82,34 @@
 		if err := e.stream.Send(message); err != nil {
 			return err
 		}
-		waited := time.Now()
+		waitStart := time.Now()
 		select {
-		case <-e.beat:
-		case <-e.news:
-			pause.For(ctx, gatherFor)
+		case <-e.heartbeat:
+		case <-e.update:
+			pause.For(ctx, batchDelay)
 		case err := <-broken:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if e.isSilent(time.Since(waited)) {
-			return errLinkSilent
+		if e.isTimedOut(time.Since(waitStart)) {
+			return errLinkTimeout
 		}
 		message = e.node.message(e)
 	}
 }
 
-// isSilent tells whether nothing has come for too long. Time in which this instance did not get to run, as it was
-// frozen or short of its processor, does not count.
-func (e *linkEnd) isSilent(waited time.Duration) bool {
-	if waited > linkSilent {
-		e.received.Store(int64(time.Since(e.made)))
+// isTimedOut reports whether no message has arrived within the timeout. Time in which this instance did not run,
+// because it was frozen or short of processor time, does not count.
+func (e *linkEnd) isTimedOut(waited time.Duration) bool {
+	if waited > linkTimeout {
+		e.lastReceived.Store(int64(time.Since(e.created)))
 		return false
 	}
-	return time.Since(e.made)-time.Duration(e.received.Load()) > linkSilent
+	return time.Since(e.created)-time.Duration(e.lastReceived.Load()) > linkTimeout
 }
 
-// linkReader takes over what comes over a link.
+// linkReader processes the messages that arrive over a link.
 type linkReader struct {
 	end    *linkEnd
 	broken chan<- error
@@ -122,34 +122,34 @@
 			r.broken <- err
 			return
 		}
-		r.end.received.Store(int64(time.Since(r.end.made)))
+		r.end.lastReceived.Store(int64(time.Since(r.end.created)))
 		r.end.node.receive(ctx, r.end, message)
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// message is what the other end of a link lacks.
+// message returns the records that the other end of a link lacks.
 func (n *Node) message(end *linkEnd) mesh.Message {
 	n.overlay.mutex.Lock()
 	records := n.overlay.table.Due(time.Now(), &end.link, end.peer)
-	stamp := end.link.Stamp(time.Since(end.made))
+	stamp := end.link.Stamp(time.Since(end.created))
 	n.overlay.mutex.Unlock()
-	n.knowledge.mutex.Lock()
-	defer n.knowledge.mutex.Unlock()
+	n.view.mutex.Lock()
+	defer n.view.mutex.Unlock()
 	message := mesh.Message{Stamp: stamp, Records: records, ConfirmedAge: n.ConfirmedAge()}
-	message.Revision = n.knowledge.replica.Revision()
-	message.News = n.knowledge.news
+	message.Revision = n.view.replica.Revision()
+	message.News = n.view.urgentRevision
 	return message
 }
 
-// receive takes over a message of a peer.
+// receive processes a message of a peer.
 func (n *Node) receive(ctx context.Context, end *linkEnd, message mesh.Message) {
 	now := time.Now()
 	n.overlay.mutex.Lock()
 	n.overlay.table.Heard(end.peer, now)
 	changed := n.overlay.table.Merge(now, &end.link, message.Records)
-	transit, known := end.link.Receive(now.Sub(end.made), message.Stamp)
+	transit, known := end.link.Receive(now.Sub(end.created), message.Stamp)
 	n.overlay.mutex.Unlock()
 	var confirmed time.Time
 	if known && message.ConfirmedAge >= 0 {
@@ -157,25 +157,25 @@
 	}
 	urgent := false
 	for _, record := range changed {
-		n.learn(now, record, record.Instance == end.peer)
+		n.applyRecord(now, record, record.Instance == end.peer)
 		urgent = urgent || record.Urgent
 	}
 	if urgent {
-		n.overlay.wake(false)
+		n.overlay.requestMessages(false)
 	}
-	n.compareRevision(ctx, end, message, confirmed)
+	n.catchUpIfBehind(ctx, end, message, confirmed)
 }
 
-// compareRevision fetches the changes that a peer shows to know and this instance does not: news at once, others, such
-// as what upstreams say to have loaded, now and then. Confirmed is when the store confirmed the peer's revision,
-// zero if that is not known.
-func (n *Node) compareRevision(ctx context.Context, end *linkEnd, message mesh.Message, confirmed time.Time) {
-	n.knowledge.mutex.Lock()
-	revision := n.knowledge.replica.Revision()
+// catchUpIfBehind fetches the changes that a peer has and this instance lacks: urgent changes immediately, others, such
+// as the models that upstreams report as loaded, at longer intervals. Confirmed is when the store confirmed the
+// revision of the peer, zero if that is unknown.
+func (n *Node) catchUpIfBehind(ctx context.Context, end *linkEnd, message mesh.Message, confirmed time.Time) {
+	n.view.mutex.Lock()
+	revision := n.view.replica.Revision()
 	if message.News <= revision && !confirmed.IsZero() {
-		n.confirm(confirmed) // whatever else has changed
+		n.confirm(confirmed) // valid whatever non-urgent changes are missing
 	}
-	n.knowledge.mutex.Unlock()
+	n.view.mutex.Unlock()
 	due := message.News > revision || message.Revision > revision && n.overlay.isFetchDue(time.Now())
 	if due && n.overlay.beginCatchUp() {
 		fetch := catchUp{node: n, peer: end.peer, address: end.address, after: revision, confirmed: confirmed}
@@ -196,28 +196,29 @@
 	defer c.node.overlay.endCatchUp()
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	batch, err := c.node.peers.CatchUp(ctx, c.address, c.after)
 	c.node.scope.Tagged(map[string]string{"arrived": strconv.FormatBool(err == nil)}).Counter("catch_ups").Inc(1)
 	if err != nil {
 		c.node.Log.Warn().Err(err).Str("Peer", c.peer).Int64("After", c.after).
-			Int64("TookMillis", time.Since(began).Milliseconds()).Msg("CatchUpFailed")
+			Int64("TookMillis", time.Since(start).Milliseconds()).Msg("CatchUpFailed")
 		return
 	}
 	c.node.merge(batch, c.confirmed, c.peer)
 }
 
-// CatchUp gives a peer what it lacks and has to know.
+// CatchUp returns the urgent changes that a peer lacks.
 //
-// Made for a fleet of a hundred upstreams, each of which changes its entry every second or so as it loads adapters. The
-// holders know better what is loaded and let all know; passed on besides, the entries would be most of what relays send.
+// In a fleet of a hundred upstreams each upstream changes its entry every second or so as it loads adapters. The
+// holders have more recent information about loaded adapters and send it to all instances. If the entries were relayed
+// as well, they would be most of the traffic of relays.
 func (n *Node) CatchUp(after int64) replica.Batch {
-	n.knowledge.mutex.Lock()
-	defer n.knowledge.mutex.Unlock()
-	batch := n.knowledge.replica.Since(after)
+	n.view.mutex.Lock()
+	defer n.view.mutex.Unlock()
+	batch := n.view.replica.Since(after)
 	if !batch.Snapshot {
 		batch.Items = slices.DeleteFunc(batch.Items, func(item replica.Item) bool {
-			return n.knowledge.newsOf[item.Key] <= after
+			return n.view.urgentRevisions[item.Key] <= after
 		})
 	}
 	return batch
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -12,57 +12,58 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// links.go opens the links that the topology asks for, and closes those that it does not any more.
+// links.go opens the gossip links that the topology requires, and closes those that it no longer requires.
 
 const (
-	// beatEvery is how often something goes over each link.
-	beatEvery = 250 * time.Millisecond
-	// matchEvery is how late a link is opened after the roster shows its other end.
-	matchEvery = 125 * time.Millisecond
-	// openAfter is how long, of two relays, the one with the greater name waits for the other to open their link.
-	openAfter = 600 * time.Millisecond
-	// lingerFor is how long a link stays that is not wanted any more: as instances come and go the relays change,
-	// and may change back.
-	lingerFor = time.Second
-	// reopenPause is the pause between two tries of a link.
+	// heartbeatInterval is how often a message is sent over each link.
+	heartbeatInterval = 250 * time.Millisecond
+	// reconcileLinksInterval bounds how long after the roster shows an instance the link to it is opened.
+	reconcileLinksInterval = 125 * time.Millisecond
+	// openFallbackDelay is how long a relay waits for a relay with a smaller name to open their link before it opens
+	// the link itself.
+	openFallbackDelay = 600 * time.Millisecond
+	// unwantedLinkRetention is how long a link is kept after it is no longer required. The relays change as instances
+	// come and go, and may change back.
+	unwantedLinkRetention = time.Second
+	// reopenPause is the pause between two attempts to open a link.
 	reopenPause = 150 * time.Millisecond
-	// seekAfter is how long nothing may be heard of a member until a relay opens a link to it.
-	seekAfter = 1500 * time.Millisecond
+	// probeSilentAfter is how long a member must be silent before a relay opens a link to it.
+	probeSilentAfter = 1500 * time.Millisecond
 )
 
-// opener opens a link again and again while it is wanted.
-type opener struct {
-	node     *Node
-	instance roster.Instance
-	attached bool
-	wanted   time.Time
-	stop     context.CancelFunc
+// linkOpener opens a link, and reopens it while it is required.
+type linkOpener struct {
+	node       *Node
+	instance   roster.Instance
+	attached   bool
+	lastWanted time.Time
+	stop       context.CancelFunc
 }
 
-func (p *opener) run(ctx context.Context) {
+func (p *linkOpener) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := p.keep(ctx)
+		start := time.Now()
+		err := p.openAndRun(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		p.node.overlay.setFailed(time.Now(), p.instance.Name)
-		p.node.Log.Debug().Err(err).Str("Peer", p.instance.Name).Int64("TookMillis", time.Since(began).Milliseconds()).Msg("LinkLost")
-		if errors.Is(err, errLinkSilent) {
+		p.node.overlay.recordLinkFailure(time.Now(), p.instance.Name)
+		p.node.Log.Debug().Err(err).Str("Peer", p.instance.Name).Int64("TookMillis", time.Since(start).Milliseconds()).Msg("LinkLost")
+		if errors.Is(err, errLinkTimeout) {
 			p.node.peers.Drop(p.instance.Address)
 		}
 		pause.For(ctx, reopenPause)
 	}
 }
 
-// keep opens the link and keeps it until it breaks.
-func (p *opener) keep(ctx context.Context) error {
+// openAndRun opens the link and serves it until it breaks.
+func (p *linkOpener) openAndRun(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(linkSilent, cancel)
+	timeout := time.AfterFunc(linkTimeout, cancel)
 	stream, err := p.node.peers.Gossip(ctx, p.instance.Address)
-	if !late.Stop() {
-		return errLinkSilent
+	if !timeout.Stop() {
+		return errLinkTimeout
 	}
 	if err != nil {
 		return err
@@ -72,153 +73,154 @@
 	return end.run(ctx)
 }
 
-// Gossip serves a link that a peer has opened.
+// Gossip serves a link that a peer opened.
 func (n *Node) Gossip(ctx context.Context, stream mesh.Stream) error {
 	first, err := stream.Receive()
 	if err != nil {
 		return err
 	}
 	caller := roster.Instance{Name: first.Instance, Address: first.Address}
-	n.overlay.addCaller(time.Now(), caller)
+	n.overlay.addLinkOpener(time.Now(), caller)
 	end := newLinkEnd(n, stream, caller)
 	end.link = gossip.Link{Attached: first.Attached}
 	n.receive(ctx, end, first)
 	return end.run(ctx)
 }
 
-// runGossip keeps the links, and has the own state refreshed and passed on.
+// runGossip opens and closes links, refreshes the state of this instance and sends it.
 func (n *Node) runGossip(ctx context.Context) error {
 	n.refreshState(time.Now(), false)
-	ticker := time.NewTicker(matchEvery)
+	ticker := time.NewTicker(reconcileLinksInterval)
 	defer ticker.Stop()
-	for beat := true; ctx.Err() == nil; {
+	for heartbeat := true; ctx.Err() == nil; {
 		urgent := false
-		n.matchLinks(ctx, time.Now())
+		n.reconcileLinks(ctx, time.Now())
 		select {
 		case <-ticker.C:
-			beat = !beat
-		case <-n.overlay.urged:
+			heartbeat = !heartbeat
+		case <-n.overlay.sendRequested:
 			urgent = true
-			pause.For(ctx, gatherFor)
+			pause.For(ctx, batchDelay)
 		case <-ctx.Done():
 		}
 		switch {
-		case urgent && !n.overlay.urgentState.Load():
-			n.refreshSpent(time.Now(), spentUrgent)
-		case urgent || beat:
-			n.refreshState(time.Now(), n.overlay.urgentState.Swap(false))
+		case urgent && !n.overlay.stateSendRequested.Load():
+			n.refreshSpent(time.Now(), spentImmediate)
+		case urgent || heartbeat:
+			n.refreshState(time.Now(), n.overlay.stateSendRequested.Swap(false))
 		}
 		switch {
 		case urgent:
-			n.overlay.wake(false)
-		case beat:
-			n.overlay.wake(true)
-			n.logLives()
+			n.overlay.requestMessages(false)
+		case heartbeat:
+			n.overlay.requestMessages(true)
+			n.logLiveness()
 		}
 	}
 	return nil
 }
 
-// matchLinks opens and closes links as instances come and go.
-func (n *Node) matchLinks(ctx context.Context, now time.Time) {
-	n.knowledge.mutex.Lock()
-	instances := n.knowledge.roster.Instances()
-	n.knowledge.mutex.Unlock()
+// reconcileLinks opens and closes links as instances come and go.
+func (n *Node) reconcileLinks(ctx context.Context, now time.Time) {
+	n.view.mutex.Lock()
+	instances := n.view.roster.Instances()
+	n.view.mutex.Unlock()
 	n.overlay.setMembers(now, instances)
 	o := &n.overlay
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	members, topology := o.list()
+	members, topology := o.membersAndTopology()
 	attached := !topology.IsRelay(n.self.Name)
-	wanted := topology.Links(n.self, func(name string) bool { return now.Sub(o.failed[name]) > unreachableFor })
-	wanted = append(wanted, o.sought(now, n.self.Name, members, topology)...)
-	for _, instance := range wanted {
-		n.matchLink(ctx, now, instance, attached)
+	required := topology.Links(n.self, func(name string) bool { return now.Sub(o.linkFailures[name]) > failedLinkAvoidance })
+	required = append(required, o.silentMembers(now, n.self.Name, members, topology)...)
+	for _, instance := range required {
+		n.reconcileLink(ctx, now, instance, attached)
 	}
-	for _, one := range o.opened {
-		if now.Sub(one.wanted) > lingerFor {
-			one.close(o)
+	for _, opener := range o.openers {
+		if now.Sub(opener.lastWanted) > unwantedLinkRetention {
+			opener.close(o)
 		}
 	}
 }
 
-// matchLink has a wanted link opened unless it is the other end's to open; the overlay is locked.
-func (n *Node) matchLink(ctx context.Context, now time.Time, instance roster.Instance, attached bool) {
+// reconcileLink opens a required link unless the other end has to open it. The overlay is locked.
+func (n *Node) reconcileLink(ctx context.Context, now time.Time, instance roster.Instance, attached bool) {
 	o := &n.overlay
-	before := o.opened[instance.Name]
-	if before != nil && (before.instance.Address != instance.Address || before.attached != attached) {
-		before.close(o)
-		before = nil
+	previous := o.openers[instance.Name]
+	if previous != nil && (previous.instance.Address != instance.Address || previous.attached != attached) {
+		previous.close(o)
+		previous = nil
 	}
 	own := attached || n.self.Name < instance.Name
 	switch {
-	case before == nil && (own || o.isUnlinked(now, instance.Name)):
-		n.open(ctx, now, instance, attached)
-	case before != nil && (own || o.linked[instance.Name] < 2):
-		before.wanted = now
+	case previous == nil && (own || o.isLinkMissing(now, instance.Name)):
+		n.openLink(ctx, now, instance, attached)
+	case previous != nil && (own || o.linkCounts[instance.Name] < 2):
+		previous.lastWanted = now
 	}
 }
 
-// isUnlinked tells whether there has been no link with an instance for some time; the overlay is locked. Whether the
-// instance is heard does not matter: what its relay passes on to others comes over a link of its own.
-func (o *overlay) isUnlinked(now time.Time, name string) bool {
-	if o.linked[name] > 0 {
-		delete(o.unlinked, name)
+// isLinkMissing reports whether there has been no link with an instance for some time. The overlay is locked. It does
+// not matter whether messages of the instance arrive through others: the records that it relays arrive only over a link
+// of its own.
+func (o *overlay) isLinkMissing(now time.Time, name string) bool {
+	if o.linkCounts[name] > 0 {
+		delete(o.missingSince, name)
 		return false
 	}
-	since, found := o.unlinked[name]
+	since, found := o.missingSince[name]
 	if !found {
-		o.unlinked[name] = now
+		o.missingSince[name] = now
 		return false
 	}
-	return now.Sub(since) > openAfter
+	return now.Sub(since) > openFallbackDelay
 }
 
-// keepPeerConnections drops the connections to instances that are gone.
-func (n *Node) keepPeerConnections() {
+// closeStalePeerConnections closes the connections to instances that are gone.
+func (n *Node) closeStalePeerConnections() {
 	n.overlay.mutex.Lock()
 	addresses := make(map[string]bool, len(n.overlay.members))
-	for _, one := range n.overlay.members {
-		addresses[one.instance.Address] = true
+	for _, entry := range n.overlay.members {
+		addresses[entry.instance.Address] = true
 	}
 	n.overlay.mutex.Unlock()
 	n.peers.Keep(addresses)
 }
 
-// sought lists the members of which nothing is heard and that are this relay's to look for; the lock is held.
-func (o *overlay) sought(now time.Time, self string, members []roster.Instance, topology gossip.Topology) (list []roster.Instance) {
-	for _, one := range members {
-		silent := now.Sub(o.table.LastHeard(one.Name)) > seekAfter && now.Sub(o.members[one.Name].since) > seekAfter
-		if one.Name != self && silent && !topology.IsRelay(one.Name) && topology.Sought(self, one.Name) {
-			list = append(list, one)
+// silentMembers lists the silent members that this relay has to contact. The caller holds the lock.
+func (o *overlay) silentMembers(now time.Time, self string, members []roster.Instance, topology gossip.Topology) (list []roster.Instance) {
+	for _, instance := range members {
+		silent := now.Sub(o.table.LastHeard(instance.Name)) > probeSilentAfter && now.Sub(o.members[instance.Name].firstSeen) > probeSilentAfter
+		if instance.Name != self && silent && !topology.IsRelay(instance.Name) && topology.Sought(self, instance.Name) {
+			list = append(list, instance)
 		}
 	}
 	return list
 }
 
-// close ends an opener; the lock is held.
-func (p *opener) close(o *overlay) {
+// close stops an opener. The caller holds the lock.
+func (p *linkOpener) close(o *overlay) {
 	p.stop()
-	delete(o.opened, p.instance.Name)
+	delete(o.openers, p.instance.Name)
 }
 
-func (n *Node) open(ctx context.Context, now time.Time, instance roster.Instance, attached bool) {
+func (n *Node) openLink(ctx context.Context, now time.Time, instance roster.Instance, attached bool) {
 	ctx, cancel := context.WithCancel(ctx)
-	one := &opener{node: n, instance: instance, attached: attached, wanted: now, stop: cancel}
-	n.overlay.opened[instance.Name] = one
-	go one.run(ctx)
+	opener := &linkOpener{node: n, instance: instance, attached: attached, lastWanted: now, stop: cancel}
+	n.overlay.openers[instance.Name] = opener
+	go opener.run(ctx)
 }
 
-func (o *overlay) setFailed(now time.Time, name string) {
+func (o *overlay) recordLinkFailure(now time.Time, name string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.failed[name] = now
+	o.linkFailures[name] = now
 }
 
-// logLives logs who was heard again or fell silent.
-func (n *Node) logLives() {
-	heard, silent := n.overlay.changesOfLife(time.Now())
-	for _, name := range heard {
+// logLiveness logs which peers became alive or silent.
+func (n *Node) logLiveness() {
+	alive, silent := n.overlay.livenessChanges(time.Now())
+	for _, name := range alive {
 		n.Log.Info().Str("Peer", name).Msg("PeerHeard")
 	}
 	for _, name := range silent {
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -1,5 +1,5 @@
-// Package node is an entry instance on the platform: it joins the deciding packages with the store, the
-// other instances, the upstreams and the callers. Each duty is a goroutine of its own.
+// Package node runs an entry instance: it connects the packages that make decisions with the store, the other
+// instances, the upstreams and the callers. Each task runs in its own goroutine.
 package node
 
 import (
@@ -35,17 +35,17 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// Decoder maps the store's items to what they declare.
+// Decoder maps the items of the store to what they declare.
 type Decoder interface {
-	// Decode gives the fact that an item declares, or nil if the key declares nothing.
+	// Decode returns the fact that an item declares, or nil if the key declares nothing.
 	Decode(key string, value []byte) (traffic.Fact, error)
-	// UpstreamID tells which upstream a key belongs to.
+	// UpstreamID returns the upstream that a key belongs to.
 	UpstreamID(key string) (id string, ok bool)
-	// EvacuatedDataCentre gives the data centre that a key evacuates as long as it is there, whatever its value.
+	// EvacuatedDataCentre returns the data centre that a key evacuates while the key exists, whatever its value.
 	EvacuatedDataCentre(key string) (dataCentre string, ok bool)
 }
 
-// Orders gives orders to upstreams.
+// Orders sends orders to upstreams.
 type Orders interface {
 	Order(
 		ctx context.Context, upstream traffic.Upstream, holder string, fence int64, order residence.Order,
@@ -62,34 +62,37 @@
 	Orders    Orders
 	ReadyPath string
 	Log       zerolog.Logger
-	// Dropped tells how many log events were left out since it was last asked.
+	// Dropped returns the number of log events that were dropped since the previous call.
 	Dropped func() int
-	// Reread reads the settings again, and Apply hands changed ones to what the node does not own.
+	// Reread reads the settings again.
 	Reread func() (Settings, error)
-	Apply  func(Settings)
+	// Apply passes changed settings to components that the node does not own.
+	Apply func(Settings)
 
 	// current is Settings as of the last reload.
-	current   atomic.Pointer[Settings]
-	losses    chan loss
-	began     time.Time
-	self      roster.Instance
-	knowledge knowledge
-	advice    *serve.Advice
-	peers     *mesh.Peers
-	overlay   overlay
-	refreshed refresh
-	reports   reports
-	lease     lease
-	holdings  holdings
-	forward   *forward.Client
-	// upstreamChanges is as of when connections to upstreams were last dropped; only runTicks uses it.
+	current         atomic.Pointer[Settings]
+	brokenResponses chan brokenResponse
+	startedAt       time.Time
+	self            roster.Instance
+	view            storeView
+	advice          *serve.Advice
+	peers           *mesh.Peers
+	overlay         overlay
+	refreshed       refresh
+	reports         reports
+	lease           lease
+	heldUpstreams   heldUpstreams
+	forward         *forward.Client
+	// upstreamChanges is the count of upstream changes when stale connections were last closed. Only runPeriodic uses
+	// it.
 	upstreamChanges int
 
 	scope    tally.Scope
 	stopping atomic.Bool
-	// storeUnreachable: the last read of the store failed; storeFailed is when one last did, in Unix nanoseconds.
+	// storeUnreachable: the last read of the store failed. storeFailedAt is the time of the last failed read, in Unix
+	// nanoseconds.
 	storeUnreachable atomic.Bool
-	storeFailed      atomic.Int64
+	storeFailedAt    atomic.Int64
 
 	handler    *serve.Handler
 	callers    *http.Server
@@ -104,7 +107,7 @@
 	callers, ready, metrics, mesh net.Listener
 }
 
-// Run serves until the context ends, and then stops without cutting a request.
+// Run serves until the context ends, and then drains: it lets running requests finish before it returns.
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "node") }()
 	if err := n.listen(ctx); err != nil {
@@ -118,7 +121,7 @@
 		Stringer("ReadyAddress", n.listeners.ready.Addr()).
 		Stringer("MetricsAddress", n.listeners.metrics.Addr()).
 		Str("PeerAddress", n.self.Address).Msg("Started")
-	err = n.runDuties(ctx)
+	err = n.runTasks(ctx)
 	n.Log.Info().Err(err).Msg("Stopped")
 	return err
 }
@@ -126,7 +129,7 @@
 func (n *Node) listen(ctx context.Context) (err error) {
 	config := socket.ListenConfig()
 	addresses := n.Settings.Instance
-	for _, door := range []struct {
+	for _, endpoint := range []struct {
 		address  string
 		listener *net.Listener
 	}{
@@ -135,16 +138,16 @@
 		{addresses.MetricsAddress, &n.listeners.metrics},
 		{addresses.PeerAddress, &n.listeners.mesh},
 	} {
-		if *door.listener, err = config.Listen(ctx, "tcp", door.address); err != nil {
+		if *endpoint.listener, err = config.Listen(ctx, "tcp", endpoint.address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// assemble makes the parts and joins them.
+// assemble creates the components and connects them.
 func (n *Node) assemble() {
-	n.began = time.Now()
+	n.startedAt = time.Now()
 	n.self = roster.Instance{
 		Name:        n.Settings.Instance.Name,
 		Incarnation: uuid.NewString(),
@@ -156,12 +159,12 @@
 	n.closeScope = func() { _ = closer.Close() }
 	n.peers = &mesh.Peers{Links: link.Links{Credentials: insecure.NewCredentials()}}
 	n.forward = &forward.Client{Dialect: n.Dialect}
-	n.losses = make(chan loss, lossesKept)
+	n.brokenResponses = make(chan brokenResponse, maxBrokenResponses)
 	n.current.Store(&n.Settings)
-	n.knowledge.wake = make(chan struct{}, 1)
+	n.view.wake = make(chan struct{}, 1)
 	n.lease.suspended = timeSuspended
-	n.holdings = newHoldings()
-	n.overlay.prepare(n.self.Name)
+	n.heldUpstreams = newHeldUpstreams()
+	n.overlay.initialise(n.self.Name)
 	n.assembleAdvice()
 	n.handler = &serve.Handler{
 		Dialect: n.Dialect, Fleet: n, Forward: n.forward, Advice: n.advice, Log: n.Log, Scope: scope,
@@ -191,55 +194,55 @@
 	}
 }
 
-// retryBudgets is this instance's part of the fleet's retries.
+// retryBudgets returns the share of this instance in the retry budget of the fleet.
 func retryBudgets(settings RetrySettings) *retry.Budgets {
 	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, Most: settings.Slack / roster.Parts(0)}
 }
 
-// retryRatioUsed leaves a part of the fleet's retries for requests that are counted at another instance or in
+// retryRatioUsed leaves a part of the retry budget of the fleet for requests that are counted at another instance or in
 // another window than their retries.
 const retryRatioUsed = 0.8
 
-// runDuties runs one goroutine for each duty until the first ends; in a planned stop that is stop.
-func (n *Node) runDuties(ctx context.Context) error {
-	working, cancel := context.WithCancel(context.Background())
+// runTasks runs each task in a goroutine until the first one ends. In a planned stop that is runStop.
+func (n *Node) runTasks(ctx context.Context) error {
+	tasksCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group run.Group
-	add := func(duty func(context.Context) error) {
-		group.Add(func() error { return duty(working) }, func(error) { cancel() })
+	add := func(task func(context.Context) error) {
+		group.Add(func() error { return task(tasksCtx) }, func(error) { cancel() })
 	}
-	add(n.runReading)
+	add(n.runStoreReading)
 	add(n.runLease)
 	add(n.runGossip)
 	add(n.runReports)
-	add(n.runHoldings)
-	add(n.runTicks)
+	add(n.runOwnership)
+	add(n.runPeriodic)
 	add(n.runReload)
-	add(n.runLosses)
+	add(n.runCrashDetection)
 	group.Add(func() error { return n.mesh.Serve(n.listeners.mesh) }, func(error) { n.mesh.Stop() })
-	group.Add(func() error { return serving(n.ready, n.listeners.ready) }, func(error) { _ = n.ready.Close() })
-	group.Add(func() error { return serving(n.metrics, n.listeners.metrics) }, func(error) { _ = n.metrics.Close() })
-	add(func(working context.Context) error {
-		err := serving(n.callers, n.listeners.callers)
+	group.Add(func() error { return serveUntilClosed(n.ready, n.listeners.ready) }, func(error) { _ = n.ready.Close() })
+	group.Add(func() error { return serveUntilClosed(n.metrics, n.listeners.metrics) }, func(error) { _ = n.metrics.Close() })
+	add(func(tasksCtx context.Context) error {
+		err := serveUntilClosed(n.callers, n.listeners.callers)
 		if n.stopping.Load() {
-			<-working.Done()
+			<-tasksCtx.Done()
 		}
 		return err
 	})
-	add(func(working context.Context) error { return n.runStop(ctx, working) })
+	add(func(tasksCtx context.Context) error { return n.runStop(ctx, tasksCtx) })
 	err := group.Run()
 	n.peers.Close()
 	return err
 }
 
-func serving(server *http.Server, listener net.Listener) error {
+func serveUntilClosed(server *http.Server, listener net.Listener) error {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// serveReady tells the balancer whether to send callers here.
+// serveReady responds to the readiness check of the load balancer.
 func (n *Node) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != n.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
@@ -253,33 +256,33 @@
 }
 
 const (
-	// leaveAfter is how long callers still come after the balancer was told that the instance leaves: it
-	// asks every second and believes the second answer.
-	leaveAfter = 2600 * time.Millisecond
-	// idleLinger is the pause between the end of the last request and the end of the process, for
-	// answers that are still on their way.
-	idleLinger = 100 * time.Millisecond
+	// readinessDelay is how long callers still arrive after the readiness check starts to fail: the balancer checks
+	// every second and acts on the second response.
+	readinessDelay = 2600 * time.Millisecond
+	// responseFlushDelay is the pause between the end of the last request and the end of the process, for responses
+	// that are still in transit.
+	responseFlushDelay = 100 * time.Millisecond
 )
 
-// runStop waits for the order to stop, and then stops without cutting a request: the balancer is told,
-// callers are served until it has understood, what is held is given away, and running requests end.
-func (n *Node) runStop(ordered, working context.Context) error {
+// runStop waits for the stop signal and then drains the instance. The readiness check fails, callers are served until
+// the balancer has reacted, the held upstreams are released, and running requests finish.
+func (n *Node) runStop(stopRequested, tasksCtx context.Context) error {
 	select {
-	case <-ordered.Done():
-	case <-working.Done():
+	case <-stopRequested.Done():
+	case <-tasksCtx.Done():
 		return nil
 	}
-	began := time.Now()
+	start := time.Now()
 	n.stopping.Store(true)
 	n.Log.Info().Msg("Stopping")
 	n.handler.Leave()
-	n.endLease()
-	pause.For(working, leaveAfter-time.Since(began))
+	n.revokeLease()
+	pause.For(tasksCtx, readinessDelay-time.Since(start))
 	n.handler.Close()
-	closing, cancel := context.WithDeadline(context.Background(), began.Add(n.current.Load().Callers.StopWithin))
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), start.Add(n.current.Load().Callers.StopWithin))
 	defer cancel()
-	err := n.callers.Shutdown(closing)
-	pause.For(working, idleLinger)
+	err := n.callers.Shutdown(shutdownCtx)
+	pause.For(tasksCtx, responseFlushDelay)
 	if err != nil {
 		n.Log.Warn().Err(err).Msg("StoppedWithRequestsRunning")
 	}
--- a/internal/entry/node/order_permission.go
+++ b/internal/entry/node/order_permission.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// order_right.go tells when the holder of an upstream may order there. Where upstreams check fences they refuse
-// orders of all but the latest holder, and a holder need not be certain. Where they do not, two holders would undo
-// each other's loads and evictions, and overfill the upstream, so at most one may order at any time, whatever
-// freezes, is slow or loses answers meanwhile.
+// order_permission.go decides when the holder of an upstream may send orders. Upstreams that check fences refuse the
+// orders of all but the latest holder, so a holder need not be certain that it is the latest. Where upstreams do not
+// check fences, two holders would undo the loads and evictions of each other and overfill the upstream. There at most
+// one instance may send orders at any time, even if instances freeze, are slow or lose responses.
 
-// orderMargin is the part of a lease in which nothing is ordered any more: an order that is under way when the lease
-// ends, with its timeout and packets that are sent again, must not arrive after the next holder's first.
+// orderMargin is the last part of a lease, in which no orders are sent. An order that is in progress when the lease
+// ends, including its timeout and retransmitted packets, must not arrive after the first order of the next holder.
 const orderMargin = 500 * time.Millisecond
 
-// mayOrder tells whether this instance still is the holder as far as it can know.
+// mayOrder reports whether this instance is still the holder, as far as it can determine.
 //
-// Where upstreams check fences a holder whose lease has run out in an outage of the store goes on: nobody else can
-// be holder meanwhile, and its orders are refused as soon as somebody is. Elsewhere it stops with the lease that its
-// key is bound to. An instance that was frozen finds its lease ended and gets a new one at once, some time before it
-// learns that others hold what it held: the new lease gives no right to that.
-func (h *holding) mayOrder(now time.Time) bool {
+// Where upstreams check fences, a holder whose lease expired in an outage of the store continues: no other instance can
+// become holder during the outage, and as soon as one does, the upstream refuses the orders of the old holder.
+// Elsewhere the holder stops when the lease that its key is bound to expires. An instance that was frozen finds its
+// lease expired and acquires a new one immediately, some time before it learns that other instances hold its former
+// upstreams. The new lease does not permit orders to those.
+func (h *heldUpstream) mayOrder(now time.Time) bool {
 	if h.node.current.Load().Upstreams.FencesChecked {
 		return true
 	}
 	lease, ok := h.node.lease.current(now.Add(orderMargin))
-	return ok && lease == h.lease && !now.Before(h.ordersFrom)
+	return ok && lease == h.lease && !now.Before(h.mayOrderFrom)
 }
 
-// mayReplace tells whether a holder may be replaced before its lease ends. It may still order until then.
-func (n *Node) mayReplace() bool { return n.current.Load().Upstreams.FencesChecked }
+// mayReplaceEarly reports whether a holder may be replaced before its lease expires. It may still send orders until
+// then.
+func (n *Node) mayReplaceEarly() bool { return n.current.Load().Upstreams.FencesChecked }
 
-// ordersFrom is when this instance may order at an upstream again that it lost.
+// mayOrderFrom returns the earliest time at which this instance may again send orders to an upstream that it lost.
 //
-// Made for instances that restart one after the other: an upstream that goes from one instance to the next and back
-// within a few seconds may get orders of the first that were given before the second's, late.
-func (n *Node) ordersFrom(upstream string) time.Time {
-	if n.mayReplace() {
+// It covers instances that restart one after the other. An upstream may pass to another instance and back within a few
+// seconds. A delayed order of the first instance, sent before the orders of the second, could then still arrive.
+func (n *Node) mayOrderFrom(upstream string) time.Time {
+	if n.mayReplaceEarly() {
 		return time.Time{}
 	}
-	n.holdings.mutex.Lock()
-	defer n.holdings.mutex.Unlock()
-	ordered, found := n.holdings.ordered[upstream]
+	n.heldUpstreams.mutex.Lock()
+	defer n.heldUpstreams.mutex.Unlock()
+	lastOrder, found := n.heldUpstreams.lastOrders[upstream]
 	if !found {
 		return time.Time{}
 	}
-	return ordered.Add(n.current.Load().Upstreams.ReturnAfter)
+	return lastOrder.Add(n.current.Load().Upstreams.ReturnAfter)
 }
 
-// noteOrder takes note that an order is given.
-func (h *holdings) noteOrder(upstream string, now time.Time) {
+// recordOrder records that an order is sent.
+func (h *heldUpstreams) recordOrder(upstream string, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.ordered[upstream] = now
+	h.lastOrders[upstream] = now
 }
--- a/internal/entry/node/overlay.go
+++ b/internal/entry/node/overlay.go
@@ -11,153 +11,155 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/roster"
 )
 
-// overlay.go is what this instance knows of the others by its links: who is alive, who reaches the store, and which
-// instances a link may be opened to.
+// overlay.go tracks the other instances through the gossip links: which are alive, which reach the store, and which a
+// link may be opened to.
 
 const (
-	// stateEvery is how often an instance refreshes its state while there are at most peersAtFullPace others. With
-	// more of them it does so less often, so that what an instance receives does not grow with the fleet.
-	stateEvery      = 250 * time.Millisecond
-	peersAtFullPace = 10
-	// linkedAlive is how long an instance counts as alive after it was last heard over a link of its own, and
-	// relayedAlive the same where relays are between, which may have to be replaced.
-	linkedAlive  = time.Second
-	relayedAlive = 3 * time.Second
-	// keepPeer is how long an instance that left the roster is still linked: entries lapse while the store is
-	// unreachable, and the instances need each other most then.
-	keepPeer = 20 * time.Second
-	// membersEvery is how often the members are gone through while the roster does not change.
-	membersEvery = time.Second
-	// unreachableFor is how long an instance to which a link failed is avoided where another one would do.
-	unreachableFor = 2 * time.Second
+	// baseStateInterval is how often an instance refreshes its state while there are at most peersAtBaseInterval
+	// others. With more of them the interval grows, so that the traffic that an instance receives does not grow with
+	// the fleet.
+	baseStateInterval   = 250 * time.Millisecond
+	peersAtBaseInterval = 10
+	// linkedTimeout is how long an instance counts as alive after its last message over a direct link. relayedTimeout
+	// is the same for an instance whose messages arrive through relays, which may have to be replaced.
+	linkedTimeout  = time.Second
+	relayedTimeout = 3 * time.Second
+	// memberRetention is how long links to an instance that left the roster are kept. Roster entries expire while the
+	// store is unreachable, and that is when the instances depend on each other most.
+	memberRetention = 20 * time.Second
+	// membersInterval is how often the members are updated while the roster does not change.
+	membersInterval = time.Second
+	// failedLinkAvoidance is how long an instance to which a link failed is avoided if another instance can be used.
+	failedLinkAvoidance = 2 * time.Second
 )
 
-// overlay is safe for use by several goroutines.
+// overlay is safe for concurrent use.
 type overlay struct {
 	mutex sync.Mutex
 	table gossip.Table
-	// ends are the open links, linked counts them by the names of the others, and opened are those that this instance
-	// opens.
-	ends   map[*linkEnd]bool
-	linked map[string]int
-	opened map[string]*opener
-	// members are the instances that the roster shows or showed lately, and those that have opened a link though it
-	// does not: an instance that the store turns away right after its start knows the others only so.
+	// linkEnds are the open links, linkCounts counts them by the name of the peer, and openers are those that this
+	// instance opens.
+	linkEnds   map[*linkEnd]bool
+	linkCounts map[string]int
+	openers    map[string]*linkOpener
+	// members are the instances that are or recently were in the roster, and those that opened a link without being in
+	// it. An instance that the store refuses right after its start learns of the others only through such links.
 	members map[string]member
-	// membersSet is when they were gone through by the roster's list.
-	membersSet time.Time
-	roster     []roster.Instance
-	// topology is that of the members, valid while they are unchanged.
-	topology gossip.Topology
-	listed   []roster.Instance
-	failed   map[string]time.Time
-	// unlinked is since when a link that is the other end's to open is missing.
-	unlinked map[string]time.Time
-	// storeFailed is when an instance last said that it does not reach the store, storeUnreachable whether it still
-	// does.
-	storeFailed      map[string]time.Time
+	// membersUpdated is when members was last updated from the roster.
+	membersUpdated time.Time
+	roster         []roster.Instance
+	// topology is the topology of the members, valid while they are unchanged.
+	topology     gossip.Topology
+	memberList   []roster.Instance
+	linkFailures map[string]time.Time
+	// missingSince is the time since which a link that the other end has to open has been missing.
+	missingSince map[string]time.Time
+	// storeFailedAt is when an instance last reported that it cannot reach the store. storeUnreachable is whether its
+	// latest report says so.
+	storeFailedAt    map[string]time.Time
 	storeUnreachable map[string]bool
-	// readersChanged: somebody has lost or regained the store since the order of the readers was last found out.
+	// readersChanged: an instance has lost or regained the store since the reader ranks were last computed.
 	readersChanged atomic.Bool
-	// alive are those that were when they were last looked at.
-	alive map[string]bool
-	// urged asks for what was admitted lately to be passed on at once, and with urgentState for the whole state.
-	urged       chan struct{}
-	urgentState atomic.Bool
-	// spent is the version of the part by which it was last known what an instance has admitted.
-	spent map[string]int64
-	// fetched is when changes that are no news were last fetched.
-	fetched time.Time
+	// wasAlive is the liveness of the instances at the last check.
+	wasAlive map[string]bool
+	// sendRequested requests an immediate send of the recently admitted usage. With stateSendRequested, the whole state
+	// is sent.
+	sendRequested      chan struct{}
+	stateSendRequested atomic.Bool
+	// spentVersions is the version of the latest record of admitted usage that was received from each instance.
+	spentVersions map[string]int64
+	// lastFetch is when non-urgent changes were last fetched.
+	lastFetch time.Time
 	// catchingUp counts the instances from which changes are being fetched.
 	catchingUp atomic.Int32
 }
 
 // member is an instance, and when it was first and last in the roster or opened a link.
 type member struct {
-	instance roster.Instance
-	since    time.Time
-	seen     time.Time
+	instance  roster.Instance
+	firstSeen time.Time
+	lastSeen  time.Time
 }
 
-func (o *overlay) prepare(self string) {
+func (o *overlay) initialise(self string) {
 	o.table.Self = self
-	// Versions rise over restarts, as far as the clock does.
+	// The clock makes versions increase over restarts, provided that the clock does not go back.
 	o.table.Version = time.Now().UnixMicro()
-	o.ends = make(map[*linkEnd]bool)
-	o.linked = make(map[string]int)
-	o.opened = make(map[string]*opener)
+	o.linkEnds = make(map[*linkEnd]bool)
+	o.linkCounts = make(map[string]int)
+	o.openers = make(map[string]*linkOpener)
 	o.members = make(map[string]member)
-	o.failed = make(map[string]time.Time)
-	o.unlinked = make(map[string]time.Time)
-	o.storeFailed = make(map[string]time.Time)
+	o.linkFailures = make(map[string]time.Time)
+	o.missingSince = make(map[string]time.Time)
+	o.storeFailedAt = make(map[string]time.Time)
 	o.storeUnreachable = make(map[string]bool)
-	o.alive = make(map[string]bool)
-	o.spent = make(map[string]int64)
-	o.urged = make(chan struct{}, 1)
+	o.wasAlive = make(map[string]bool)
+	o.spentVersions = make(map[string]int64)
+	o.sendRequested = make(chan struct{}, 1)
 }
 
-// setMembers takes over who is in the roster now, and drops those that left it long ago.
+// setMembers updates the members from the roster, and removes those that left it long ago.
 func (o *overlay) setMembers(now time.Time, instances []roster.Instance) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if now.Sub(o.membersSet) < membersEvery && isSameList(instances, o.roster) {
+	if now.Sub(o.membersUpdated) < membersInterval && isSameList(instances, o.roster) {
 		return
 	}
-	o.membersSet = now
+	o.membersUpdated = now
 	o.roster = instances
 	for _, instance := range instances {
 		known, found := o.members[instance.Name]
 		if !found {
-			known.since = now
+			known.firstSeen = now
 		}
 		if known.instance != instance {
-			o.listed = nil
+			o.memberList = nil
 		}
-		o.members[instance.Name] = member{instance: instance, since: known.since, seen: now}
+		o.members[instance.Name] = member{instance: instance, firstSeen: known.firstSeen, lastSeen: now}
 	}
-	for name, one := range o.members {
-		if now.Sub(one.seen) > keepPeer && now.Sub(o.table.LastHeard(name)) > keepPeer {
+	for name, entry := range o.members {
+		if now.Sub(entry.lastSeen) > memberRetention && now.Sub(o.table.LastHeard(name)) > memberRetention {
 			delete(o.members, name)
-			o.listed = nil
+			o.memberList = nil
 		}
 	}
-	o.table.Forget(now.Add(-keepPeer))
+	o.table.Forget(now.Add(-memberRetention))
 }
 
-// addCaller takes note of an instance that has opened a link. What the roster says of it goes before that.
-func (o *overlay) addCaller(now time.Time, caller roster.Instance) {
+// addLinkOpener adds an instance that opened a link. The information of the roster takes precedence.
+func (o *overlay) addLinkOpener(now time.Time, caller roster.Instance) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	known, found := o.members[caller.Name]
-	if found && (known.instance.Address == caller.Address || now.Sub(known.seen) < time.Second) {
+	if found && (known.instance.Address == caller.Address || now.Sub(known.lastSeen) < time.Second) {
 		return
 	}
 	caller.DataCentre = known.instance.DataCentre
-	o.members[caller.Name] = member{instance: caller, since: now, seen: now}
-	o.listed = nil
+	o.members[caller.Name] = member{instance: caller, firstSeen: now, lastSeen: now}
+	o.memberList = nil
 }
 
-// list gives all members and their topology; the lock is held.
-func (o *overlay) list() ([]roster.Instance, gossip.Topology) {
-	if o.listed == nil {
-		for _, one := range o.members {
-			o.listed = append(o.listed, one.instance)
+// membersAndTopology returns all members and their topology. The caller holds the lock.
+func (o *overlay) membersAndTopology() ([]roster.Instance, gossip.Topology) {
+	if o.memberList == nil {
+		for _, entry := range o.members {
+			o.memberList = append(o.memberList, entry.instance)
 		}
-		slices.SortFunc(o.listed, func(a, b roster.Instance) int { return strings.Compare(a.Name, b.Name) })
-		o.topology = gossip.NewTopology(o.listed)
+		slices.SortFunc(o.memberList, func(a, b roster.Instance) int { return strings.Compare(a.Name, b.Name) })
+		o.topology = gossip.NewTopology(o.memberList)
 	}
-	return o.listed, o.topology
+	return o.memberList, o.topology
 }
 
-// peerCount is how many other instances there are.
+// peerCount returns the number of other instances.
 func (o *overlay) peerCount() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.others()
+	return o.peerCountLocked()
 }
 
-// others is peerCount where the lock is held.
-func (o *overlay) others() int {
+// peerCountLocked is peerCount for callers that hold the lock.
+func (o *overlay) peerCountLocked() int {
 	count := len(o.members)
 	if _, found := o.members[o.table.Self]; found {
 		count--
@@ -165,48 +167,48 @@
 	return count
 }
 
-// statePace is how often each instance refreshes its state, for a number of others.
-func statePace(others int) time.Duration {
-	return stateEvery * time.Duration(max(others, peersAtFullPace)) / peersAtFullPace
+// stateInterval returns how often each instance refreshes its state, for a number of others.
+func stateInterval(others int) time.Duration {
+	return baseStateInterval * time.Duration(max(others, peersAtBaseInterval)) / peersAtBaseInterval
 }
 
-// pace is how often each instance refreshes its state now.
-func (o *overlay) pace() time.Duration { return statePace(o.peerCount()) }
+// currentStateInterval returns how often each instance currently refreshes its state.
+func (o *overlay) currentStateInterval() time.Duration { return stateInterval(o.peerCount()) }
 
-// heard takes note that an instance was alive at a moment.
-func (o *overlay) heard(name string, at time.Time) {
+// recordContact records that an instance was alive at the given time.
+func (o *overlay) recordContact(name string, at time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.table.Heard(name, at)
 }
 
-// isAlive tells whether an instance was heard lately.
+// isAlive reports whether a message of an instance was received recently.
 func (o *overlay) isAlive(now time.Time, name string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.lives(now, name)
+	return o.isAliveLocked(now, name)
 }
 
-// lives is isAlive where the lock is held.
-func (o *overlay) lives(now time.Time, name string) bool {
+// isAliveLocked is isAlive for callers that hold the lock.
+func (o *overlay) isAliveLocked(now time.Time, name string) bool {
 	at := o.table.LastHeard(name)
 	if at.IsZero() {
 		return false
 	}
-	if o.opened[name] != nil || o.linked[name] > 0 {
-		return now.Sub(at) <= linkedAlive
+	if o.openers[name] != nil || o.linkCounts[name] > 0 {
+		return now.Sub(at) <= linkedTimeout
 	}
-	return now.Sub(at) <= relayedAlive
+	return now.Sub(at) <= relayedTimeout
 }
 
-// reads tells whether an instance can be left to read the store for all.
-func (o *overlay) reads(now time.Time, name string) bool {
+// canReadStore reports whether an instance can be relied on to read the store for all.
+func (o *overlay) canReadStore(now time.Time, name string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return !o.storeUnreachable[name] && o.lives(now, name)
+	return !o.storeUnreachable[name] && o.isAliveLocked(now, name)
 }
 
-// setStoreUnreachable takes note of whether an instance says that it does not reach the store.
+// setStoreUnreachable records whether an instance reports that it cannot reach the store.
 func (o *overlay) setStoreUnreachable(now time.Time, name string, unreachable bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -215,100 +217,100 @@
 	}
 	o.storeUnreachable[name] = unreachable
 	if unreachable {
-		o.storeFailed[name] = now
+		o.storeFailedAt[name] = now
 	}
 }
 
-// storeFailedSince counts the instances that have said since a moment that they do not reach the store, of those
-// that were heard since.
-func (o *overlay) storeFailedSince(since time.Time) (failed, heard int) {
+// storeFailedSince counts the instances that have reported since the given time that they cannot reach the store, and
+// all instances from which a message has arrived since then.
+func (o *overlay) storeFailedSince(since time.Time) (failed, reachable int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.table.Each(func(name string, at time.Time) {
 		if at.Before(since) {
 			return
 		}
-		heard++
-		if !o.storeFailed[name].Before(since) {
+		reachable++
+		if !o.storeFailedAt[name].Before(since) {
 			failed++
 		}
 	})
-	return failed, heard
+	return failed, reachable
 }
 
-// noteSpent takes note of a part that shows what an instance has admitted, and tells whether no newer one was seen.
-// Parts may overtake each other on the way through a relay.
-func (o *overlay) noteSpent(record gossip.Record) (newest bool) {
+// recordSpentVersion records the version of a record of admitted usage, and reports whether it is the newest one
+// received. Records that pass through different relays may arrive out of order.
+func (o *overlay) recordSpentVersion(record gossip.Record) (newest bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	newest = record.Version > o.spent[record.Instance]
+	newest = record.Version > o.spentVersions[record.Instance]
 	if newest {
-		o.spent[record.Instance] = record.Version
+		o.spentVersions[record.Instance] = record.Version
 	}
 	return newest
 }
 
-// changesOfLife lists the instances that were heard again, or fell silent, since this was last asked.
-func (o *overlay) changesOfLife(now time.Time) (heard, silent []string) {
+// livenessChanges lists the instances that became alive or silent since the last call.
+func (o *overlay) livenessChanges(now time.Time) (alive, silent []string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.table.Each(func(name string, _ time.Time) {
-		lives := o.lives(now, name)
+		live := o.isAliveLocked(now, name)
 		switch {
-		case lives && !o.alive[name]:
-			heard = append(heard, name)
-		case !lives && o.alive[name]:
+		case live && !o.wasAlive[name]:
+			alive = append(alive, name)
+		case !live && o.wasAlive[name]:
 			silent = append(silent, name)
 		}
-		o.alive[name] = lives
+		o.wasAlive[name] = live
 	})
-	return heard, silent
+	return alive, silent
 }
 
-// urge has the own state passed on at once.
-func (o *overlay) urge() {
-	o.urgentState.Store(true)
-	o.urgeSpent()
+// requestStateSend requests an immediate send of the state of this instance.
+func (o *overlay) requestStateSend() {
+	o.stateSendRequested.Store(true)
+	o.requestSpentSend()
 }
 
-// urgeSpent has what was admitted lately passed on at once.
-func (o *overlay) urgeSpent() {
+// requestSpentSend requests an immediate send of the recently admitted usage.
+func (o *overlay) requestSpentSend() {
 	select {
-	case o.urged <- struct{}{}:
-	default: // it is about to be
+	case o.sendRequested <- struct{}{}:
+	default: // a send is already pending
 	}
 }
 
-// wake has something sent over all links: soon, or, as a beat, right now.
-func (o *overlay) wake(beat bool) {
+// requestMessages schedules a message on all links: after the batch delay, or immediately as a heartbeat.
+func (o *overlay) requestMessages(heartbeat bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for end := range o.ends {
-		end.signal(beat)
+	for end := range o.linkEnds {
+		end.requestMessage(heartbeat)
 	}
 }
 
-// catchUpsAtOnce is from how many instances changes are fetched at the same time: several show one revision at
-// once, and its changes are needed once. The second is for an instance that falls silent.
-const catchUpsAtOnce = 2
+// maxCatchUps bounds the concurrent fetches. Several peers announce the same revision at the same time, and its changes
+// are needed once. The second fetch is for the case that the first peer stops responding.
+const maxCatchUps = 2
 
-// fetchEvery is how often changes are fetched that are no news.
-const fetchEvery = 2 * time.Second
+// fetchInterval is how often non-urgent changes are fetched.
+const fetchInterval = 2 * time.Second
 
-// isFetchDue tells whether changes that are no news are to be fetched, and takes it that they will.
+// isFetchDue reports whether non-urgent changes are due to be fetched, and assumes that the caller fetches them.
 func (o *overlay) isFetchDue(now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if now.Sub(o.fetched) < fetchEvery {
+	if now.Sub(o.lastFetch) < fetchInterval {
 		return false
 	}
-	o.fetched = now
+	o.lastFetch = now
 	return true
 }
 
-// beginCatchUp tells whether changes may be fetched from one more instance; if not, a later message asks again.
+// beginCatchUp reports whether one more fetch may start. If not, a later message triggers it again.
 func (o *overlay) beginCatchUp() bool {
-	if o.catchingUp.Add(1) <= catchUpsAtOnce {
+	if o.catchingUp.Add(1) <= maxCatchUps {
 		return true
 	}
 	o.catchingUp.Add(-1)
@@ -317,19 +319,19 @@
 
 func (o *overlay) endCatchUp() { o.catchingUp.Add(-1) }
 
-func (o *overlay) add(end *linkEnd) {
+func (o *overlay) addLink(end *linkEnd) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.ends[end] = true
-	o.linked[end.peer]++
+	o.linkEnds[end] = true
+	o.linkCounts[end.peer]++
 }
 
-func (o *overlay) remove(end *linkEnd) {
+func (o *overlay) removeLink(end *linkEnd) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	delete(o.ends, end)
-	o.linked[end.peer]--
-	if o.linked[end.peer] == 0 {
-		delete(o.linked, end.peer)
+	delete(o.linkEnds, end)
+	o.linkCounts[end.peer]--
+	if o.linkCounts[end.peer] == 0 {
+		delete(o.linkCounts, end.peer)
 	}
 }
--- a/internal/entry/node/periodic.go
+++ b/internal/entry/node/periodic.go
@@ -9,28 +9,28 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// ticks.go does what only time brings about.
+// periodic.go runs the tasks that are triggered by time alone.
 
 const (
-	// tick is how often duties without an event of their own are looked at.
-	tick = 200 * time.Millisecond
-	// silentBeats is how many heartbeats of a peer may be missing until its part of the rates is reserved.
-	silentBeats = 3
-	// peersEvery is how often the ledger's peers are gone through while the roster does not change.
-	peersEvery = time.Second
-	// goneFor is how long an instance that left the roster keeps its part of the rates: it may be cut off
-	// from the store and the others, and still admit for its callers.
-	goneFor = 20 * time.Second
+	// tickInterval is how often tasks without an event of their own are run.
+	tickInterval = 200 * time.Millisecond
+	// missedHeartbeats is how many heartbeats of a peer may be missing before its share of the rates is reserved.
+	missedHeartbeats = 3
+	// ledgerPeersInterval is how often the peers of the ledger are updated while the roster does not change.
+	ledgerPeersInterval = time.Second
+	// shareRetention is how long an instance that left the roster keeps its share of the rates: it may be cut off from
+	// the store and the others, and still admit requests of its callers.
+	shareRetention = 20 * time.Second
 )
 
-// runTicks does what only time brings about.
-func (n *Node) runTicks(ctx context.Context) error {
-	for pause.For(ctx, tick) {
+// runPeriodic runs the tasks that are triggered by time alone.
+func (n *Node) runPeriodic(ctx context.Context) error {
+	for pause.For(ctx, tickInterval) {
 		now := time.Now()
-		n.forgetLapsed(now)
+		n.removeExpired(now)
 		n.setLedgerPeers(now)
-		n.keepConnections()
-		n.keepPeerConnections()
+		n.closeStaleUpstreamConnections()
+		n.closeStalePeerConnections()
 		n.scope.Gauge("confirmed_age_seconds").Update(n.ConfirmedAge().Seconds())
 		if dropped := n.Dropped(); dropped > 0 {
 			n.Log.Error().Int("Events", dropped).Msg("LogDropped")
@@ -39,49 +39,50 @@
 	return nil
 }
 
-// setLedgerPeers gives the ledger the other instances that may be admitting.
+// setLedgerPeers gives the ledger the other instances that may be admitting requests.
 func (n *Node) setLedgerPeers(now time.Time) {
-	k := &n.knowledge
-	k.mutex.Lock()
-	instances := k.roster.Instances()
-	if now.Sub(k.peersSet) < peersEvery && isSameList(instances, k.peers) {
-		k.mutex.Unlock()
+	v := &n.view
+	v.mutex.Lock()
+	instances := v.roster.Instances()
+	if now.Sub(v.ledgerPeersUpdated) < ledgerPeersInterval && isSameList(instances, v.ledgerRoster) {
+		v.mutex.Unlock()
 		return
 	}
-	k.peersSet = now
-	k.peers = instances
-	if k.gone == nil {
-		k.gone = make(map[string]time.Time)
+	v.ledgerPeersUpdated = now
+	v.ledgerRoster = instances
+	if v.ledgerPeers == nil {
+		v.ledgerPeers = make(map[string]time.Time)
 	}
 	for _, instance := range instances {
 		if instance.Name != n.self.Name {
-			k.gone[instance.Name] = now
+			v.ledgerPeers[instance.Name] = now
 		}
 	}
 	var names []string
-	for name, seen := range k.gone {
-		if now.Sub(seen) > goneFor {
-			delete(k.gone, name)
+	for name, seen := range v.ledgerPeers {
+		if now.Sub(seen) > shareRetention {
+			delete(v.ledgerPeers, name)
 			continue
 		}
 		names = append(names, name)
 	}
-	k.mutex.Unlock()
-	n.shareLimits(len(names))
-	silentAfter := silentBeats * n.overlay.pace()
+	v.mutex.Unlock()
+	n.setSharedLimits(len(names))
+	silentAfter := missedHeartbeats * n.overlay.currentStateInterval()
 	n.advice.With(func(a *serve.Advice) {
 		a.Ledger.SilentAfter = silentAfter
 		a.Ledger.SetPeers(now, names)
 	})
 }
 
-// isSameList reports whether two lists of the roster are one, which it gives as long as nothing changes.
+// isSameList reports whether two lists of the roster are the same slice. The roster returns the same slice as long as
+// nothing changes.
 func isSameList(a, b []roster.Instance) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// keepConnections drops the connections to upstreams that are gone.
-func (n *Node) keepConnections() {
+// closeStaleUpstreamConnections closes the connections to upstreams that are gone.
+func (n *Node) closeStaleUpstreamConnections() {
 	var names map[string]bool
 	n.advice.With(func(a *serve.Advice) { names, n.upstreamChanges = a.Pool.NamesSince(n.upstreamChanges) })
 	if names != nil {
--- a/internal/entry/node/prefill_queue.go
+++ b/internal/entry/node/prefill_queue.go
@@ -10,26 +10,28 @@
 	"lacewingrock.example/lacewingrock/internal/placement/turn"
 )
 
-// turns.go has the prompts that all instances send to an upstream take turns.
+// prefill_queue.go queues the prompts that all instances send to an upstream, so that their prefills run one after the
+// other.
 
-// takeTurn waits for a prompt's turn. It tells at once how long that would take if waiting is hopeless.
-func (h *holding) takeTurn(ctx context.Context, request mesh.PrepareRequest, worthUntil time.Time) (time.Duration, bool) {
+// awaitPrefillTurn waits until the prefill of a prompt may start. If the turn would come too late, it returns the
+// expected wait immediately.
+func (h *heldUpstream) awaitPrefillTurn(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) (time.Duration, bool) {
 	prompt := &turn.Prompt{
-		Tokens: request.Tokens, Priority: request.Priority, OnTimeUntil: worthUntil,
+		Tokens: request.Tokens, Priority: request.Priority, OnTimeUntil: deadline,
 	}
 	h.node.advice.With(func(a *serve.Advice) { prompt.Prefill = a.Pool.Prefill(h.upstream.ID, request.Tokens) })
-	h.join(prompt)
-	defer h.leave(prompt)
+	h.enqueuePrompt(prompt)
+	defer h.dequeuePrompt(prompt)
 	for {
 		now := time.Now()
-		wait, again, taken := h.askTurn(now, prompt)
+		wait, nextTry, taken := h.tryPrefillTurn(now, prompt)
 		if taken {
 			return 0, true
 		}
-		if again.IsZero() {
+		if nextTry.IsZero() {
 			return wait, false
 		}
-		timer := time.NewTimer(max(again.Sub(now), time.Millisecond))
+		timer := time.NewTimer(max(nextTry.Sub(now), time.Millisecond))
 		select {
 		case <-timer.C:
 		case <-h.ended:
@@ -42,34 +44,35 @@
 	}
 }
 
-func (h *holding) join(prompt *turn.Prompt) {
+func (h *heldUpstream) enqueuePrompt(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.line.Join(time.Now(), prompt)
-	tokens := h.line.Tokens()
+	h.prefillQueue.Join(time.Now(), prompt)
+	tokens := h.prefillQueue.Tokens()
 	h.mutex.Unlock()
 	h.node.advice.With(func(a *serve.Advice) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
-func (h *holding) leave(prompt *turn.Prompt) {
+func (h *heldUpstream) dequeuePrompt(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.line.Leave(prompt)
-	tokens := h.line.Tokens()
+	h.prefillQueue.Leave(prompt)
+	tokens := h.prefillQueue.Tokens()
 	h.mutex.Unlock()
 	h.node.advice.With(func(a *serve.Advice) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
-// askTurn asks the line, with what is known of the upstream by now. Where it is hopeless there is no time to ask again.
-func (h *holding) askTurn(now time.Time, prompt *turn.Prompt) (wait time.Duration, again time.Time, taken bool) {
+// tryPrefillTurn queries the queue with the current load of the upstream. If the turn would come too late, the time of
+// the next try is zero.
+func (h *heldUpstream) tryPrefillTurn(now time.Time, prompt *turn.Prompt) (wait time.Duration, nextTry time.Time, taken bool) {
 	var load pool.Load
 	h.node.advice.With(func(a *serve.Advice) { load = a.Pool.Sent(now, h.upstream.ID) })
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if load.Prompt == 0 {
-		h.line.Idle(now)
+		h.prefillQueue.Idle(now)
 	}
-	again, taken = h.line.Take(now, prompt, load.Running > 0)
-	if !taken && h.line.IsHopeless(now, prompt) {
-		again = time.Time{}
+	nextTry, taken = h.prefillQueue.Take(now, prompt, load.Running > 0)
+	if !taken && h.prefillQueue.IsHopeless(now, prompt) {
+		nextTry = time.Time{}
 	}
-	return h.line.Wait(now, prompt), again, taken
+	return h.prefillQueue.Wait(now, prompt), nextTry, taken
 }
--- a/internal/entry/node/reload.go
+++ b/internal/entry/node/reload.go
@@ -10,18 +10,18 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/serve"
 )
 
-// reload.go takes changed settings over while the instance serves. The platform says so with SIGHUP, whose
-// default would end the process and cut every request, or changes the file without a signal.
+// reload.go applies changed settings while the instance serves. The platform sends SIGHUP, whose default action would
+// end the process and cut every request, or changes the file without a signal.
 
-// rereadEvery is how late a change without a signal is noticed.
-const rereadEvery = 2 * time.Second
+// settingsPollInterval is how late a change without a signal is noticed.
+const settingsPollInterval = 2 * time.Second
 
-// runReload reads the settings again on SIGHUP and every now and then.
+// runReload reads the settings again on SIGHUP and at regular intervals.
 func (n *Node) runReload(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ticker := time.NewTicker(rereadEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,27 +35,27 @@
 	}
 }
 
-// reload takes the settings over if they are valid; else those in force stay.
-func (n *Node) reload(told bool) {
+// reload applies the settings if they are valid. Otherwise the settings in force stay.
+func (n *Node) reload(signalled bool) {
 	settings, err := n.Reread()
 	if err != nil {
 		n.Log.Error().Err(err).Msg("ReloadFailed")
 		return
 	}
-	before := *n.current.Load()
-	if settings == before {
-		if told {
+	previous := *n.current.Load()
+	if settings == previous {
+		if signalled {
 			n.Log.Info().Bool("Changed", false).Msg("Reloaded")
 		}
 		return
 	}
 	n.current.Store(&settings)
 	n.Apply(settings)
-	if settings.Retries != before.Retries {
+	if settings.Retries != previous.Retries {
 		n.advice.With(func(a *serve.Advice) { a.Retries = retryBudgets(settings.Retries) })
 	}
-	if settings.Instance != before.Instance {
-		n.Log.Warn().Msg("RestartNeeded") // addresses and names stay until then
+	if settings.Instance != previous.Instance {
+		n.Log.Warn().Msg("RestartNeeded") // addresses and names change only with a restart
 	}
 	n.Log.Info().Bool("Changed", true).Msg("Reloaded")
 }
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -12,80 +12,81 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// reports.go reports to the holders of upstreams what this instance has in flight there, and takes such reports. Sent
-// to all instances, the loads would be most of the bytes between them; the holder adds them up and passes on the sum.
+// reports.go sends load reports: the requests that this instance has in flight at an upstream, sent to the holder of
+// the upstream. It also receives such reports. If the loads were sent to all instances, they would be most of the
+// traffic between instances. Instead the holder adds them up and sends the total.
 
 const (
-	// reportPause gathers what begins and ends within a few milliseconds into one report.
-	reportPause = 8 * time.Millisecond
+	// reportBatchDelay collects requests that start or end within a few milliseconds into one report.
+	reportBatchDelay = 8 * time.Millisecond
 	// reportTimeout bounds one report.
 	reportTimeout = 400 * time.Millisecond
-	// reportAgainEvery is how often requests that go on are reported again. A report may be lost, and a holder
-	// forgets those of an instance that has fallen silent.
-	reportAgainEvery = time.Second
+	// reportRefreshInterval is how often requests that are still in flight are reported again. A report may be lost,
+	// and a holder discards the reports of an instance that has become silent.
+	reportRefreshInterval = time.Second
 )
 
-// reports keeps one goroutine for each holder that is to get a report.
+// reports runs one goroutine for each holder that has a report due.
 type reports struct {
-	mutex sync.Mutex
-	due   map[string]*report
+	mutex   sync.Mutex
+	senders map[string]*reportSender
 }
 
-// report is what is due to one holder.
-type report struct {
+// reportSender sends the reports that are due to one holder.
+type reportSender struct {
 	node   *Node
 	holder string
-	// again: something has changed since the last report was made.
-	again bool
+	// pending: the load has changed since the last report was built.
+	pending bool
 }
 
-// report has a report sent to a holder.
-func (n *Node) report(holder string) {
+// scheduleReport schedules a report to a holder.
+func (n *Node) scheduleReport(holder string) {
 	n.reports.mutex.Lock()
 	defer n.reports.mutex.Unlock()
-	if one := n.reports.due[holder]; one != nil {
-		one.again = true
+	if sender := n.reports.senders[holder]; sender != nil {
+		sender.pending = true
 		return
 	}
-	if n.reports.due == nil {
-		n.reports.due = make(map[string]*report)
+	if n.reports.senders == nil {
+		n.reports.senders = make(map[string]*reportSender)
 	}
-	one := &report{node: n, holder: holder, again: true}
-	n.reports.due[holder] = one
-	go one.run()
+	sender := &reportSender{node: n, holder: holder, pending: true}
+	n.reports.senders[holder] = sender
+	go sender.run()
 }
 
-// run sends reports until nothing changes any more.
-func (r *report) run() {
+// run sends reports until no change is pending.
+func (r *reportSender) run() {
 	for r.isDue() {
-		time.Sleep(reportPause)
-		r.begin()
+		time.Sleep(reportBatchDelay)
+		r.clearPending()
 		r.send()
 	}
 }
 
-// isDue tells whether another report is due, and if not takes this one off.
-func (r *report) isDue() bool {
+// isDue reports whether another report is due, and removes the sender if not.
+func (r *reportSender) isDue() bool {
 	r.node.reports.mutex.Lock()
 	defer r.node.reports.mutex.Unlock()
-	if !r.again {
-		delete(r.node.reports.due, r.holder)
+	if !r.pending {
+		delete(r.node.reports.senders, r.holder)
 	}
-	return r.again
+	return r.pending
 }
 
-// begin takes it that the report that is made now has all changes so far.
-func (r *report) begin() {
+// clearPending marks all changes so far as included in the report that is built next.
+func (r *reportSender) clearPending() {
 	r.node.reports.mutex.Lock()
 	defer r.node.reports.mutex.Unlock()
-	r.again = false
+	r.pending = false
 }
 
-func (r *report) send() {
+func (r *reportSender) send() {
 	n := r.node
-	n.knowledge.mutex.Lock()
-	instance, found := n.knowledge.roster.Instance(r.holder)
-	n.knowledge.mutex.Unlock()
+	n.view.mutex.Lock()
+	instance, found := n.view.roster.Instance(r.holder)
+	n.view.mutex.Unlock()
 	if !found {
 		return
 	}
@@ -96,12 +97,12 @@
 		n.Log.Debug().Err(err).Str("Holder", r.holder).Msg("ReportFailed")
 		return
 	}
-	n.learnHeld(held)
+	n.applyHeldReport(held)
 }
 
-// loadReport is what is in flight at the upstreams of a holder.
+// loadReport returns the load in flight at the upstreams of a holder.
 func (n *Node) loadReport(holder string) mesh.LoadReport {
-	holders := n.knowledge.liveHolders()
+	holders := n.view.liveHolders()
 	report := mesh.LoadReport{Instance: n.self.Name}
 	n.advice.With(func(a *serve.Advice) {
 		report.Loads = a.Pool.Report(func(upstream string) bool { return holders[upstream] == holder })
@@ -109,8 +110,8 @@
 	return report
 }
 
-// learnHeld takes over a holder's answer.
-func (n *Node) learnHeld(held mesh.HeldReport) {
+// applyHeldReport applies the response of a holder.
+func (n *Node) applyHeldReport(held mesh.HeldReport) {
 	now := time.Now()
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range held.Residencies {
@@ -122,53 +123,54 @@
 	})
 }
 
-// Report takes what another instance has in flight at the upstreams that this one holds.
+// Report receives the load that another instance has in flight at the upstreams that this one holds.
 func (n *Node) Report(report mesh.LoadReport) (held mesh.HeldReport) {
 	now := time.Now()
-	n.overlay.heard(report.Instance, now)
-	held = mesh.HeldReport{Residencies: n.holdings.residencies(now), Held: make(map[string]pool.Load)}
+	n.overlay.recordContact(report.Instance, now)
+	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Held: make(map[string]pool.Load)}
 	n.advice.With(func(a *serve.Advice) {
 		a.Pool.LearnReport(now, report.Instance, report.Loads)
 		for _, residency := range held.Residencies {
 			held.Held[residency.Upstream] = a.Pool.Beside(now, residency.Upstream, report.Instance)
 		}
 	})
-	n.holdings.look()
+	n.heldUpstreams.wakeWaiting()
 	return held
 }
 
-// runReports reports again what goes on.
+// runReports periodically reports the requests that are still in flight.
 func (n *Node) runReports(ctx context.Context) error {
-	for pause.For(ctx, reportAgainEvery) {
-		n.reportAgain()
+	for pause.For(ctx, reportRefreshInterval) {
+		n.refreshReports()
 	}
 	return nil
 }
 
-func (n *Node) reportAgain() {
-	holders := n.knowledge.liveHolders()
+func (n *Node) refreshReports() {
+	holders := n.view.liveHolders()
 	var loads map[string]pool.Load
 	n.advice.With(func(a *serve.Advice) {
 		loads = a.Pool.Own(func(upstream string) bool { return holders[upstream] != "" })
 	})
 	for upstream := range loads {
 		if holder := holders[upstream]; holder != n.self.Name {
-			n.report(holder)
+			n.scheduleReport(holder)
 		}
 	}
 }
 
-// reportToNewHolder reports at once what is in flight at an upstream to an instance that has just begun to hold it;
-// the knowledge is locked. Until then it would take adapters that are in use for idle, and evict them.
+// reportToNewHolder immediately reports the load in flight at an upstream to the instance that has just become its
+// holder. The store view is locked. Without the report the new holder would treat adapters in use as idle and evict
+// them.
 func (n *Node) reportToNewHolder(key string) {
 	upstream, found := roster.HeldUpstream(key)
-	holder, held := n.knowledge.roster.Holder(upstream)
+	holder, held := n.view.roster.Holder(upstream)
 	if !found || !held || holder.Instance == n.self.Name {
 		return
 	}
 	inFlight := false
 	n.advice.With(func(a *serve.Advice) { inFlight = a.Pool.HasOwn(upstream) })
 	if inFlight {
-		n.report(holder.Instance)
+		n.scheduleReport(holder.Instance)
 	}
 }
--- a/internal/entry/node/reports_test.go
+++ b/internal/entry/node/reports_test.go
@@ -23,12 +23,12 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// nodeAmong is an instance among others that knows who holds which upstream, and has a request at each of them. It has
-// a link to each of the others.
-func nodeAmong(t *testing.T, others int, holders map[string]string) *Node {
+// nodeWithPeers returns an instance with a link to each of its peers. It knows the holder of each upstream and has one
+// request in flight at each of them.
+func nodeWithPeers(t *testing.T, others int, holders map[string]string) *Node {
 	t.Helper()
-	n := &Node{self: roster.Instance{Name: "self"}, holdings: newHoldings(), Log: zerolog.Nop()}
-	n.overlay.prepare("self")
+	n := &Node{self: roster.Instance{Name: "self"}, heldUpstreams: newHeldUpstreams(), Log: zerolog.Nop()}
+	n.overlay.initialise("self")
 	n.peers = &mesh.Peers{Links: link.Links{Credentials: insecure.NewCredentials()}}
 	n.advice = &serve.Advice{
 		Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Ledger: &quota.Ledger{Self: "self"},
@@ -36,7 +36,7 @@
 	}
 	for i := range others {
 		name := fmt.Sprint("peer", i)
-		n.overlay.add(newLinkEnd(n, nil, roster.Instance{Name: name}))
+		n.overlay.addLink(newLinkEnd(n, nil, roster.Instance{Name: name}))
 		n.applyOne(t, roster.InstanceKey(name), int64(i+1), func() ([]byte, error) {
 			return roster.EncodeInstance(roster.Instance{Name: name, Address: "127.0.0.1:1"})
 		})
@@ -49,19 +49,19 @@
 	return n
 }
 
-// asked counts the links over which a message is due at once.
-func asked(n *Node) (count int) {
-	for end := range n.overlay.ends {
-		if len(end.news) > 0 {
+// pendingLinks counts the links on which a message is due immediately.
+func pendingLinks(n *Node) (count int) {
+	for end := range n.overlay.linkEnds {
+		if len(end.update) > 0 {
 			count++
-			<-end.news
+			<-end.update
 		}
 	}
 	return count
 }
 
-// names lists the upstreams of loads.
-func names(loads map[string]pool.Load) string {
+// upstreamIDs lists the upstreams of loads.
+func upstreamIDs(loads map[string]pool.Load) string {
 	return strings.Join(slices.Sorted(maps.Keys(loads)), " ")
 }
 
@@ -71,9 +71,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.knowledge.mutex.Lock()
-	defer n.knowledge.mutex.Unlock()
-	n.apply(replica.Item{Key: key, Value: encoded, Revision: revision}, fromStore)
+	n.view.mutex.Lock()
+	defer n.view.mutex.Unlock()
+	n.apply(replica.Item{Key: key, Value: encoded, Revision: revision}, sourceStore)
 }
 
 func (n *Node) setHolder(t *testing.T, upstream, holder string, revision int64) {
@@ -86,44 +86,44 @@
 	})
 }
 
-// Guards against loads that each instance lets all others know: in a fleet of eighty they were most of the bytes
-// between data centres. The holder of an upstream needs them, and passes on the sum; an upstream without one is known
-// to all by the states.
+// Guards against loads that each instance sends to all others: in a fleet of eighty they were most of the traffic
+// between data centres. Only the holder of an upstream needs them, and it sends the total. The load of an upstream
+// without a holder is part of the state that is sent to all.
 func TestLoadsAreReportedToHolders(t *testing.T) {
 	is := is.New(t)
 	holders := map[string]string{"held0": "peer0", "held1": "peer1", "free": "", "lost": "gone"}
 	for _, others := range []int{7, 80} {
-		n := nodeAmong(t, others, holders)
-		is.Equal(names(n.state(time.Now()).Loads), "free lost")
-		is.Equal(names(n.loadReport("peer0").Loads), "held0")
-		is.Equal(names(n.loadReport("peer1").Loads), "held1")
-		is.Equal(names(n.loadReport("peer2").Loads), "")
+		n := nodeWithPeers(t, others, holders)
+		is.Equal(upstreamIDs(n.state(time.Now()).Loads), "free lost")
+		is.Equal(upstreamIDs(n.loadReport("peer0").Loads), "held0")
+		is.Equal(upstreamIDs(n.loadReport("peer1").Loads), "held1")
+		is.Equal(upstreamIDs(n.loadReport("peer2").Loads), "")
 	}
 }
 
-// Guards against a new holder that takes adapters in use for idle, and evicts them under their requests: all who have
-// some there report to it at once.
+// Guards against a new holder that treats adapters in use as idle and evicts them while requests use them. All
+// instances with requests in flight there report to it immediately.
 func TestNewHolderGetsAReportAtOnce(t *testing.T) {
 	is := is.New(t)
-	n := nodeAmong(t, 80, map[string]string{"u": "peer0"})
+	n := nodeWithPeers(t, 80, map[string]string{"u": "peer0"})
 	n.setHolder(t, "u", "peer3", 200)
 	n.reports.mutex.Lock()
-	due := len(n.reports.due)
-	toNew := n.reports.due["peer3"]
+	due := len(n.reports.senders)
+	senderToNew := n.reports.senders["peer3"]
 	n.reports.mutex.Unlock()
-	is.True(toNew != nil)
+	is.True(senderToNew != nil)
 	is.Equal(due, 1)
-	is.Equal(names(n.loadReport("peer3").Loads), "u")
-	is.Equal(names(n.loadReport("peer0").Loads), "")
+	is.Equal(upstreamIDs(n.loadReport("peer3").Loads), "u")
+	is.Equal(upstreamIDs(n.loadReport("peer0").Loads), "")
 }
 
-// Guards against a lost report: what is in flight is reported again as long as it is.
-func TestWhatGoesOnIsReportedAgain(t *testing.T) {
+// Guards against a lost report: requests are reported again as long as they are in flight.
+func TestInFlightLoadIsReportedAgain(t *testing.T) {
 	is := is.New(t)
-	n := nodeAmong(t, 7, map[string]string{"held0": "peer0", "own": "self", "free": ""})
-	n.reportAgain()
+	n := nodeWithPeers(t, 7, map[string]string{"held0": "peer0", "own": "self", "free": ""})
+	n.refreshReports()
 	n.reports.mutex.Lock()
 	defer n.reports.mutex.Unlock()
-	is.Equal(len(n.reports.due), 1)
-	is.True(n.reports.due["peer0"] != nil)
+	is.Equal(len(n.reports.senders), 1)
+	is.True(n.reports.senders["peer0"] != nil)
 }
--- a/internal/entry/node/settings.go
+++ b/internal/entry/node/settings.go
@@ -6,10 +6,9 @@
 	"lacewingrock.example/lacewingrock/internal/entry/inifile"
 )
 
-// settings.go lists what an instance is told when it starts.
+// settings.go lists the settings of an instance.
 
-// Settings of a node. Addresses are IP and port; a port of 0 takes any free one, and the event "Started"
-// tells which.
+// Settings of a node. Addresses are IP and port. A port of 0 selects a free port, and the event "Started" contains it.
 type Settings struct {
 	Instance  InstanceSettings
 	Platform  PlatformSettings
@@ -19,7 +18,7 @@
 	Log       LogSettings
 }
 
-// InstanceSettings say who the instance is and where it listens.
+// InstanceSettings are the identity and the listen addresses of the instance.
 type InstanceSettings struct {
 	Name           string
 	DataCentre     string
@@ -29,40 +28,40 @@
 	MetricsAddress string
 }
 
-// PlatformSettings say where the store is.
+// PlatformSettings are the address and the timeout of the store.
 type PlatformSettings struct {
 	StoreAddress string
 	StoreTimeout time.Duration
 }
 
-// CallerSettings bound what callers may do.
+// CallerSettings are the limits for callers.
 type CallerSettings struct {
 	HeaderBytes   int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// StopWithin is how long a planned stop may take.
+	// StopWithin is the longest duration of a planned stop.
 	StopWithin time.Duration
 	// ChangeWithin is how soon a change of the configuration has to be in force.
 	ChangeWithin time.Duration
 }
 
-// UpstreamSettings say what is known of upstreams beforehand.
+// UpstreamSettings are the properties of upstreams that do not come from the store.
 type UpstreamSettings struct {
-	// FencesChecked: they refuse orders under an earlier fence.
+	// FencesChecked: upstreams refuse orders with an outdated fence.
 	FencesChecked bool
-	// ReturnAfter is how long after its last order to an upstream an instance that lost it orders there again,
-	// where fences are not checked.
+	// ReturnAfter applies where fences are not checked. It is how long after its last order to an upstream that it lost
+	// an instance may send orders there again.
 	ReturnAfter time.Duration
 }
 
-// RetrySettings bound the sends beyond the first of each request, over all instances and in any Window.
+// RetrySettings limit the sends beyond the first of each request, over all instances and in any Window.
 type RetrySettings struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// LogSettings say how much is logged.
+// LogSettings are the log level and the limit on log events.
 type LogSettings struct {
 	Level  string
 	Budget int64
@@ -78,7 +77,7 @@
 		},
 		{
 			Section: "Instance", Name: "DataCentre", Required: true,
-			Help: "data centre the instance is in",
+			Help: "data centre of the instance",
 			Set:  inifile.Word(func(s *Settings) *string { return &s.Instance.DataCentre }),
 		},
 		{
@@ -88,7 +87,7 @@
 		},
 		{
 			Section: "Instance", Name: "ReadyAddress", Required: true,
-			Help: "IP and port where the balancer asks whether the instance takes requests",
+			Help: "IP and port for the readiness check of the load balancer",
 			Set:  inifile.Address(func(s *Settings) *string { return &s.Instance.ReadyAddress }),
 		},
 		{
@@ -108,7 +107,7 @@
 		},
 		{
 			Section: "Platform", Name: "StoreTimeout", Default: "600ms",
-			Help: "longest wait for an answer of the store",
+			Help: "longest wait for a response of the store",
 			Set: inifile.Duration(10*time.Millisecond, time.Minute,
 				func(s *Settings) *time.Duration { return &s.Platform.StoreTimeout }),
 		},
@@ -119,7 +118,7 @@
 		},
 		{
 			Section: "Callers", Name: "HeaderTimeout", Default: "3s",
-			Help: "longest time a caller may take for a request's header",
+			Help: "longest time a caller may take to send the header of a request",
 			Set: inifile.Duration(100*time.Millisecond, time.Minute,
 				func(s *Settings) *time.Duration { return &s.Callers.HeaderTimeout }),
 		},
@@ -137,29 +136,29 @@
 		},
 		{
 			Section: "Callers", Name: "ChangeWithin", Default: "2s",
-			Help: "how soon a change of the configuration has to be in force; nobody is refused for good by an older one",
+			Help: "how soon a change of the configuration has to be in force; no request is permanently refused because of an older one",
 			Set: inifile.Duration(100*time.Millisecond, time.Minute,
 				func(s *Settings) *time.Duration { return &s.Callers.ChangeWithin }),
 		},
 		{
 			Section: "Upstreams", Name: "FencesChecked", Default: "false",
-			Help: "whether upstreams refuse orders under an earlier fence",
+			Help: "whether upstreams refuse orders with an outdated fence",
 			Set:  inifile.Switch(func(s *Settings) *bool { return &s.Upstreams.FencesChecked }),
 		},
 		{
 			Section: "Upstreams", Name: "ReturnAfter", Default: "3s",
-			Help: "pause until an instance orders again at an upstream that it lost, where fences are not checked",
+			Help: "pause before an instance sends orders again to an upstream that it lost, where fences are not checked",
 			Set: inifile.Duration(0, time.Minute,
 				func(s *Settings) *time.Duration { return &s.Upstreams.ReturnAfter }),
 		},
 		{
 			Section: "Retries", Name: "Ratio", Default: "0.1",
-			Help: "sends beyond the first, of all instances, for each request",
+			Help: "sends beyond the first, over all instances, as a ratio of the requests",
 			Set:  inifile.Number(0, 10, func(s *Settings) *float64 { return &s.Retries.Ratio }),
 		},
 		{
 			Section: "Retries", Name: "Slack", Default: "10",
-			Help: "sends beyond the first that all instances may add to that in a window",
+			Help: "additional sends beyond the first, over all instances, in each window",
 			Set:  inifile.Number(0, 1e6, func(s *Settings) *float64 { return &s.Retries.Slack }),
 		},
 		{
@@ -169,13 +168,13 @@
 		},
 		{
 			Section: "Log", Name: "Budget", Default: "300",
-			Help: "events a second; failures may take twice as many",
+			Help: "log events a second; failures may use twice as many",
 			Set:  inifile.Whole(1, 1e6, func(s *Settings) *int64 { return &s.Log.Budget }),
 		},
 	}}
 }
 
-// LoadSettings reads and checks a settings file.
+// LoadSettings reads and validates a settings file.
 func LoadSettings(file string) (Settings, error) { return settingsFormat().Load(file) }
 
 // SettingsHelp lists every setting with its default.
--- a/internal/entry/node/settings_test.go
+++ b/internal/entry/node/settings_test.go
@@ -13,8 +13,8 @@
 	"lacewingrock.example/lacewingrock/internal/entry/node"
 )
 
-// given are the platform's fields that the template names, with values of a real instance.
-var given = map[string]string{
+// platformValues are the platform fields that the template uses, with the values of a real instance.
+var platformValues = map[string]string{
 	"node-name":              "edge-kgn-1",
 	"zone":                   "kgn",
 	"ip":                     "10.1.0.25",
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	return regexp.MustCompile(`{{([^}]*)}}`).ReplaceAllStringFunc(string(template), func(name string) string {
-		value, found := given[strings.Trim(name, "{}")]
+		value, found := platformValues[strings.Trim(name, "{}")]
 		if !found {
-			t.Errorf("the template names %s", name)
+			t.Errorf("template uses the unknown platform field %s", name)
 		}
 		return value
 	})
@@ -53,8 +53,8 @@
 	return node.LoadSettings(file)
 }
 
-// The template of the deploy file and the program's settings are two files. One name that differs would
-// keep every instance from starting.
+// Guards against a difference between two files, the template of the deployment and the settings of the program. One
+// wrong name would keep every instance from starting.
 func TestDeployedTemplateIsValid(t *testing.T) {
 	is := is.New(t)
 	settings, err := load(t, rendered(t))
@@ -67,7 +67,7 @@
 	is.Equal(settings.Retries.Slack, 54.0)
 }
 
-func TestWrongSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	tests := []struct{ name, from, to, want string }{
 		{"missing", "Name = edge-kgn-1\n", "", "[Instance] Name: is missing"},
 		{"empty", "DataCentre = kgn", "DataCentre =", "[Instance] DataCentre: is empty"},
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -9,22 +9,22 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// sharing.go has what this instance may do alone follow the size of the fleet.
+// shared_limits.go divides fleet-wide limits by the size of the fleet.
 
-// loadsForBeats is how many heartbeats another instance's loads count, and a holder's word where the others tell
-// their loads to none but the holder.
-const loadsForBeats = 1.5
+// loadValidHeartbeats is for how many heartbeats the load report of another instance is valid. It also applies to the
+// total of a holder where the others report their loads only to the holder.
+const loadValidHeartbeats = 1.5
 
-// shareLimits has this instance use its part of what is shared with a number of others.
-func (n *Node) shareLimits(others int) {
+// setSharedLimits sets the shares of this instance in fleet-wide limits, for a number of other instances.
+func (n *Node) setSharedLimits(others int) {
 	parts := roster.Parts(others)
 	slack := n.current.Load().Retries.Slack
-	pace := n.overlay.pace()
-	loadsFor := time.Duration(loadsForBeats * float64(pace))
+	interval := n.overlay.currentStateInterval()
+	loadsFor := time.Duration(loadValidHeartbeats * float64(interval))
 	n.advice.With(func(a *serve.Advice) {
 		a.Retries.Bound(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
-		a.Pool.Settings.HeardEvery = pace
+		a.Pool.Settings.HeardEvery = interval
 		a.Pool.Settings.HeldFor = loadsFor
 		a.Pool.Settings.PeerLoadFor = max(loadsFor, pool.DefaultSettings().PeerLoadFor)
 	})
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -13,82 +13,83 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// states.go builds this instance's state, and takes over the states of the others.
+// state_exchange.go builds the gossip state of this instance, and applies the states of the others.
 
-// refresh is when a part of the own state was last refreshed.
+// refresh is when each part of the state of this instance was last refreshed.
 type refresh struct {
 	general time.Time
 	held    time.Time
-	// spent is what was admitted when the others were last let know.
+	// spent is the admitted usage when it was last sent to the others.
 	spent   quota.Spent
 	spentAt time.Time
-	// loaded is a fingerprint of what was loaded at the held upstreams then.
-	loaded uint64
+	// loadedFingerprint is a fingerprint of the models loaded at the held upstreams at that time.
+	loadedFingerprint uint64
 }
 
-// refreshState replaces the parts of the own state that are due, or all. In a large fleet the general part is
-// refreshed every few seconds; what is loaded at the held upstreams goes on as it changes.
+// refreshState rebuilds the parts of the state of this instance that are due, or all parts if it is urgent. In a large
+// fleet the general part is refreshed every few seconds. The models loaded at the held upstreams are sent when they
+// change.
 //
-// Made for a fleet with some hundred places for adapters, half of which hold others every few seconds. By what was
-// loaded some seconds ago, requests go where their adapter is not any more, and adapters are fetched that are loaded
-// elsewhere.
+// It covers a fleet with some hundred adapter slots, half of which change their adapter every few seconds. With
+// information that is some seconds old, requests would go to upstreams that no longer have their adapter, and adapters
+// would be loaded although they are loaded elsewhere.
 func (n *Node) refreshState(now time.Time, urgent bool) {
-	// Half a beat is allowed for, as beats are not exact.
-	since := now.Add(beatEvery/2 - n.overlay.pace())
+	// Heartbeats are not exact, so half an interval is tolerated.
+	since := now.Add(heartbeatInterval/2 - n.overlay.currentStateInterval())
 	general := urgent || !n.refreshed.general.After(since)
-	by := spentRegularly
+	delivery := spentPeriodic
 	if general {
-		by = spentWithState
+		delivery = spentWithState
 	}
-	n.refreshSpent(now, by)
+	n.refreshSpent(now, delivery)
 	if general {
 		n.refreshed.general = now
 		n.setPart(gossip.PartGeneral, urgent, func() ([]byte, error) { return mesh.EncodeState(n.state(now)) })
 	}
-	residencies := n.holdings.residencies(now)
+	residencies := n.heldUpstreams.residencies(now)
 	loaded := fingerprint(residencies)
-	changed := loaded != n.refreshed.loaded && now.Sub(n.refreshed.held) >= heldEvery-beatEvery/2
+	changed := loaded != n.refreshed.loadedFingerprint && now.Sub(n.refreshed.held) >= heldInterval-heartbeatInterval/2
 	if changed || !n.refreshed.held.After(since) {
 		n.refreshed.held = now
-		n.refreshed.loaded = loaded
-		n.setPart(gossip.PartHeld, false, func() ([]byte, error) { return mesh.EncodeHeld(n.held(now, residencies)) })
+		n.refreshed.loadedFingerprint = loaded
+		n.setPart(gossip.PartHeld, false, func() ([]byte, error) { return mesh.EncodeHeld(n.heldReport(now, residencies)) })
 	}
 }
 
 const (
-	// spentEvery is how often an instance lets the others know what it has admitted lately, where the general part of
-	// its state is refreshed more seldom.
-	spentEvery = time.Second
-	// heldEvery is the same for what is loaded at the held upstreams, which changes at each beat in a busy fleet. Passed
-	// on as often as that, it would fill the links of relays, and news would be late.
-	heldEvery = time.Second
+	// spentInterval is how often an instance sends the recently admitted usage if the general part of its state is
+	// refreshed less often.
+	spentInterval = time.Second
+	// heldInterval is the same for the models loaded at the held upstreams, which change at each heartbeat in a busy
+	// fleet. If they were sent that often, they would fill the links of relays and delay urgent changes.
+	heldInterval = time.Second
 )
 
-// spentBy is how what was admitted lately reaches the others.
-type spentBy int
+// spentDelivery is how the recently admitted usage is sent to the others.
+type spentDelivery int
 
 const (
-	// spentRegularly: as a part of its own, if that is due.
-	spentRegularly spentBy = iota
-	// spentUrgent: as a part of its own, at once.
-	spentUrgent
+	// spentPeriodic: as a separate part, if that is due.
+	spentPeriodic spentDelivery = iota
+	// spentImmediate: as a separate part, immediately.
+	spentImmediate
 	// spentWithState: with the general part.
 	spentWithState
 )
 
-// refreshSpent lets the others know what was admitted lately.
-func (n *Node) refreshSpent(now time.Time, by spentBy) {
-	if by == spentRegularly && now.Sub(n.refreshed.spentAt) < spentEvery {
+// refreshSpent sends the recently admitted usage to the others.
+func (n *Node) refreshSpent(now time.Time, delivery spentDelivery) {
+	if delivery == spentPeriodic && now.Sub(n.refreshed.spentAt) < spentInterval {
 		return
 	}
 	n.refreshed.spentAt = now
 	var spent quota.Spent
 	n.advice.With(func(a *serve.Advice) { spent = a.Ledger.Own() })
-	lately := spent.Since(n.refreshed.spent)
+	recent := spent.Since(n.refreshed.spent)
 	n.refreshed.spent = spent
-	if by != spentWithState && len(lately) > 0 {
-		n.setPart(gossip.PartSpent, by == spentUrgent, func() ([]byte, error) {
-			return mesh.EncodeState(mesh.State{Incarnation: n.self.Incarnation, Spent: lately})
+	if delivery != spentWithState && len(recent) > 0 {
+		n.setPart(gossip.PartSpent, delivery == spentImmediate, func() ([]byte, error) {
+			return mesh.EncodeState(mesh.State{Incarnation: n.self.Incarnation, Spent: recent})
 		})
 	}
 }
@@ -96,7 +97,7 @@
 func (n *Node) setPart(part gossip.Part, urgent bool, encode func() ([]byte, error)) {
 	content, err := encode()
 	if err != nil {
-		n.Log.Error().Err(err).Msg("StateNotEncoded")
+		n.Log.Error().Err(err).Msg("StateEncodeFailed")
 		return
 	}
 	n.overlay.mutex.Lock()
@@ -104,14 +105,14 @@
 	n.overlay.table.SetOwn(part, content, urgent)
 }
 
-// state is what this instance lets all others know of itself.
+// state returns the general part of the state, which is sent to all others.
 func (n *Node) state(now time.Time) mesh.State {
 	state := mesh.State{
 		Incarnation:      n.self.Incarnation,
 		Address:          n.self.Address,
 		StoreUnreachable: n.storeUnreachable.Load(),
 	}
-	holders := n.knowledge.liveHolders()
+	holders := n.view.liveHolders()
 	n.advice.With(func(a *serve.Advice) {
 		state.Spent = a.Ledger.Own()
 		state.Suspects = a.Suspects.Own(now)
@@ -121,8 +122,8 @@
 	return state
 }
 
-// held is what this instance lets all others know of the upstreams that it holds.
-func (n *Node) held(now time.Time, residencies []pool.Residency) mesh.HeldReport {
+// heldReport returns the state of the held upstreams that is sent to all others.
+func (n *Node) heldReport(now time.Time, residencies []pool.Residency) mesh.HeldReport {
 	held := mesh.HeldReport{Residencies: residencies, Held: make(map[string]pool.Load)}
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range residencies {
@@ -132,7 +133,7 @@
 	return held
 }
 
-// fingerprint changes with what is loaded at upstreams, in whatever order it is listed.
+// fingerprint changes with the models loaded at upstreams, regardless of the order in which they are listed.
 func fingerprint(residencies []pool.Residency) (sum uint64) {
 	for _, residency := range residencies {
 		sum += xxhash.Sum64String(fmt.Sprint(residency.Upstream, residency.Fence, residency.Away))
@@ -143,32 +144,32 @@
 	return sum
 }
 
-// relayedAge is how old the state of an instance without a link of its own is taken to be.
-const relayedAge = beatEvery
+// assumedRelayDelay is the assumed age of a state that arrived through relays.
+const assumedRelayDelay = heartbeatInterval
 
-// learn takes over a part of the state of another instance, which came from that instance itself or through relays.
-func (n *Node) learn(now time.Time, record gossip.Record, direct bool) {
+// applyRecord applies a part of the state of another instance, which was received directly or through relays.
+func (n *Node) applyRecord(now time.Time, record gossip.Record, direct bool) {
 	var err error
 	switch record.Part {
 	case gossip.PartHeld:
-		err = n.learnHeldUpstreams(now, record, direct)
+		err = n.applyHeld(now, record, direct)
 	case gossip.PartSpent:
-		err = n.learnSpent(now, record)
+		err = n.applySpent(now, record)
 	case gossip.PartGeneral:
-		err = n.learnState(now, record)
+		err = n.applyState(now, record)
 	}
 	if err != nil {
 		n.Log.Warn().Err(err).Str("Peer", record.Instance).Int64("Version", record.Version).Msg("StateUnreadable")
 	}
 }
 
-func (n *Node) learnState(now time.Time, record gossip.Record) error {
+func (n *Node) applyState(now time.Time, record gossip.Record) error {
 	state, err := mesh.DecodeState(record.Content)
 	if err != nil {
 		return err
 	}
 	n.overlay.setStoreUnreachable(now, record.Instance, state.StoreUnreachable)
-	outdated := !n.overlay.noteSpent(record)
+	outdated := !n.overlay.recordSpentVersion(record)
 	n.advice.With(func(a *serve.Advice) {
 		if !outdated {
 			a.Ledger.Hear(now, record.Instance, state.Incarnation, state.Spent)
@@ -178,14 +179,14 @@
 		a.Pool.LearnEvidence(now, record.Instance, state.Evidence)
 	})
 	if len(state.Loads) > 0 {
-		n.holdings.look()
+		n.heldUpstreams.wakeWaiting()
 	}
 	return nil
 }
 
-func (n *Node) learnSpent(now time.Time, record gossip.Record) error {
+func (n *Node) applySpent(now time.Time, record gossip.Record) error {
 	state, err := mesh.DecodeState(record.Content)
-	if err != nil || !n.overlay.noteSpent(record) {
+	if err != nil || !n.overlay.recordSpentVersion(record) {
 		return err
 	}
 	n.advice.With(func(a *serve.Advice) {
@@ -194,14 +195,14 @@
 	return nil
 }
 
-func (n *Node) learnHeldUpstreams(now time.Time, record gossip.Record, direct bool) error {
+func (n *Node) applyHeld(now time.Time, record gossip.Record, direct bool) error {
 	held, err := mesh.DecodeHeld(record.Content)
 	if err != nil {
 		return err
 	}
 	at := now
 	if !direct {
-		at = now.Add(-relayedAge)
+		at = now.Add(-assumedRelayDelay)
 	}
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range held.Residencies {
@@ -214,5 +215,5 @@
 	return nil
 }
 
-// ShareSpent lets the other instances know at once what this one has admitted.
-func (n *Node) ShareSpent() { n.overlay.urgeSpent() }
+// ShareSpent sends the usage that this instance has admitted to the other instances immediately.
+func (n *Node) ShareSpent() { n.overlay.requestSpentSend() }
--- a/internal/entry/node/state_exchange_test.go
+++ b/internal/entry/node/state_exchange_test.go
@@ -12,28 +12,28 @@
 	"lacewingrock.example/lacewingrock/internal/placement/residence"
 )
 
-// Guards against a large fleet in which others learn only some seconds later that an adapter is loaded: they fetch it
-// a second time, and go where it is not any more.
-func TestWhatIsLoadedGoesOnAsItChanges(t *testing.T) {
+// Guards against a large fleet in which the others learn only after some seconds that an adapter is loaded. They would
+// load it a second time, and send requests to upstreams that no longer have it.
+func TestLoadedAdaptersAreSentWhenChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := nodeAmong(t, 80, nil)
-		h := heldAt("127.0.0.1:1")
-		h.learnt = true
-		n.holdings.held["u"] = h
-		n.overlay.setMembers(time.Now(), n.knowledge.roster.Instances())
+		n := nodeWithPeers(t, 80, nil)
+		h := heldUpstreamAt("127.0.0.1:1")
+		h.hasReport = true
+		n.heldUpstreams.byID["u"] = h
+		n.overlay.setMembers(time.Now(), n.view.roster.Instances())
 		n.refreshState(time.Now(), false)
 		link := &gossip.Link{}
 		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 2)
-		time.Sleep(beatEvery)
+		time.Sleep(heartbeatInterval)
 		n.refreshState(time.Now(), false)
-		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // neither is due yet
+		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // no part is due yet
 		h.planner.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{
 			{Name: "m", Version: 1, Adapters: []traffic.LoadedAdapter{{Name: "a", Version: 1}}},
 		}})
 		n.refreshState(time.Now(), false)
-		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // not more than once a second
-		time.Sleep(heldEvery - beatEvery)
+		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // at most once a second
+		time.Sleep(heldInterval - heartbeatInterval)
 		n.refreshState(time.Now(), false)
 		var parts []gossip.Part
 		for _, record := range n.overlay.table.Due(time.Now(), link, "") {
--- a/internal/entry/node/store_test.go
+++ b/internal/entry/node/store_test.go
@@ -10,7 +10,7 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/replica"
 )
 
-// store is the platform's store in memory.
+// store is an in-memory version of the store of the platform.
 type store struct {
 	mutex    sync.Mutex
 	items    map[string]replica.Item
@@ -30,7 +30,7 @@
 	}
 }
 
-// expire ends leases that have run out; the lock is held.
+// expire removes the keys of expired leases. The caller holds the lock.
 func (s *store) expire() {
 	for key, lease := range s.bound {
 		if time.Now().After(s.leases[lease]) {
@@ -54,7 +54,7 @@
 	delete(s.items, key)
 }
 
-// put writes as an operator or an upstream does.
+// put writes a key like an operator or an upstream.
 func (s *store) put(key, value string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,23 +81,23 @@
 	return item, found
 }
 
-// client is one instance's way to the store, which the store may turn away.
+// client is the client of one instance, whose calls the store may refuse.
 type client struct {
-	store  *store
-	mutex  sync.Mutex
-	denied bool
+	store   *store
+	mutex   sync.Mutex
+	refused bool
 }
 
-func (c *client) deny(denied bool) {
+func (c *client) setRefused(denied bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.denied = denied
+	c.refused = denied
 }
 
-// enter takes the store's lock unless it is away or turns this client away.
-func (c *client) enter() error {
+// enter takes the lock of the store unless the store is down or refuses this client.
+func (c *client) lock() error {
 	c.mutex.Lock()
-	denied := c.denied
+	denied := c.refused
 	c.mutex.Unlock()
 	c.store.mutex.Lock()
 	if denied || c.store.down {
@@ -109,7 +109,7 @@
 }
 
 func (c *client) Snapshot(context.Context) (batch replica.Batch, err error) {
-	if err := c.enter(); err != nil {
+	if err := c.lock(); err != nil {
 		return batch, err
 	}
 	defer c.store.mutex.Unlock()
@@ -124,7 +124,7 @@
 func (c *client) Watch(ctx context.Context, after int64, wait time.Duration) (batch replica.Batch, err error) {
 	deadline := time.After(wait)
 	for {
-		if err := c.enter(); err != nil {
+		if err := c.lock(); err != nil {
 			return batch, err
 		}
 		batch = replica.Batch{After: after, Through: c.store.revision}
@@ -147,7 +147,7 @@
 }
 
 func (c *client) Commit(_ context.Context, t coordination.Transaction) (int64, error) {
-	if err := c.enter(); err != nil {
+	if err := c.lock(); err != nil {
 		return 0, err
 	}
 	defer c.store.mutex.Unlock()
@@ -167,7 +167,7 @@
 }
 
 func (c *client) Grant(_ context.Context, ttl time.Duration) (int64, error) {
-	if err := c.enter(); err != nil {
+	if err := c.lock(); err != nil {
 		return 0, err
 	}
 	defer c.store.mutex.Unlock()
@@ -178,7 +178,7 @@
 }
 
 func (c *client) Renew(_ context.Context, lease int64) error {
-	if err := c.enter(); err != nil {
+	if err := c.lock(); err != nil {
 		return err
 	}
 	defer c.store.mutex.Unlock()
@@ -190,7 +190,7 @@
 }
 
 func (c *client) Revoke(_ context.Context, lease int64) error {
-	if err := c.enter(); err != nil {
+	if err := c.lock(); err != nil {
 		return err
 	}
 	defer c.store.mutex.Unlock()
