--- a/internal/entry/node/store_view.go
+++ b/internal/entry/node/store_view.go
@@ -12,142 +12,144 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// knowledge.go keeps what the instance knows of the store's keys, from whichever source, and hands each change
-// to the parts that decide by it.
+// store_view.go keeps the replicated state of the store, from the store itself or from peers, and passes each change to
+// the components that depend on it.
 
-// versionRequiredAfter is how long requests may still begin on the version before the newest. It gives upstreams time to
-// replace it, and ends well before the five seconds that operators allow.
+// versionRequiredAfter is how long requests may still start on the version before the newest one. It gives upstreams
+// time to load the new version, and ends well before the five seconds that operators allow.
 const versionRequiredAfter = 2500 * time.Millisecond
 
-type knowledge struct {
+type storeView struct {
 	wake chan struct{}
 
 	mutex   sync.Mutex
 	replica replica.Replica
 	roster  roster.Roster
-	// news is the revision of the last change that all have to know at once.
-	news int64
-	// newsOf is the revision of the last such change of each key.
-	newsOf map[string]int64
+	// urgentRevision is the revision of the last change that all instances need immediately.
+	urgentRevision int64
+	// urgentRevisions is the revision of the last urgent change of each key.
+	urgentRevisions map[string]int64
 	// confirmed is set with the lock held.
 	confirmed confirmation
-	// reader: this instance was the first in line to read the store when it last found out, among readers.
-	reader  bool
-	readers []roster.Instance
-	// returned is when the last outage ended.
-	returned time.Time
-	newest   map[traffic.Adapter]newest
+	// reader: this instance had rank 0 among readerCandidates when the ranks were last computed, so it reads the store.
+	reader           bool
+	readerCandidates []roster.Instance
+	// outageEnded is when the last outage ended.
+	outageEnded time.Time
+	newest      map[traffic.Adapter]declaredVersion
 	// declarations counts the changes of newest.
 	declarations int
-	// lapsed upstreams have lost their entry around an outage.
-	lapsed map[string]time.Time
-	// holders is what liveHolders gives, nil after a change of the roster until it is needed.
+	// expired contains the upstreams whose entries expired around an outage.
+	expired map[string]time.Time
+	// holders caches the result of liveHolders. It is nil from a change of the roster until the next use.
 	holders map[string]string
-	// gone are instances that have left the roster lately; their part of the rates is still theirs. It was brought up
-	// to date at peersSet by the roster's list then.
-	gone     map[string]time.Time
-	peersSet time.Time
-	peers    []roster.Instance
+	// ledgerPeers is when each instance was last in the roster. An instance that left recently keeps its share of the
+	// rates. ledgerPeersUpdated is when the map was last updated, from the list ledgerRoster.
+	ledgerPeers        map[string]time.Time
+	ledgerPeersUpdated time.Time
+	ledgerRoster       []roster.Instance
 
 	table atomic.Pointer[traffic.Table]
 }
 
-type newest struct {
+type declaredVersion struct {
 	version int64
 	since   time.Time
 }
 
-// Table is the configuration in force, nil while none is known.
-func (n *Node) Table() *traffic.Table { return n.knowledge.table.Load() }
+// Table returns the configuration in force, or nil if none has been received.
+func (n *Node) Table() *traffic.Table { return n.view.table.Load() }
 
-// Newest is the newest declared version of an adapter.
+// Newest returns the newest declared version of an adapter.
 func (n *Node) Newest(adapter traffic.Adapter) (version int64, required bool) {
-	k := &n.knowledge
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	known := k.newest[adapter]
+	v := &n.view
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	known := v.newest[adapter]
 	return known.version, known.version > 0 && time.Since(known.since) > versionRequiredAfter
 }
 
-// liveHolders gives the instance that holds each upstream, as far as it is in the roster. The map is not changed
-// any more: each heartbeat looks at it.
-func (k *knowledge) liveHolders() map[string]string {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.holders != nil {
-		return k.holders
-	}
-	k.holders = make(map[string]string)
-	for _, holder := range k.roster.Holders() {
-		if _, lives := k.roster.Instance(holder.Instance); lives {
-			k.holders[holder.Upstream] = holder.Instance
+// liveHolders returns the instance that holds each upstream, if that instance is in the roster. The returned map is
+// never modified, because it is read at each heartbeat.
+func (v *storeView) liveHolders() map[string]string {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if v.holders != nil {
+		return v.holders
+	}
+	v.holders = make(map[string]string)
+	for _, holder := range v.roster.Holders() {
+		if _, live := v.roster.Instance(holder.Instance); live {
+			v.holders[holder.Upstream] = holder.Instance
 		}
 	}
-	return k.holders
+	return v.holders
 }
 
-// newestSince gives the newest declared versions if any changed since a count of changes, and the count now.
-func (k *knowledge) newestSince(declarations int) (versions map[traffic.Adapter]int64, now int) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if declarations == k.declarations {
+// newestSince returns the newest declared versions if any changed since the given count of changes, and the current
+// count.
+func (v *storeView) newestSince(declarations int) (versions map[traffic.Adapter]int64, current int) {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if declarations == v.declarations {
 		return nil, declarations
 	}
-	versions = make(map[traffic.Adapter]int64, len(k.newest))
-	for adapter, newest := range k.newest {
+	versions = make(map[traffic.Adapter]int64, len(v.newest))
+	for adapter, newest := range v.newest {
 		versions[adapter] = newest.version
 	}
-	return versions, k.declarations
+	return versions, v.declarations
 }
 
-// fromStore is the source of changes that this instance has read itself.
-const fromStore = "store"
+// sourceStore is the source of changes that this instance read itself.
+const sourceStore = "store"
 
-// merge takes a batch in that came from the store or a peer, and reports whether it joined what was known.
-func (n *Node) merge(batch replica.Batch, confirmed time.Time, from string) bool {
-	k := &n.knowledge
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// merge merges a batch that came from the store or a peer, and reports whether it was contiguous with the replicated
+// state.
+func (n *Node) merge(batch replica.Batch, confirmed time.Time, source string) bool {
+	v := &n.view
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
 	n.confirm(confirmed)
-	if k.newsOf == nil {
-		k.newsOf = make(map[string]int64)
+	if v.urgentRevisions == nil {
+		v.urgentRevisions = make(map[string]int64)
 	}
-	changed, joined := k.replica.Merge(batch)
-	if !joined {
+	changed, contiguous := v.replica.Merge(batch)
+	if !contiguous {
 		return false
 	}
-	news := false
+	urgent := false
 	for _, item := range changed {
-		if n.apply(item, from) {
-			news = true
-			k.news = max(k.news, item.Revision)
-			k.newsOf[item.Key] = item.Revision
+		if n.apply(item, source) {
+			urgent = true
+			v.urgentRevision = max(v.urgentRevision, item.Revision)
+			v.urgentRevisions[item.Key] = item.Revision
 		}
 	}
-	if news {
-		n.signal()
-		n.overlay.wake(false)
+	if urgent {
+		n.wakeOwnership()
+		n.overlay.requestMessages(false)
 	}
 	return true
 }
 
-func (n *Node) signal() {
+func (n *Node) wakeOwnership() {
 	select {
-	case n.knowledge.wake <- struct{}{}:
-	default: // a wake-up is already due
+	case n.view.wake <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// apply hands one change on; the lock is held. It reports whether that is news which others should get at once, and
-// not with a heartbeat.
-func (n *Node) apply(item replica.Item, from string) (news bool) {
-	k := &n.knowledge
-	ours, err := k.roster.Apply(item.Key, item.Value, item.Revision, item.Removed)
+// apply passes one change on. The caller holds the lock. It reports whether the change is urgent: the other instances
+// should get it immediately, and not with the next heartbeat.
+func (n *Node) apply(item replica.Item, source string) (urgent bool) {
+	v := &n.view
+	fleetKey, err := v.roster.Apply(item.Key, item.Value, item.Revision, item.Removed)
 	if err != nil {
 		n.Log.Warn().Err(err).Int64("Revision", item.Revision).Msg("EntryUnreadable")
 	}
-	if ours {
-		k.holders = nil
+	if fleetKey {
+		v.holders = nil
 		n.reportToNewHolder(item.Key)
 		return true
 	}
@@ -168,20 +170,20 @@
 	}
 	switch f := fact.(type) {
 	case traffic.Configuration:
-		n.applyConfiguration(f, item.Revision, from)
+		n.applyConfiguration(f, item.Revision, source)
 	case traffic.AdapterVersion:
 		n.applyVersion(f, item.Revision)
 	}
 	return true
 }
 
-func (n *Node) applyConfiguration(configuration traffic.Configuration, revision int64, from string) {
-	k := &n.knowledge
-	if before := k.table.Load(); before != nil && before.Configuration.Version > configuration.Version {
-		n.Log.Warn().Int64("Version", configuration.Version).Int64("Revision", revision).Msg("ConfigurationOlder")
+func (n *Node) applyConfiguration(configuration traffic.Configuration, revision int64, source string) {
+	v := &n.view
+	if previous := v.table.Load(); previous != nil && previous.Configuration.Version > configuration.Version {
+		n.Log.Warn().Int64("Version", configuration.Version).Int64("Revision", revision).Msg("StaleConfigurationIgnored")
 		return
 	}
-	k.table.Store(traffic.NewTable(configuration))
+	v.table.Store(traffic.NewTable(configuration))
 	limits := make(map[string]quota.Limit)
 	for _, workspace := range configuration.Workspaces {
 		limits[workspace.Name] = quota.Limit{Rate: workspace.Rate, Burst: workspace.Burst}
@@ -192,20 +194,20 @@
 	})
 	n.Log.Info().Int64("Version", configuration.Version).Int64("Revision", revision).
 		Int("Routes", len(configuration.Routes)).Int("Workspaces", len(configuration.Workspaces)).
-		Str("From", from).Int64("ConfirmedMillis", n.ConfirmedAge().Milliseconds()).
+		Str("From", source).Int64("ConfirmedMillis", n.ConfirmedAge().Milliseconds()).
 		Msg("ConfigurationInForce")
 }
 
 func (n *Node) applyVersion(version traffic.AdapterVersion, revision int64) {
-	k := &n.knowledge
-	if k.newest == nil {
-		k.newest = make(map[traffic.Adapter]newest)
+	v := &n.view
+	if v.newest == nil {
+		v.newest = make(map[traffic.Adapter]declaredVersion)
 	}
-	if k.newest[version.Adapter].version >= version.Version {
+	if v.newest[version.Adapter].version >= version.Version {
 		return
 	}
-	k.newest[version.Adapter] = newest{version: version.Version, since: time.Now()}
-	k.declarations++
+	v.newest[version.Adapter] = declaredVersion{version: version.Version, since: time.Now()}
+	v.declarations++
 	n.Log.Info().Str("Adapter", version.Adapter.String()).Int64("Version", version.Version).
 		Int64("Revision", revision).Msg("AdapterVersionDeclared")
 }
--- a/internal/entry/node/suspension.go
+++ b/internal/entry/node/suspension.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspension.go reads for how long the machine has been suspended.
+// suspension.go reads how long the machine has been suspended.
 
-// timeSuspended is for how long the machine has been suspended since it was started. The runtime's clock stands
-// still meanwhile, so that a lease which ended long ago would look valid after the machine has woken up. A clock
-// that cannot be read counts as never suspended; Linux has both.
+// timeSuspended returns how long the machine has been suspended since it was started. The clock of the runtime does not
+// advance during a suspension. Without this correction, a lease that expired long ago would look valid after the
+// machine resumes. A clock that cannot be read counts as never suspended; Linux has both clocks.
 func timeSuspended() time.Duration {
 	var steady, withSuspension unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
