--- a/internal/command/daemon/serve.go
+++ b/internal/command/daemon/serve.go
@@ -78,16 +78,16 @@
 	store := &platform.Store{Client: client()}
 	store.Set(settings.Platform.StoreAddress, settings.Platform.StoreTimeout)
 	instance := &node.Node{
-		Settings:  settings,
-		Store:     store,
-		Decoder:   platform.Decoder{},
-		Dialect:   platform.Dialect{},
-		Orders:    &platform.Orders{Client: client(), Timeout: orderTimeout},
-		ReadyPath: platform.PathReady,
-		Log:       logger,
-		Dropped:   ring.Dropped,
-		Reread:    func() (node.Settings, error) { return node.LoadSettings(v.file) },
-		Apply: func(changed node.Settings) {
+		Settings:         settings,
+		Store:            store,
+		Decoder:          platform.Decoder{},
+		Dialect:          platform.Dialect{},
+		Orders:           &platform.Orders{Client: client(), Timeout: orderTimeout},
+		ReadyPath:        platform.PathReady,
+		Log:              logger,
+		DroppedLogEvents: ring.Dropped,
+		ReloadSettings:   func() (node.Settings, error) { return node.LoadSettings(v.file) },
+		ApplySettings: func(changed node.Settings) {
 			store.Set(changed.Platform.StoreAddress, changed.Platform.StoreTimeout)
 		},
 	}
--- a/internal/entry/node/confirmation.go
+++ b/internal/entry/node/confirmation.go
@@ -38,8 +38,8 @@
 // negative if the store never did.
 func (n *Node) ConfirmedAge() time.Duration { return n.view.confirmed.age(time.Now()) }
 
-// MayLackChanges reports whether the last confirmation is older than the time within which a change has to be in force.
-func (n *Node) MayLackChanges() bool {
+// MayBeStale reports whether the last confirmation is older than the time within which a change has to be in force.
+func (n *Node) MayBeStale() bool {
 	age := n.ConfirmedAge()
 	return age < 0 || age > n.current.Load().Callers.ChangeWithin
 }
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -34,8 +34,8 @@
 	fingerprint suspect.Fingerprint
 }
 
-// Broke queues a crash check for a response that broke off with its connection.
-func (n *Node) Broke(upstream traffic.Upstream, fingerprint suspect.Fingerprint) {
+// ReportBrokenResponse queues a crash check for a response that broke off with its connection.
+func (n *Node) ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint) {
 	select {
 	case n.brokenResponses <- brokenResponse{upstream: upstream, fingerprint: fingerprint}:
 	default:
--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -103,9 +103,9 @@
 	n := &node.Node{
 		Settings: i.settings, Store: i.client, Decoder: decoder{}, Dialect: dialect{},
 		Orders: &acceptingOrders{}, ReadyPath: pathReady, Log: zerolog.New(i.log).With().Timestamp().Logger(),
-		Dropped: func() int { return 0 },
-		Apply:   func(node.Settings) {},
-		Reread: func() (node.Settings, error) {
+		DroppedLogEvents: func() int { return 0 },
+		ApplySettings:    func(node.Settings) {},
+		ReloadSettings: func() (node.Settings, error) {
 			i.mutex.Lock()
 			defer i.mutex.Unlock()
 			return i.reread()
--- a/internal/entry/node/holder_requests.go
+++ b/internal/entry/node/holder_requests.go
@@ -38,9 +38,9 @@
 // more than a better choice of upstream would save.
 const holderQueryTimeout = 30 * time.Millisecond
 
-// Ask queries the holder of an upstream for the models that are loaded and the requests that are in flight
+// QueryHolder queries the holder of an upstream for the models that are loaded and the requests that are in flight
 // there. If no response arrives, nothing changes.
-func (n *Node) Ask(ctx context.Context, upstream string) {
+func (n *Node) QueryHolder(ctx context.Context, upstream string) {
 	instance, found := n.holderOf(upstream)
 	if !found || instance.Name == n.self.Name || !n.overlay.isAlive(time.Now(), instance.Name) {
 		return
@@ -66,10 +66,10 @@
 	return n.view.roster.Instance(holder.Instance)
 }
 
-// Touch notifies the holder of an upstream immediately that this instance begins or ends a send there.
+// NotifyHolder notifies the holder of an upstream immediately that this instance begins or ends a send there.
 // Otherwise the slot of an adapter would stay reserved, or count as occupied, for one heartbeat too long,
 // and the requests of other instances would queue behind requests that those instances cannot see.
-func (n *Node) Touch(upstream string) {
+func (n *Node) NotifyHolder(upstream string) {
 	if held := n.heldUpstreams.get(upstream); held != nil {
 		held.wakeLoop()
 		return
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -62,12 +62,12 @@
 	Orders    Orders
 	ReadyPath string
 	Log       zerolog.Logger
-	// Dropped returns the number of log events that were dropped since the previous call.
-	Dropped func() int
-	// Reread reads the settings again.
-	Reread func() (Settings, error)
-	// Apply passes changed settings to components that the node does not own.
-	Apply func(Settings)
+	// DroppedLogEvents returns the number of log events that were dropped since the previous call.
+	DroppedLogEvents func() int
+	// ReloadSettings reads the settings again.
+	ReloadSettings func() (Settings, error)
+	// ApplySettings passes changed settings to components that the node does not own.
+	ApplySettings func(Settings)
 
 	// current is Settings as of the last reload.
 	current         atomic.Pointer[Settings]
--- a/internal/entry/node/reload.go
+++ b/internal/entry/node/reload.go
@@ -37,7 +37,7 @@
 
 // reload applies the settings if they are valid. Otherwise the settings in force stay.
 func (n *Node) reload(signalled bool) {
-	settings, err := n.Reread()
+	settings, err := n.ReloadSettings()
 	if err != nil {
 		n.Log.Error().Err(err).Msg("ReloadFailed")
 		return
@@ -50,7 +50,7 @@
 		return
 	}
 	n.current.Store(&settings)
-	n.Apply(settings)
+	n.ApplySettings(settings)
 	if settings.Retries != previous.Retries {
 		n.advice.With(func(a *serve.Advice) { a.Retries = retryBudgets(settings.Retries) })
 	}
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -215,5 +215,5 @@
 	return nil
 }
 
-// ShareSpent sends the usage that this instance has admitted to the other instances immediately.
-func (n *Node) ShareSpent() { n.overlay.requestSpentSend() }
+// PublishSpent sends the usage that this instance has admitted to the other instances immediately.
+func (n *Node) PublishSpent() { n.overlay.requestSpentSend() }
--- a/internal/gateway/serve/busy_test.go
+++ b/internal/gateway/serve/busy_test.go
@@ -25,8 +25,8 @@
 }
 
 func (f *busyFleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
-func (f *busyFleet) Ask(context.Context, string)          {}
-func (f *busyFleet) Touch(string)                         {}
+func (f *busyFleet) QueryHolder(context.Context, string)  {}
+func (f *busyFleet) NotifyHolder(string)                  {}
 
 func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
 	f.asked[request.Upstream] = true
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -125,8 +125,8 @@
 	now := time.Now()
 	var sending *pool.Send
 	h.Advice.With(func(a *Advice) { sending = a.Pool.Begin(now, choice, query) })
-	h.Fleet.Touch(choice.Upstream.ID)
-	defer h.Fleet.Touch(choice.Upstream.ID)
+	h.Fleet.NotifyHolder(choice.Upstream.ID)
+	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
 	exchanging, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	ended, err = j.exchange(exchanging, cancel, choice, query, sending)
@@ -163,7 +163,7 @@
 		end = pool.EndRefused
 	}
 	if ended == resultBroken && ctx.Err() == nil && !errors.Is(err, errSilent) {
-		j.handler.Fleet.Broke(upstream, j.fingerprint)
+		j.handler.Fleet.ReportBrokenResponse(upstream, j.fingerprint)
 	}
 	j.handler.Advice.With(func(a *Advice) {
 		now := time.Now()
--- a/internal/gateway/serve/first_event_test.go
+++ b/internal/gateway/serve/first_event_test.go
@@ -17,7 +17,7 @@
 	count int
 }
 
-func (f *touched) Touch(string) { f.count++ }
+func (f *touched) NotifyHolder(string) { f.count++ }
 
 // Prompts take turns, and the next one waits until the holder hears of this one's first event. Untold, the engine is
 // idle until a heartbeat comes. Where no turns are taken nobody waits for it, and in a large fleet such messages would
--- a/internal/gateway/serve/placing.go
+++ b/internal/gateway/serve/placing.go
@@ -29,7 +29,7 @@
 		if err != nil || known {
 			return choice, query, err
 		}
-		j.handler.Fleet.Ask(ctx, choice.Upstream.ID)
+		j.handler.Fleet.QueryHolder(ctx, choice.Upstream.ID)
 		asked = append(asked, choice.Upstream.ID)
 	}
 	// The next one would look idle just for not having been asked.
@@ -132,7 +132,7 @@
 	}
 	j.handler.Advice.With(func(a *Advice) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
 	if tokens > 0 {
-		j.handler.Fleet.Touch(choice.Upstream.ID)
+		j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 	}
 	return waiting
 }
@@ -140,7 +140,7 @@
 // endPreparing ends what beginPreparing began.
 func (j *job) endPreparing(choice pool.Choice, waiting pool.Preparation) {
 	j.handler.Advice.With(func(*Advice) { waiting.Done() })
-	j.handler.Fleet.Touch(choice.Upstream.ID)
+	j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 }
 
 // noteBusy takes note of when the holder of an upstream that has no place or turn expects one.
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -19,7 +19,7 @@
 	meanwhile func()
 }
 
-func (f holderless) Touch(string) {}
+func (f holderless) NotifyHolder(string) {}
 
 func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
 	f.meanwhile()
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -214,7 +214,7 @@
 	first := false
 	r.job.handler.Advice.With(func(*Advice) { first = r.sending.Answered(now) })
 	if first && r.job.inTurn {
-		r.job.handler.Fleet.Touch(r.job.upstream)
+		r.job.handler.Fleet.NotifyHolder(r.job.upstream)
 	}
 }
 
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -32,21 +32,21 @@
 	Table() *traffic.Table
 	// ConfirmedAge is how long ago the store confirmed the configuration in force as its newest; negative if never.
 	ConfirmedAge() time.Duration
-	// MayLackChanges reports whether changes of the configuration may be missing that operators expect to be in force.
-	MayLackChanges() bool
+	// MayBeStale reports whether changes of the configuration may be missing that operators expect to be in force.
+	MayBeStale() bool
 	// Newest is the newest declared version of an adapter, 0 if none was declared. Required tells that
 	// requests must not begin on an older one any more.
 	Newest(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare has an adapter loaded at an upstream and waits for it.
 	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
-	// Ask asks for what is loaded and under way at an upstream, for the next choice.
-	Ask(ctx context.Context, upstream string)
-	// ShareSpent lets the other instances know at once what this one has admitted.
-	ShareSpent()
-	// Touch tells that this instance has begun or ended a send to an upstream.
-	Touch(upstream string)
-	// Broke tells that an answer broke with its connection: the upstream may have crashed.
-	Broke(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
+	// QueryHolder asks for what is loaded and under way at an upstream, for the next choice.
+	QueryHolder(ctx context.Context, upstream string)
+	// PublishSpent lets the other instances know at once what this one has admitted.
+	PublishSpent()
+	// NotifyHolder tells that this instance has begun or ended a send to an upstream.
+	NotifyHolder(upstream string)
+	// ReportBrokenResponse tells that an answer broke with its connection: the upstream may have crashed.
+	ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
 }
 
 // Advice is what this instance has learnt and decides by. Its parts are not safe for several goroutines,
@@ -209,7 +209,7 @@
 // said by a configuration that may be out of date: the route or key may have been added.
 func (j *job) unknown(code refusal.Code, reason string) error {
 	j.refusedByTable = true
-	if j.handler.Fleet.MayLackChanges() {
+	if j.handler.Fleet.MayBeStale() {
 		return refusal.New(refusal.NotFresh, "the configuration may be out of date: "+reason).WithRetryAfter(startingRetryAfter)
 	}
 	return refusal.New(code, reason)
@@ -257,7 +257,7 @@
 		}
 	})
 	if shareSpent {
-		j.handler.Fleet.ShareSpent()
+		j.handler.Fleet.PublishSpent()
 	}
 	j.alone = verdict == suspect.Alone
 	switch {
--- a/internal/gateway/serve/world_test.go
+++ b/internal/gateway/serve/world_test.go
@@ -47,12 +47,12 @@
 
 func (f *fleet) Table() *traffic.Table                { return f.table.Load() }
 func (f *fleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
-func (f *fleet) Ask(context.Context, string)          {}
+func (f *fleet) QueryHolder(context.Context, string)  {}
 func (f *fleet) ConfirmedAge() time.Duration          { return 0 }
-func (f *fleet) MayLackChanges() bool                 { return f.outdated }
-func (f *fleet) ShareSpent()                          {}
-func (f *fleet) Touch(string)                         {}
-func (f *fleet) Broke(u traffic.Upstream, _ suspect.Fingerprint) {
+func (f *fleet) MayBeStale() bool                     { return f.outdated }
+func (f *fleet) PublishSpent()                        {}
+func (f *fleet) NotifyHolder(string)                  {}
+func (f *fleet) ReportBrokenResponse(u traffic.Upstream, _ suspect.Fingerprint) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.broken = append(f.broken, u.ID)
