--- a/internal/placement/residence/capacity.go
+++ b/internal/placement/residence/capacity.go
@@ -6,19 +6,19 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// room.go tells what there is room for, and what can go.
+// capacity.go counts slots and memory, and selects the adapter to evict.
 
-func (p *Planner) inTransit() (count int) {
-	for adapter, known := range p.places {
-		if adapter.Name != "" && (known.state == loading || known.ordered > 0) {
+func (p *Planner) loadsInProgress() (count int) {
+	for adapter, s := range p.slots {
+		if adapter.Name != "" && (s.state == loading || s.loadingVersion > 0) {
 			count++
 		}
 	}
 	return count
 }
 
-func (p *Planner) adapters() (count int) {
-	for adapter := range p.places {
+func (p *Planner) adapterCount() (count int) {
+	for adapter := range p.slots {
 		if adapter.Name != "" {
 			count++
 		}
@@ -26,13 +26,13 @@
 	return count
 }
 
-// fits tells whether the upstream's memory has room for one more adapter.
+// fits reports whether the upstream's memory has room for one more adapter.
 func (p *Planner) fits(adapter traffic.Adapter) bool {
 	if p.Engine.WeightsMB <= 0 {
 		return true
 	}
 	total := p.size(adapter)
-	for present := range p.places {
+	for present := range p.slots {
 		total += p.size(present)
 	}
 	return total <= p.Engine.WeightsMB
@@ -51,13 +51,13 @@
 	return 0
 }
 
-// victim is the idle adapter that was used longest ago.
+// victim returns the least recently used idle adapter.
 func (p *Planner) victim(now time.Time) (victim traffic.Adapter, found bool) {
-	for adapter, known := range p.places {
-		if adapter.Name == "" || !p.isIdle(now, adapter, known) {
+	for adapter, s := range p.slots {
+		if adapter.Name == "" || !p.isIdle(now, adapter, s) {
 			continue
 		}
-		if !found || known.used.Before(p.places[victim].used) {
+		if !found || s.usedAt.Before(p.slots[victim].usedAt) {
 			victim = adapter
 			found = true
 		}
@@ -65,10 +65,10 @@
 	return victim, found
 }
 
-func (p *Planner) isIdle(now time.Time, adapter traffic.Adapter, known *place) bool {
-	if known.state != loaded || known.ordered != 0 || p.inUse[adapter] || now.Before(known.reservedUntil) {
+func (p *Planner) isIdle(now time.Time, adapter traffic.Adapter, s *slot) bool {
+	if s.state != loaded || s.loadingVersion != 0 || p.inUse[adapter] || now.Before(s.reservedUntil) {
 		return false
 	}
-	_, wanted := p.wants[adapter]
-	return !wanted
+	_, awaited := p.waiters[adapter]
+	return !awaited
 }
--- a/internal/placement/residence/load_times.go
+++ b/internal/placement/residence/load_times.go
@@ -8,16 +8,16 @@
 	"lacewingrock.example/lacewingrock/internal/placement/forecast"
 )
 
-// load_times.go learns how long loads take, and decides when to check whether one is done.
+// load_times.go measures how long loads take and decides when to poll whether one has finished.
 
-// LoadTimes tells how long an adapter takes to load, from the weight store and where it was loaded lately, once
-// some loads were seen.
+// LoadTimes returns how long an adapter takes to load: full from the weight store, reload where the upstream loaded
+// it recently. seen is false until some full loads were measured.
 func (p *Planner) LoadTimes() (full, reload time.Duration, seen bool) {
 	return p.fullLoads.Usual(), p.reloads.Usual(), p.fullLoads.Seen()
 }
 
-// firstCheck is how long after its order a load is first checked.
-func (p *Planner) firstCheck(adapter traffic.Adapter, known *place) time.Duration {
+// firstPoll returns the delay between a load order and the first poll of its completion.
+func (p *Planner) firstPoll(adapter traffic.Adapter, s *slot) time.Duration {
 	if adapter.Name == "" {
 		for _, model := range p.Engine.Models {
 			if model.Name == adapter.Model {
@@ -25,37 +25,37 @@
 			}
 		}
 	}
-	return p.loads(known).FirstPoll()
+	return p.loadForecast(s).FirstPoll()
 }
 
-// checkPause is the pause between two checks of a load.
-func (p *Planner) checkPause(adapter traffic.Adapter, known *place) time.Duration {
-	if adapter.Name == "" || known.orderedAt.IsZero() {
-		return checkAgain
+// pollDelay returns the interval between two polls of a load's completion.
+func (p *Planner) pollDelay(adapter traffic.Adapter, s *slot) time.Duration {
+	if adapter.Name == "" || s.orderedAt.IsZero() {
+		return pollInterval
 	}
-	return p.loads(known).NextPoll()
+	return p.loadForecast(s).NextPoll()
 }
 
-func (p *Planner) loads(known *place) *forecast.Load {
-	if known.reload {
+func (p *Planner) loadForecast(s *slot) *forecast.Load {
+	if s.reload {
 		return &p.reloads
 	}
 	return &p.fullLoads
 }
 
-func (p *Planner) remember(adapter traffic.Adapter) {
-	p.recent = slices.DeleteFunc(p.recent, func(known traffic.Adapter) bool { return known == adapter })
+func (p *Planner) rememberRecent(adapter traffic.Adapter) {
+	p.recent = slices.DeleteFunc(p.recent, func(other traffic.Adapter) bool { return other == adapter })
 	p.recent = append(p.recent, adapter)
-	if len(p.recent) > lately {
+	if len(p.recent) > maxRecent {
 		p.recent = p.recent[1:]
 	}
 }
 
-// learnLoad takes note of how long a load took. One that was not seen from its order on tells nothing, nor does one
-// that replaced a version, which waits for the requests that use it.
-func (p *Planner) learnLoad(now time.Time, adapter traffic.Adapter, known *place) {
-	if adapter.Name != "" && known.state == loading && !known.orderedAt.IsZero() && known.checks > 0 {
-		p.loads(known).Done(now.Sub(known.orderedAt), known.checks == 1)
+// recordLoadTime records how long a load took. It skips a load whose order was not given by this planner, and one that
+// replaced a version, as that waits for the requests that use the old version.
+func (p *Planner) recordLoadTime(now time.Time, adapter traffic.Adapter, s *slot) {
+	if adapter.Name != "" && s.state == loading && !s.orderedAt.IsZero() && s.polls > 0 {
+		p.loadForecast(s).Done(now.Sub(s.orderedAt), s.polls == 1)
 	}
-	known.orderedAt = time.Time{}
+	s.orderedAt = time.Time{}
 }
--- a/internal/placement/residence/load_times_test.go
+++ b/internal/placement/residence/load_times_test.go
@@ -11,9 +11,9 @@
 	"lacewingrock.example/lacewingrock/internal/placement/residence"
 )
 
-// An engine takes much longer, or much less, to load an adapter than others do. By their figures its loads are looked
-// at thirty times each, or requests wait for adapters that have long been there.
-func TestLoadsOfAnotherEngineAreLearnt(t *testing.T) {
+// An engine loads adapters much more slowly or quickly than the other engines. With their load times, each load would be
+// polled thirty times, or requests would wait for adapters that were loaded long before.
+func TestLoadTimesOfSlowAndFastEnginesAreLearned(t *testing.T) {
 	for _, took := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -22,19 +22,19 @@
 				p.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
 				time.Sleep(time.Second)
 				p.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
-				looks, late := 0, time.Duration(0)
+				polls, delay := 0, time.Duration(0)
 				const loads = 30
 				for i := range loads {
-					more, after := loadOne(is, p, adapter(string(rune('A'+i))), took)
+					loadPolls, loadDelay := loadOne(is, p, adapter(string(rune('A'+i))), took)
 					if i >= loads/2 {
-						looks += more
-						late += after
+						polls += loadPolls
+						delay += loadDelay
 					}
 				}
-				is.True(late/(loads/2) <= max(took/4, 20*time.Millisecond))
-				is.True(looks <= 4*loads/2)
-				full, _, seen := p.LoadTimes()
-				is.True(seen)
+				is.True(delay/(loads/2) <= max(took/4, 20*time.Millisecond))
+				is.True(polls <= 4*loads/2)
+				full, _, measured := p.LoadTimes()
+				is.True(measured)
 				ratio := float64(full) / float64(took)
 				is.True(ratio > 0.75 && ratio < 1.3)
 			})
@@ -42,11 +42,11 @@
 	}
 }
 
-// loadOne has one adapter loaded, and tells how often it was looked at and how late it was found.
-func loadOne(is *is.I, p *residence.Planner, wanted traffic.Adapter, took time.Duration) (looks int, late time.Duration) {
+// loadOne loads one adapter and returns how often the load was polled and how late its completion was detected.
+func loadOne(is *is.I, p *residence.Planner, requested traffic.Adapter, took time.Duration) (polls int, delay time.Duration) {
 	is.Helper()
-	p.Want(time.Now(), wanted, 0, 0, time.Now().Add(time.Minute))
-	defer p.Unwant(wanted)
+	p.Want(time.Now(), requested, 0, 0, time.Now().Add(time.Minute))
+	defer p.Unwant(requested)
 	var done time.Time
 	sequence := int64(0)
 	for {
@@ -58,10 +58,10 @@
 				p.Ordered(time.Now(), step.Order, residence.Accepted)
 				continue
 			}
-			looks++
+			polls++
 			if !time.Now().Before(done) {
 				p.Ordered(time.Now(), step.Order, residence.Holds)
-				return looks, time.Since(done)
+				return polls, time.Since(done)
 			}
 			p.Ordered(time.Now(), step.Order, residence.Accepted)
 		case residence.Inspect:
--- a/internal/placement/residence/orders.go
+++ b/internal/placement/residence/orders.go
@@ -6,32 +6,32 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// orders.go finds the order that is to be given next.
+// orders.go selects the next order for the upstream.
 
-// load gives the order that the wants ask for: to load, or to make room first.
-func (p *Planner) load(now time.Time) (order Order, found bool) {
+// nextLoad returns the next order that serves the waiting requests: a load, or an unload that frees a slot for it.
+func (p *Planner) nextLoad(now time.Time) (order Order, found bool) {
 	if model, missing := p.missingModel(now); missing {
 		return Order{Adapter: model}, true
 	}
 	if p.isReplacing() {
-		return Order{}, false // the upstream refuses all else until that is done
+		return Order{}, false // the upstream refuses all other orders until the replacement has finished
 	}
 	if adapter, version, stale := p.staleVersion(now); stale {
 		return Order{Adapter: adapter, Version: version}, true
 	}
-	for _, adapter := range p.wantedFirst(now) {
-		known := p.places[adapter]
-		if known != nil || adapter.Name == "" {
+	for _, adapter := range p.adaptersByUrgency(now) {
+		s := p.slots[adapter]
+		if s != nil || adapter.Name == "" {
 			continue
 		}
-		if p.inTransit() >= mostInTransit {
+		if p.loadsInProgress() >= maxConcurrentLoads {
 			return Order{}, false
 		}
-		if p.settled && p.adapters() < p.Engine.AdapterPlaces && p.fits(adapter) {
+		if p.confirmed && p.adapterCount() < p.Engine.AdapterPlaces && p.fits(adapter) {
 			return Order{Adapter: adapter, Version: p.newest[adapter]}, true
 		}
 		if victim, idle := p.victim(now); idle {
-			p.granted(now)
+			p.updatePace(now)
 			return Order{Unload: true, Adapter: victim}, true
 		}
 		return Order{}, false
@@ -39,14 +39,14 @@
 	return Order{}, false
 }
 
-// missingModel finds the base model to load where none is there: the wanted one, or the first.
+// missingModel returns the base model to load if none is loaded: the one that requests wait for, or else the first.
 func (p *Planner) missingModel(now time.Time) (traffic.Adapter, bool) {
-	for adapter := range p.places {
+	for adapter := range p.slots {
 		if adapter.Name == "" {
 			return traffic.Adapter{}, false
 		}
 	}
-	for _, adapter := range p.wantedFirst(now) {
+	for _, adapter := range p.adaptersByUrgency(now) {
 		return traffic.Adapter{Model: adapter.Model}, true
 	}
 	if len(p.Engine.Models) == 0 {
@@ -55,23 +55,24 @@
 	return traffic.Adapter{Model: p.Engine.Models[0].Name}, true
 }
 
-// isReplacing tells whether a version is being replaced, or a model loaded.
+// isReplacing reports whether a version is being replaced or a base model is being loaded.
 func (p *Planner) isReplacing() bool {
-	for adapter, known := range p.places {
-		if known.ordered > 0 && (known.state == loaded || adapter.Name == "") {
+	for adapter, s := range p.slots {
+		if s.loadingVersion > 0 && (s.state == loaded || adapter.Name == "") {
 			return true
 		}
 	}
 	return false
 }
 
-// staleVersion finds a loaded adapter of which a newer version was declared, if it is in use or wanted.
+// staleVersion returns a loaded adapter that has a newer declared version, if requests wait for it or used it within
+// replaceIfUsedWithin.
 func (p *Planner) staleVersion(now time.Time) (adapter traffic.Adapter, version int64, found bool) {
-	for adapter, known := range p.places {
-		if known.state != loaded || known.ordered != 0 || known.version >= p.newest[adapter] {
+	for adapter, s := range p.slots {
+		if s.state != loaded || s.loadingVersion != 0 || s.version >= p.newest[adapter] {
 			continue
 		}
-		if p.wants[adapter] != nil || now.Sub(known.used) < replaceUsedWithin {
+		if p.waiters[adapter] != nil || now.Sub(s.usedAt) < replaceIfUsedWithin {
 			return adapter, p.newest[adapter], true
 		}
 	}
--- a/internal/placement/residence/outcomes.go
+++ b/internal/placement/residence/outcomes.go
@@ -5,110 +5,111 @@
 	"time"
 )
 
-// outcomes.go is what the outcome of an order tells of the upstream.
+// outcomes.go updates the planner's state from the outcomes of orders.
 
-// Ordered takes note of an order's outcome.
+// Ordered records an order's outcome.
 //
-// An order without an answer is given again at once, for the same count of accepted orders. If the first
-// was accepted, the second finds it so; if it was not, the second takes its place and the first is void
-// when it comes late. Waiting for the upstream's report instead would hold up everything that waits for an
-// adapter there for half a second each time.
+// An order without an answer is repeated at once with the same sequence number. If the upstream accepted the first
+// copy, it answers the second accordingly. If it did not, the second copy replaces the first, which is void when it
+// arrives late. Waiting for the upstream's report instead would delay every request that waits for an adapter there
+// by half a second each time.
 func (p *Planner) Ordered(now time.Time, order Order, outcome Outcome) {
-	p.prepare()
+	p.ensureInitialised()
 	repeated := p.unanswered != nil
 	if outcome != NoAnswer {
 		p.unanswered = nil
 	}
-	if known := p.places[order.Adapter]; known != nil && outcome != NoAnswer {
-		known.leaving = false
+	if s := p.slots[order.Adapter]; s != nil && outcome != NoAnswer {
+		s.unloadOrdered = false
 	}
 	switch outcome {
 	case Accepted:
-		p.accepted(now, order)
+		p.recordAccepted(now, order)
 	case Holds:
-		p.holds(now, order, repeated)
+		p.recordDone(now, order, repeated)
 	case Conflict:
 		if repeated {
-			p.accepted(now, order) // the first one was
+			p.recordAccepted(now, order) // the first copy was accepted
 			return
 		}
-		p.doubt(now, reportLag)
+		p.invalidate(now, reportLag)
 	case NoAnswer:
-		p.noAnswer(now, order)
+		p.scheduleRepeat(now, order)
 	case Rejected, Fenced, OtherUpstream:
-		p.doubt(now, reportLag)
+		p.invalidate(now, reportLag)
 	}
 }
 
-// noAnswer has the order given again, after some repeats only once a report came. The order is kept until
-// the upstream has accepted it or another: until then the first copy may still be carried out.
-func (p *Planner) noAnswer(now time.Time, order Order) {
+// scheduleRepeat schedules the order's repetition; after maxRepeats repeats it waits for a report first. The order is kept
+// until the upstream has accepted it or another one: until then the first copy may still be executed.
+func (p *Planner) scheduleRepeat(now time.Time, order Order) {
 	if p.unanswered == nil {
 		p.repeats = 0
 	}
 	p.repeats++
 	p.unanswered = &order
-	p.repeatAt = now.Add(repeatAfter)
-	if p.repeats > mostRepeats {
+	p.repeatAt = now.Add(repeatDelay)
+	if p.repeats > maxRepeats {
 		p.repeats = 0
-		p.doubt(now, reportLag)
+		p.invalidate(now, reportLag)
 	}
 }
 
-// doubt makes the planner wait for a report that is newer than the last order.
-func (p *Planner) doubt(now time.Time, wait time.Duration) {
-	p.known = false
-	p.inspectAt = now.Add(wait)
+// invalidate marks the upstream's state as unknown. The planner gives no order until it has a report newer than the last
+// order, and fetches one after the given wait.
+func (p *Planner) invalidate(now time.Time, wait time.Duration) {
+	p.stateKnown = false
+	p.fetchAt = now.Add(wait)
 }
 
-func (p *Planner) accepted(now time.Time, order Order) {
-	known := p.places[order.Adapter]
-	if known != nil && (known.state == unloading && order.Unload || known.ordered > 0 && !order.Unload) {
-		known.checkAt = now.Add(p.checkPause(order.Adapter, known)) // a check, and the order is still being carried out
+func (p *Planner) recordAccepted(now time.Time, order Order) {
+	s := p.slots[order.Adapter]
+	if s != nil && (s.state == unloading && order.Unload || s.loadingVersion > 0 && !order.Unload) {
+		s.pollAt = now.Add(p.pollDelay(order.Adapter, s)) // the answer to a poll: the order is still being executed
 		return
 	}
 	p.sequence = order.Sequence + 1
 	if order.Unload {
-		if known != nil {
-			known.state = unloading
-			known.checkAt = now.Add(checkAgain)
+		if s != nil {
+			s.state = unloading
+			s.pollAt = now.Add(pollInterval)
 		}
 		return
 	}
-	if known == nil {
-		known = &place{state: loading, used: now}
-		p.places[order.Adapter] = known
+	if s == nil {
+		s = &slot{state: loading, usedAt: now}
+		p.slots[order.Adapter] = s
 	}
-	known.ordered = max(order.Version, p.newest[order.Adapter], 1)
-	known.asked = order.Version
-	known.reload = slices.Contains(p.recent, order.Adapter)
-	known.orderedAt = now
-	known.checks = 0
-	known.checkAt = now.Add(p.firstCheck(order.Adapter, known))
-	p.remember(order.Adapter)
+	s.loadingVersion = max(order.Version, p.newest[order.Adapter], 1)
+	s.orderedVersion = order.Version
+	s.reload = slices.Contains(p.recent, order.Adapter)
+	s.orderedAt = now
+	s.polls = 0
+	s.pollAt = now.Add(p.firstPoll(order.Adapter, s))
+	p.rememberRecent(order.Adapter)
 }
 
-// holds: a load or unload is done, by this order or before it.
-func (p *Planner) holds(now time.Time, order Order, repeated bool) {
-	known := p.places[order.Adapter]
+// recordDone records that a load or unload has finished, by this order or an earlier one.
+func (p *Planner) recordDone(now time.Time, order Order, repeated bool) {
+	s := p.slots[order.Adapter]
 	if order.Unload {
-		if known == nil || known.state != unloading {
+		if s == nil || s.state != unloading {
 			p.sequence = order.Sequence + 1
 		}
-		delete(p.places, order.Adapter)
+		delete(p.slots, order.Adapter)
 		return
 	}
-	if known == nil {
-		known = &place{}
-		p.places[order.Adapter] = known
+	if s == nil {
+		s = &slot{}
+		p.slots[order.Adapter] = s
 	}
-	if repeated && known.ordered == 0 {
+	if repeated && s.loadingVersion == 0 {
 		p.sequence = order.Sequence + 1
 	}
-	p.learnLoad(now, order.Adapter, known)
-	known.state = loaded
-	known.version = max(order.Version, known.version, known.ordered)
-	known.ordered = 0
-	known.used = now
-	known.reservedUntil = now.Add(reserved)
+	p.recordLoadTime(now, order.Adapter, s)
+	s.state = loaded
+	s.version = max(order.Version, s.version, s.loadingVersion)
+	s.loadingVersion = 0
+	s.usedAt = now
+	s.reservedUntil = now.Add(reservationTime)
 }
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	// reportLag is how old a report may be when it arrives, by the upstreams' description; a report read
-	// sooner after an order may not show it.
+	// reportLag is the maximum age of a report on arrival, according to the upstreams' documentation. A report
+	// fetched sooner after an order may not show that order's effect.
 	reportLag = 300 * time.Millisecond
-	// inspectAgain is the pause between two reports while the state is not known: each one is billed.
-	inspectAgain = 150 * time.Millisecond
-	// inspectAnyway is how old the last report may get. It finds out what changed without an order, such
-	// as a restart that nobody has noticed.
-	inspectAnyway = 10 * time.Second
-	// mostInTransit is how many adapters an upstream takes at once.
-	mostInTransit = 4
-	// checkAgain is the pause between two checks of an order that loads no adapter.
-	checkAgain = 30 * time.Millisecond
-	// mostRepeats is how often an order without an answer is given again before the upstream is taken to
-	// be away and its report is waited for; repeatAfter is the pause between two.
-	mostRepeats = 6
-	repeatAfter = 15 * time.Millisecond
-	// replaceUsedWithin: an adapter that was used this lately is replaced as soon as a newer version is
-	// declared, the others once they are wanted.
-	replaceUsedWithin = 3 * time.Second
-	// reserved is how long an adapter that was just prepared for a request counts as in use, unless the
-	// request shows before: instances tell the holder at once when they begin and end to use an adapter.
-	reserved = 350 * time.Millisecond
-	// usualTurnover is how long a place is taken until it is free for the next adapter, as long as nothing
-	// was measured: a load and a short stream. The measured pace follows the last few grants; gaps longer
-	// than longestPace say that nothing waited.
-	usualTurnover = 700 * time.Millisecond
-	paceLearning  = 0.2
-	longestPace   = time.Second
-	// lately is how many evicted adapters the upstream is taken to have a copy of.
-	lately = 30
+	// fetchInterval is the interval between two report requests while the state is unknown: each request is billed.
+	fetchInterval = 150 * time.Millisecond
+	// maxReportAge is the maximum age of the last report. Refreshing it detects changes that no order made, such
+	// as an undetected restart.
+	maxReportAge = 10 * time.Second
+	// maxConcurrentLoads is how many adapters an upstream can load at the same time.
+	maxConcurrentLoads = 4
+	// pollInterval is the poll interval for an order that loads no adapter.
+	pollInterval = 30 * time.Millisecond
+	// maxRepeats is how often an order without an answer is repeated before the upstream is considered
+	// unreachable and the planner waits for its report. repeatDelay is the delay before each repeat.
+	maxRepeats  = 6
+	repeatDelay = 15 * time.Millisecond
+	// replaceIfUsedWithin is the age of the last use up to which an adapter is replaced as soon as a newer version
+	// is declared. Other adapters are replaced once a request waits for them.
+	replaceIfUsedWithin = 3 * time.Second
+	// reservationTime is how long an adapter that was just prepared for a request counts as in use, unless its use is
+	// reported earlier: instances notify the holder at once when they begin or end using an adapter.
+	reservationTime = 350 * time.Millisecond
+	// defaultTurnover is the estimated time that an adapter occupies a slot, used until a pace was measured: a load
+	// and a short stream. The measured pace is a moving mean over the last few grants. Gaps longer than
+	// maxPace are ignored: during them no adapter waited.
+	defaultTurnover = 700 * time.Millisecond
+	paceWeight      = 0.2
+	maxPace         = time.Second
+	// maxRecent is how many recently loaded adapters the upstream is assumed to keep a copy of after eviction.
+	maxRecent = 30
 )
 
-// Planner decides for one upstream. Set Engine before use. It is not safe for use by several goroutines.
+// Planner decides for one upstream. Set Engine before use. It is not safe for concurrent use.
 type Planner struct {
 	Engine traffic.Engine
-	// LoadGuess and ReloadGuess are how long loads take at other upstreams of the service, and count until one was
-	// seen here; 0 if that is not known.
+	// LoadGuess and ReloadGuess are the load times measured at other upstreams of the service. They are used until
+	// a load was measured here; 0 if unknown.
 	LoadGuess   time.Duration
 	ReloadGuess time.Duration
 
-	// known: sequence and places are what the upstream has, as far as its answers tell.
-	known bool
-	// learnt: a report was taken over before; settled: a second one agreed, see Learn.
-	learnt    bool
-	settled   bool
-	settleAt  time.Time
-	sequence  int64
-	inspected time.Time
-	inspectAt time.Time
-	places    map[traffic.Adapter]*place
-	wants     map[traffic.Adapter]*want
-	newest    map[traffic.Adapter]int64
-	inUse     map[traffic.Adapter]bool
-	recent    []traffic.Adapter
-	// fullLoads and reloads are how long loads take, from the weight store and with a copy near the upstream.
+	// stateKnown is true while sequence and slots match the upstream's state as far as its answers show.
+	stateKnown bool
+	// reported is true once a report was applied, confirmed once a second one agreed; see ApplyReport.
+	reported   bool
+	confirmed  bool
+	confirmAt  time.Time
+	sequence   int64
+	reportedAt time.Time
+	fetchAt    time.Time
+	slots      map[traffic.Adapter]*slot
+	waiters    map[traffic.Adapter]*waiterGroup
+	newest     map[traffic.Adapter]int64
+	inUse      map[traffic.Adapter]bool
+	recent     []traffic.Adapter
+	// fullLoads and reloads predict load times from the weight store and from a copy near the upstream.
 	fullLoads forecast.Load
 	reloads   forecast.Load
 	grantedAt time.Time
 	grantPace time.Duration
-	// unanswered is the last order if no answer came, given repeats times.
+	// unanswered is the last order if it got no answer; repeats counts how often it was given.
 	unanswered *Order
 	repeats    int
 	repeatAt   time.Time
@@ -84,93 +84,94 @@
 	unloading
 )
 
-// place is an adapter's or a model's place in the upstream's memory.
-type place struct {
+// slot holds an adapter or a base model in the upstream's memory.
+type slot struct {
 	state   state
 	version int64
-	// ordered is the version of a load under way, 0 if there is none; asked is what the order said.
-	ordered int64
-	asked   int64
-	checkAt time.Time
-	// orderedAt is when a load was accepted, reload whether the upstream is taken to have a copy, and checks how
-	// often was checked whether it is done.
+	// loadingVersion is the version of a load in progress, 0 if there is none. orderedVersion is the version in the order.
+	loadingVersion int64
+	orderedVersion int64
+	pollAt         time.Time
+	// orderedAt is when a load was accepted, reload whether the upstream is assumed to have a copy, and polls how
+	// often the load's completion was polled.
 	orderedAt time.Time
 	reload    bool
-	checks    int
-	used      time.Time
-	// leaving: an order to unload it was given, and its answer has not come. A request that is sent there
-	// meanwhile would find nothing, or be in use while the order is carried out.
-	leaving bool
-	// reservedUntil protects an adapter for a request that has not shown yet.
+	polls     int
+	usedAt    time.Time
+	// unloadOrdered is true while an unload order has no answer yet. A request sent to the adapter meanwhile would
+	// find it unloaded, or would be running when the order is executed.
+	unloadOrdered bool
+	// reservedUntil protects the adapter for a request whose use has not been reported yet.
 	reservedUntil time.Time
 }
 
-// want is an adapter that requests wait for. onTimeUntil is until when the last of them can be on time.
-type want struct {
+// waiterGroup holds the requests that wait for one adapter. onTimeUntil is the latest time by which an answer to one of
+// them is on time.
+type waiterGroup struct {
 	version     int64
 	since       time.Time
-	waiting     int
+	count       int
 	priority    int
 	onTimeUntil time.Time
 }
 
-// SetNewest tells the newest version of an adapter. One that is loaded in an older version is replaced.
+// SetNewest records the newest version of an adapter. An older loaded version is replaced.
 func (p *Planner) SetNewest(adapter traffic.Adapter, version int64) {
-	p.prepare()
+	p.ensureInitialised()
 	p.newest[adapter] = max(p.newest[adapter], version)
 }
 
-// Has tells whether an adapter is there, in a version at least as new, and reserves it for the request
-// that is about to use it.
+// Has reports whether an adapter is loaded in the given version or a newer one, and reserves it for the request that
+// is about to use it. at is the loaded version.
 func (p *Planner) Has(now time.Time, adapter traffic.Adapter, version int64) (at int64, ok bool) {
-	known := p.places[adapter]
-	if !p.known || known == nil || known.state != loaded || known.version < version || known.leaving {
+	s := p.slots[adapter]
+	if !p.stateKnown || s == nil || s.state != loaded || s.version < version || s.unloadOrdered {
 		return 0, false
 	}
-	if known.ordered > known.version {
-		return 0, false // being replaced: the upstream refuses what comes until that is done
+	if s.loadingVersion > s.version {
+		return 0, false // being replaced: the upstream refuses its requests until that has finished
 	}
-	known.used = now
-	known.reservedUntil = now.Add(reserved)
-	return known.version, true
+	s.usedAt = now
+	s.reservedUntil = now.Add(reservationTime)
+	return s.version, true
 }
 
-// Use tells which adapters have requests under way, of all instances.
+// Use sets which adapters have requests in flight, over all instances.
 func (p *Planner) Use(now time.Time, adapters []traffic.Adapter) {
 	p.inUse = make(map[traffic.Adapter]bool, len(adapters))
 	for _, adapter := range adapters {
 		p.inUse[adapter] = true
-		if known := p.places[adapter]; known != nil {
-			known.used = now
-			known.reservedUntil = time.Time{}
+		if s := p.slots[adapter]; s != nil {
+			s.usedAt = now
+			s.reservedUntil = time.Time{}
 		}
 	}
 }
 
-// Residents lists what is there or on its way, with how many places are empty or idle.
+// Residents lists the adapters and models that are loaded or loading, and returns how many slots are empty or idle.
 func (p *Planner) Residents(now time.Time) (list []pool.Resident, idle int) {
-	for adapter, known := range p.places {
-		if known.state == unloading {
+	for adapter, s := range p.slots {
+		if s.state == unloading {
 			continue
 		}
 		list = append(list, pool.Resident{
 			Adapter:   adapter,
-			Version:   known.version,
-			InTransit: known.state == loading || known.ordered > known.version,
+			Version:   s.version,
+			InTransit: s.state == loading || s.loadingVersion > s.version,
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Adapter.String() < list[j].Adapter.String() })
-	return list, p.Engine.AdapterPlaces - p.taken(now)
+	return list, p.Engine.AdapterPlaces - p.occupiedSlots(now)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// Next gives the next step.
+// Next returns the next step.
 func (p *Planner) Next(now time.Time) Step {
-	p.prepare()
-	if !p.known || now.Sub(p.inspected) > inspectAnyway {
-		if now.Before(p.inspectAt) {
-			return Rest{Until: p.inspectAt}
+	p.ensureInitialised()
+	if !p.stateKnown || now.Sub(p.reportedAt) > maxReportAge {
+		if now.Before(p.fetchAt) {
+			return Rest{Until: p.fetchAt}
 		}
 		return Inspect{}
 	}
@@ -180,34 +181,34 @@
 		}
 		return Give{Order: *p.unanswered}
 	}
-	if !p.settled && !now.Before(p.settleAt) && !now.Before(p.inspectAt) {
-		p.inspectAt = now.Add(inspectAgain)
+	if !p.confirmed && !now.Before(p.confirmAt) && !now.Before(p.fetchAt) {
+		p.fetchAt = now.Add(fetchInterval)
 		return Inspect{}
 	}
-	rest := p.inspected.Add(inspectAnyway)
-	if !p.settled {
-		rest = later(p.settleAt, p.inspectAt)
+	until := p.reportedAt.Add(maxReportAge)
+	if !p.confirmed {
+		until = later(p.confirmAt, p.fetchAt)
 	}
-	if order, at, found := p.check(now); found {
+	if order, at, found := p.nextPoll(now); found {
 		return Give{Order: order}
-	} else if !at.IsZero() && at.Before(rest) {
-		rest = at
+	} else if !at.IsZero() && at.Before(until) {
+		until = at
 	}
-	if order, found := p.load(now); found {
+	if order, found := p.nextLoad(now); found {
 		order.Sequence = p.sequence
 		if order.Unload {
-			p.places[order.Adapter].leaving = true
+			p.slots[order.Adapter].unloadOrdered = true
 		}
 		return Give{Order: order}
 	}
-	if at := now.Add(idleCheck); len(p.wants) > 0 && at.Before(rest) {
-		rest = at
+	if at := now.Add(idlePollInterval); len(p.waiters) > 0 && at.Before(until) {
+		until = at
 	}
-	return Rest{Until: rest}
+	return Rest{Until: until}
 }
 
-// idleCheck is how soon a place that became idle is noticed while an adapter waits for one.
-const idleCheck = 20 * time.Millisecond
+// idlePollInterval is the poll interval for slots that became idle while an adapter waits for one.
+const idlePollInterval = 20 * time.Millisecond
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -216,35 +217,35 @@
 	return b
 }
 
-// check gives the order again whose end is due to be seen, or when the next is due.
-func (p *Planner) check(now time.Time) (order Order, at time.Time, found bool) {
-	for adapter, known := range p.places {
-		if known.state == loaded && known.ordered == 0 {
+// nextPoll repeats the order whose completion is due to be polled, or returns when the next poll is due.
+func (p *Planner) nextPoll(now time.Time) (order Order, at time.Time, found bool) {
+	for adapter, s := range p.slots {
+		if s.state == loaded && s.loadingVersion == 0 {
 			continue
 		}
-		if now.Before(known.checkAt) {
-			if at.IsZero() || known.checkAt.Before(at) {
-				at = known.checkAt
+		if now.Before(s.pollAt) {
+			if at.IsZero() || s.pollAt.Before(at) {
+				at = s.pollAt
 			}
 			continue
 		}
-		known.checkAt = now.Add(p.checkPause(adapter, known))
-		known.checks++
+		s.pollAt = now.Add(p.pollDelay(adapter, s))
+		s.polls++
 		return Order{
-			Unload:   known.state == unloading,
+			Unload:   s.state == unloading,
 			Adapter:  adapter,
-			Version:  known.asked,
+			Version:  s.orderedVersion,
 			Sequence: p.sequence,
 		}, at, true
 	}
 	return Order{}, at, false
 }
 
-// prepare makes the zero value usable.
-func (p *Planner) prepare() {
-	if p.places == nil {
-		p.places = make(map[traffic.Adapter]*place)
-		p.wants = make(map[traffic.Adapter]*want)
+// ensureInitialised makes the zero value usable.
+func (p *Planner) ensureInitialised() {
+	if p.slots == nil {
+		p.slots = make(map[traffic.Adapter]*slot)
+		p.waiters = make(map[traffic.Adapter]*waiterGroup)
 		p.newest = make(map[traffic.Adapter]int64)
 		p.fullLoads.Guess = cmp.Or(p.LoadGuess, forecast.GuessLoad)
 		p.reloads.Guess = cmp.Or(p.ReloadGuess, forecast.GuessReload)
--- a/internal/placement/residence/planner_test.go
+++ b/internal/placement/residence/planner_test.go
@@ -18,73 +18,73 @@
 
 func adapter(name string) traffic.Adapter { return traffic.Adapter{Model: model, Name: name} }
 
-// engine is an upstream as its description has it: it counts accepted orders, takes some time to load, and
-// may carry out an order late, or lose its answer.
+// engine simulates an upstream: it counts accepted orders, takes some time to load, and may execute an order late or
+// lose its answer.
 type engine struct {
-	places   int
+	slots    int
 	sequence int64
 	loaded   map[string]int64
 	loading  map[string]time.Time
-	late     []lateOrder
+	delayed  []delayedOrder
 	inUse    map[string]bool
 	newest   map[string]int64
 	faults   []string
-	// fence is that of the holder now, seen the highest that an order bore.
-	fence, seen int
-	// shownAt is when a report first shows a loaded adapter: reports lag.
+	// fence is the current holder's fencing token, highestFence the highest one received with an order.
+	fence, highestFence int
+	// shownAt is when a report first lists a loaded adapter: reports lag.
 	shownAt map[string]time.Time
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	at    time.Time
 	order residence.Order
 	fence int
 }
 
-func newEngine(places int) *engine {
+func newEngine(slots int) *engine {
 	return &engine{
-		places: places, loaded: map[string]int64{}, loading: map[string]time.Time{},
+		slots: slots, loaded: map[string]int64{}, loading: map[string]time.Time{},
 		inUse: map[string]bool{}, newest: map[string]int64{}, shownAt: map[string]time.Time{},
 	}
 }
 
 const (
 	loadTime = 250 * time.Millisecond
-	// lag is how late a report shows that a load is done; that it is not pending any more shows at once.
-	lag = 200 * time.Millisecond
+	// reportDelay is the delay until a report lists a finished load as loaded; it is no longer listed as pending at once.
+	reportDelay = 200 * time.Millisecond
 )
 
-// settle finishes loads and carries out late orders that are due.
+// settle finishes loads and executes the late orders that are due.
 func (e *engine) settle() {
 	for name, done := range e.loading {
 		if !time.Now().Before(done) {
 			delete(e.loading, name)
 			e.loaded[name] = max(e.newest[name], 1)
-			e.shownAt[name] = done.Add(lag)
+			e.shownAt[name] = done.Add(reportDelay)
 		}
 	}
-	kept := e.late[:0]
-	for _, late := range e.late {
+	kept := e.delayed[:0]
+	for _, late := range e.delayed {
 		if time.Now().Before(late.at) {
 			kept = append(kept, late)
 			continue
 		}
 		e.order(late.order, late.fence)
 	}
-	e.late = kept
+	e.delayed = kept
 }
 
 func (e *engine) order(order residence.Order, fence int) residence.Outcome {
-	if fence < e.seen {
+	if fence < e.highestFence {
 		return residence.Fenced
 	}
-	e.seen = fence
+	e.highestFence = fence
 	name := order.Adapter.Name
 	if _, pending := e.loading[name]; pending && !order.Unload {
 		return residence.Accepted
 	}
-	version, there := e.loaded[name]
-	if !order.Unload && there && (order.Version == 0 || version >= order.Version) {
+	version, isLoaded := e.loaded[name]
+	if !order.Unload && isLoaded && (order.Version == 0 || version >= order.Version) {
 		return residence.Holds
 	}
 	if order.Sequence != e.sequence {
@@ -93,7 +93,7 @@
 	e.sequence++
 	if order.Unload {
 		if e.inUse[name] && fence < e.fence {
-			return residence.Accepted // an earlier holder's; it waits until the adapter's requests have ended
+			return residence.Accepted // an earlier holder's order; the engine delays it until the adapter's requests have ended
 		}
 		if e.inUse[name] {
 			e.faults = append(e.faults, name+" was evicted while in use")
@@ -103,8 +103,8 @@
 	}
 	e.loading[name] = time.Now().Add(loadTime)
 	delete(e.loaded, name)
-	if len(e.loaded)+len(e.loading) > e.places {
-		e.faults = append(e.faults, fmt.Sprintf("%d adapters in %d places", len(e.loaded)+len(e.loading), e.places))
+	if len(e.loaded)+len(e.loading) > e.slots {
+		e.faults = append(e.faults, fmt.Sprintf("%d adapters in %d slots", len(e.loaded)+len(e.loading), e.slots))
 	}
 	return residence.Accepted
 }
@@ -125,13 +125,13 @@
 	return report
 }
 
-func newPlanner(places int) *residence.Planner {
-	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: places, Models: []traffic.Model{{Name: model}}}}
+func newPlanner(slots int) *residence.Planner {
+	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: slots, Models: []traffic.Model{{Name: model}}}}
 }
 
-// drive carries out the planner's steps for a while. lose tells what becomes of an order's answer: whether
-// it is lost, and whether the order is carried out late instead of at once.
-func drive(p *residence.Planner, e *engine, d time.Duration, lose func() (lost bool, late time.Duration)) {
+// drive executes the planner's steps for the duration d. For each order, fault returns whether its answer is lost, and
+// by how much its execution is delayed.
+func drive(p *residence.Planner, e *engine, d time.Duration, fault func() (lost bool, delay time.Duration)) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		e.settle()
 		var used []traffic.Adapter
@@ -144,10 +144,10 @@
 			p.Learn(time.Now(), e.report())
 			time.Sleep(time.Millisecond)
 		case residence.Give:
-			lost, late := lose()
+			lost, delay := fault()
 			switch {
-			case late > 0:
-				e.late = append(e.late, lateOrder{at: time.Now().Add(late), order: step.Order, fence: e.fence})
+			case delay > 0:
+				e.delayed = append(e.delayed, delayedOrder{at: time.Now().Add(delay), order: step.Order, fence: e.fence})
 				time.Sleep(80 * time.Millisecond)
 				p.Ordered(time.Now(), step.Order, residence.NoAnswer)
 			case lost:
@@ -164,200 +164,200 @@
 	}
 }
 
-// begin is the time in which a holder learns what an upstream has: two reports.
-const begin = 400 * time.Millisecond
+// startUpTime is the time a new holder needs to establish the upstream's state: two reports.
+const startUpTime = 400 * time.Millisecond
 
-func never() (bool, time.Duration) { return false, 0 }
+func noFaults() (bool, time.Duration) { return false, 0 }
 
 func want(p *residence.Planner, name string, priority int, onTime time.Duration) {
 	p.Want(time.Now(), adapter(name), 0, priority, time.Now().Add(onTime))
 }
 
-func has(p *residence.Planner, name string) bool {
+func isLoaded(p *residence.Planner, name string) bool {
 	_, ok := p.Has(time.Now(), adapter(name), 0)
 	return ok
 }
 
-// A request waits for an adapter that is nowhere. It is loaded, and the request hears of it right after.
-func TestWantedAdapterIsLoaded(t *testing.T) {
+// A request waits for an adapter that is not loaded anywhere. The adapter is loaded and is usable right after that.
+func TestRequestedAdapterIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(2), newEngine(2)
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		want(p, "a", 1, time.Second)
-		drive(p, e, 300*time.Millisecond, never)
-		is.True(has(p, "a"))
+		drive(p, e, 300*time.Millisecond, noFaults)
+		is.True(isLoaded(p, "a"))
 	})
 }
 
-// The answer to an order is lost, or the order is carried out seconds later. If the holder waited for the
-// upstream's report each time, everything that waits for an adapter there would be late.
+// The answer to an order is lost, or the order is executed seconds later. If the holder waited for the
+// upstream's report each time, every request that waits for an adapter there would be late.
 func TestLostAnswersHardlyDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(2), newEngine(2)
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		want(p, "a", 1, time.Second)
 		answers := 0
 		drive(p, e, 480*time.Millisecond, func() (bool, time.Duration) {
 			answers++
 			if answers == 1 {
-				return false, 3 * time.Second // carried out late, when the adapter is long there
+				return false, 3 * time.Second // executed late, long after the adapter was loaded
 			}
 			return answers == 2, 0
 		})
-		is.True(has(p, "a"))
+		is.True(isLoaded(p, "a"))
 		sequence := e.sequence
-		drive(p, e, 4*time.Second, never)
+		drive(p, e, 4*time.Second, noFaults)
 		is.Equal(e.sequence, sequence) // the late order was void
 	})
 }
 
-// All places hold adapters that serve requests. Evicting one would cut its requests, or hold up all that
-// come for it; the newcomer waits for the first that ends.
+// All slots hold adapters that serve requests. Evicting one would abort its requests, or delay new requests for it. The
+// new adapter waits until the first of them is idle.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(2), newEngine(2)
 		e.loaded = map[string]int64{"a": 1, "b": 1}
 		e.inUse = map[string]bool{"a": true, "b": true}
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		want(p, "c", 1, time.Second)
-		drive(p, e, time.Second, never)
-		is.True(!has(p, "c"))
+		drive(p, e, time.Second, noFaults)
+		is.True(!isLoaded(p, "c"))
 		is.True(p.Wait(time.Now(), adapter("d")) > 0)
 		delete(e.inUse, "b")
-		drive(p, e, 400*time.Millisecond, never)
-		is.True(has(p, "c"))
-		is.True(has(p, "a"))
+		drive(p, e, 400*time.Millisecond, noFaults)
+		is.True(isLoaded(p, "c"))
+		is.True(isLoaded(p, "a"))
 		is.Equal(len(e.faults), 0)
 	})
 }
 
-// All places are in use, and a dozen adapters are waited for. A request that could be on time for a second yet
-// would get its adapter long after that: those who can be on time go before it again and again, and its caller
-// would hold on until its deadline. It is told at once, and when to come back; so is one that became late while
-// it waited. A late request still gets a place that is free, or will be in a moment, and an adapter on its way.
-func TestHopelessWaitsEndAtOnce(t *testing.T) {
+// All slots are in use and requests wait for a dozen adapters. A request that can be on time for one more second would
+// get its adapter long after that: requests that can be on time overtake it repeatedly, and its caller would wait until
+// the deadline. It is refused at once with a retry time, and so is a request that became late while it waited. A late
+// request still gets a slot that is free or about to be free, and an adapter that is being loaded.
+func TestRequestThatCannotBeOnTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(3), newEngine(3)
 		e.loaded = map[string]int64{"a": 1, "b": 1}
 		e.inUse = map[string]bool{"a": true, "b": true}
-		drive(p, e, begin, never)
-		late := time.Now().Add(-time.Second)
-		wait, hopeless := p.Hopeless(time.Now(), adapter("c"), late)
-		is.True(!hopeless) // the third place is free
+		drive(p, e, startUpTime, noFaults)
+		past := time.Now().Add(-time.Second)
+		wait, tooLate := p.Hopeless(time.Now(), adapter("c"), past)
+		is.True(!tooLate) // the third slot is free
 		is.Equal(wait, time.Duration(0))
 		want(p, "c", 1, time.Second)
-		drive(p, e, 50*time.Millisecond, never)
-		_, hopeless = p.Hopeless(time.Now(), adapter("c"), late)
-		is.True(!hopeless) // it is on its way
+		drive(p, e, 50*time.Millisecond, noFaults)
+		_, tooLate = p.Hopeless(time.Now(), adapter("c"), past)
+		is.True(!tooLate) // it is being loaded
 		for _, name := range []string{"d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			want(p, name, 1, time.Second)
 		}
-		wait, hopeless = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Second))
-		is.True(hopeless)
+		wait, tooLate = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Second))
+		is.True(tooLate)
 		is.True(wait > time.Second)
-		_, hopeless = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Minute))
-		is.True(!hopeless)
+		_, tooLate = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Minute))
+		is.True(!tooLate)
 	})
 }
 
-// More adapters are wanted than there are places. Served in the order of arrival all would be late; the
-// ones that can still be on time go first.
-func TestLateOnesWaitBehindThoseOnTime(t *testing.T) {
+// Requests wait for more adapters than there are slots. Served in the order of arrival all would be late, so those
+// that can still be on time go first.
+func TestRequestsOnTimeGoBeforeLateOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(1), newEngine(1)
 		e.loaded = map[string]int64{"busy": 1}
 		e.inUse = map[string]bool{"busy": true}
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		want(p, "late", 0, 100*time.Millisecond)
-		drive(p, e, 200*time.Millisecond, never)
+		drive(p, e, 200*time.Millisecond, noFaults)
 		want(p, "fresh", 1, time.Second)
 		e.inUse = map[string]bool{}
-		drive(p, e, 400*time.Millisecond, never)
-		is.True(has(p, "fresh"))
-		is.True(!has(p, "late"))
+		drive(p, e, 400*time.Millisecond, noFaults)
+		is.True(isLoaded(p, "fresh"))
+		is.True(!isLoaded(p, "late"))
 	})
 }
 
-// A caller leaves while its adapter waits for a place. Loading it all the same would evict one that is
-// used, for nobody.
-func TestNothingIsLoadedForThoseWhoLeft(t *testing.T) {
+// A caller cancels while its adapter waits for a slot. Loading the adapter anyway would evict one that is in use, with
+// no request to serve.
+func TestNoLoadAfterCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(1), newEngine(1)
 		e.loaded = map[string]int64{"a": 1}
 		e.inUse = map[string]bool{"a": true}
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		want(p, "b", 1, time.Second)
 		p.Unwant(adapter("b"))
 		e.inUse = map[string]bool{}
-		drive(p, e, time.Second, never)
-		is.True(has(p, "a"))
+		drive(p, e, time.Second, noFaults)
+		is.True(isLoaded(p, "a"))
 		is.Equal(e.sequence, int64(0))
 	})
 }
 
-// A newer version of an adapter in use is declared. Requests that began later than some seconds after that
-// on the older one would be answered by the wrong model.
+// A newer version of an adapter in use is declared. Requests that start on the older version more than a few seconds
+// later would be answered by the wrong model.
 func TestNewerVersionReplacesTheOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(2), newEngine(2)
 		e.loaded = map[string]int64{"a": 1}
 		e.inUse = map[string]bool{"a": true}
-		drive(p, e, begin, never)
+		drive(p, e, startUpTime, noFaults)
 		e.newest["a"] = 4
 		p.SetNewest(adapter("a"), 4)
-		drive(p, e, 600*time.Millisecond, never)
+		drive(p, e, 600*time.Millisecond, noFaults)
 		version, ok := p.Has(time.Now(), adapter("a"), 4)
 		is.True(ok)
 		is.Equal(version, int64(4))
 	})
 }
 
-// The answer to an order to unload is lost, and the order may still be carried out. A request that is told
-// meanwhile that the adapter is there would lose it under its feet.
-func TestAdapterThatMayBeLeavingIsNotPromised(t *testing.T) {
+// The answer to an unload order is lost, and the order may still be executed. If the planner reported the adapter as
+// loaded meanwhile, the adapter could be unloaded while a request runs on it.
+func TestAdapterWithUnansweredUnloadIsNotReserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, e := newPlanner(1), newEngine(1)
 		e.loaded = map[string]int64{"a": 1}
-		drive(p, e, begin, never)
-		is.True(has(p, "a"))
+		drive(p, e, startUpTime, noFaults)
+		is.True(isLoaded(p, "a"))
 		time.Sleep(time.Second)
 		want(p, "b", 1, time.Second)
 		drive(p, e, 200*time.Millisecond, func() (bool, time.Duration) { return false, time.Hour })
 		p.Unwant(adapter("b"))
-		is.True(!has(p, "a"))
+		is.True(!isLoaded(p, "a"))
 		drive(p, e, time.Second, func() (bool, time.Duration) { return false, time.Hour })
-		is.True(!has(p, "a")) // nor after the report that shows it still there
+		is.True(!isLoaded(p, "a")) // nor after the report that still lists it
 	})
 }
 
-// A holder takes an upstream over right after an adapter was loaded there. The report shows it neither as
-// pending any more nor as loaded yet. Taken at its word, there is a free place, and the load that is ordered
-// for it crashes the upstream.
+// A new holder takes over an upstream right after an adapter was loaded there. The first report lists the adapter
+// neither as pending any more nor as loaded yet. If the holder trusted it, a slot would look free, and the load ordered
+// into that slot would crash the upstream.
 func TestNewHolderDoesNotTrustItsFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := newEngine(2)
 		e.loaded = map[string]int64{"a": 1, "b": 1}
-		e.shownAt["b"] = time.Now().Add(lag)
+		e.shownAt["b"] = time.Now().Add(reportDelay)
 		p := newPlanner(2)
 		want(p, "c", 1, time.Second)
 		e.inUse["a"] = true
-		drive(p, e, time.Second, never)
+		drive(p, e, time.Second, noFaults)
 		is.Equal(len(e.faults), 0)
-		is.True(has(p, "c")) // and it is loaded all the same, in a place that was emptied for it
+		is.True(isLoaded(p, "c")) // and it is still loaded, into a slot that was freed for it
 	})
 }
 
-// An upstream has restarted empty. Without its base model it can serve nothing, and nobody may think to
-// ask for it.
+// An upstream has restarted with nothing loaded. It can serve nothing without its base model, and possibly no request
+// waits for that model.
 func TestEmptyUpstreamGetsABaseModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -370,16 +370,16 @@
 	})
 }
 
-// Answers are lost, orders carried out late and holders replaced, while adapters are wanted and used. The
-// upstream crashes if it is ordered to load more than it has places for, and evicting what is in use cuts
-// requests; neither may ever happen.
+// Answers are lost, orders are executed late and holders are replaced while requests wait for adapters and use them.
+// The upstream crashes if it is ordered to load more adapters than it has slots for, and evicting an adapter in use
+// aborts its requests. Neither may ever happen.
 func TestNoOrderOverfillsOrEvictsWhatIsUsed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
-			places := rapid.IntRange(1, 4).Draw(rt, "places")
-			p, e := newPlanner(places), newEngine(places)
+			slots := rapid.IntRange(1, 4).Draw(rt, "places")
+			p, e := newPlanner(slots), newEngine(slots)
 			names := []string{"a", "b", "c", "d", "e", "f", "g"}
-			lose := func() (bool, time.Duration) {
+			fault := func() (bool, time.Duration) {
 				switch rapid.IntRange(0, 5).Draw(rt, "answer") {
 				case 0:
 					return true, 0
@@ -391,13 +391,13 @@
 			for range rapid.IntRange(5, 20).Draw(rt, "steps") {
 				name := rapid.SampledFrom(names).Draw(rt, "adapter")
 				want(p, name, rapid.IntRange(0, 3).Draw(rt, "priority"), time.Second)
-				drive(p, e, time.Duration(rapid.IntRange(20, 500).Draw(rt, "wait"))*time.Millisecond, lose)
-				if has(p, name) && rapid.Bool().Draw(rt, "use") {
+				drive(p, e, time.Duration(rapid.IntRange(20, 500).Draw(rt, "wait"))*time.Millisecond, fault)
+				if isLoaded(p, name) && rapid.Bool().Draw(rt, "use") {
 					e.inUse[name] = true
 				}
 				p.Unwant(adapter(name))
 				if rapid.IntRange(0, 5).Draw(rt, "change") == 0 {
-					p = newPlanner(places) // another holder
+					p = newPlanner(slots) // a new holder
 					e.fence++
 				}
 				delete(e.inUse, rapid.SampledFrom(names).Draw(rt, "ended"))
--- a/internal/placement/residence/reports.go
+++ b/internal/placement/residence/reports.go
@@ -6,81 +6,81 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// learn.go takes reports of the upstream over.
+// reports.go applies the upstream's reports to the planner's state.
 
-// Learn takes a report over. One that is older than the orders accepted since is dropped.
+// Learn applies a report. A report that is older than the last accepted order is dropped.
 //
-// A report lags, and what it shows of a load that has just ended may be neither pending nor loaded. Taken at
-// its word, there is a free place, and an upstream that is ordered to load more than it has places for
-// crashes. So what is known at the same count of orders stays, as only an order could have removed it, and
-// until a second report agrees no place counts as free.
+// Reports lag: an adapter whose load has just finished may be listed neither as pending nor as loaded. Its slot
+// would look free, and an upstream that is ordered to load more adapters than it has slots for crashes. So
+// adapters known at the same order count are kept, as only an order could have removed them, and no slot counts
+// as free until a second report agrees.
 func (p *Planner) Learn(now time.Time, report Report) {
-	p.prepare()
-	if p.known && report.Sequence < p.sequence {
-		p.inspectAt = now.Add(inspectAgain)
+	p.ensureInitialised()
+	if p.stateKnown && report.Sequence < p.sequence {
+		p.fetchAt = now.Add(fetchInterval)
 		return
 	}
 	if report.Busy {
-		p.doubt(now, inspectAgain)
+		p.invalidate(now, fetchInterval)
 		return
 	}
 	if p.unanswered != nil && report.Sequence != p.unanswered.Sequence {
 		p.unanswered = nil
 	}
-	same := p.learnt && report.Sequence == p.sequence
+	same := p.reported && report.Sequence == p.sequence
 	if !same {
-		p.settled = false
-		p.settleAt = now.Add(reportLag)
-	} else if !now.Before(p.settleAt) {
-		p.settled = true
+		p.confirmed = false
+		p.confirmAt = now.Add(reportLag)
+	} else if !now.Before(p.confirmAt) {
+		p.confirmed = true
 	}
-	before := p.places
-	p.places = make(map[traffic.Adapter]*place)
+	before := p.slots
+	p.slots = make(map[traffic.Adapter]*slot)
 	if same {
-		for adapter, known := range before {
-			p.places[adapter] = known
+		for adapter, s := range before {
+			p.slots[adapter] = s
 		}
 	}
-	p.takeOver(now, before, report)
+	p.applyModels(now, before, report)
 	p.sequence = report.Sequence
-	p.known = true
-	p.learnt = true
-	p.inspected = now
+	p.stateKnown = true
+	p.reported = true
+	p.reportedAt = now
 }
 
-// takeOver enters what a report shows.
-func (p *Planner) takeOver(now time.Time, before map[traffic.Adapter]*place, report Report) {
+// applyModels records the loaded and pending adapters that a report lists.
+func (p *Planner) applyModels(now time.Time, before map[traffic.Adapter]*slot, report Report) {
 	for _, model := range report.Models {
-		p.found(before, traffic.Adapter{Model: model.Name}, model.Version)
+		p.recordSlot(before, traffic.Adapter{Model: model.Name}, model.Version)
 		for _, adapter := range model.Adapters {
-			p.found(before, traffic.Adapter{Model: model.Name, Name: adapter.Name}, adapter.Version)
+			p.recordSlot(before, traffic.Adapter{Model: model.Name, Name: adapter.Name}, adapter.Version)
 		}
 	}
 	for _, pending := range report.Pending {
-		known := p.found(before, pending.Adapter, 0)
-		known.ordered = max(pending.Version, 1)
-		known.asked = pending.Version
-		known.state = loading
-		known.checkAt = now
+		s := p.recordSlot(before, pending.Adapter, 0)
+		s.loadingVersion = max(pending.Version, 1)
+		s.orderedVersion = pending.Version
+		s.state = loading
+		s.pollAt = now
 	}
 }
 
-// ReportFailed takes note that no report came.
+// ReportFailed records that the upstream's report could not be fetched.
 func (p *Planner) ReportFailed(now time.Time) {
-	p.inspectAt = now.Add(inspectAgain)
-	p.known = false
+	p.fetchAt = now.Add(fetchInterval)
+	p.stateKnown = false
 }
 
-func (p *Planner) found(before map[traffic.Adapter]*place, adapter traffic.Adapter, version int64) *place {
-	known := &place{version: version}
+func (p *Planner) recordSlot(before map[traffic.Adapter]*slot, adapter traffic.Adapter, version int64) *slot {
+	s := &slot{version: version}
 	if old := before[adapter]; old != nil {
-		known.used = old.used
-		known.reservedUntil = old.reservedUntil
+		s.usedAt = old.usedAt
+		s.reservedUntil = old.reservedUntil
 	}
-	if there := p.places[adapter]; there != nil {
-		return there
+	if existing := p.slots[adapter]; existing != nil {
+		return existing
 	}
-	known.leaving = p.unanswered != nil && p.unanswered.Unload && p.unanswered.Adapter == adapter
-	p.places[adapter] = known
-	return known
+	s.unloadOrdered = p.unanswered != nil && p.unanswered.Unload && p.unanswered.Adapter == adapter
+	p.slots[adapter] = s
+	return s
 }
--- a/internal/placement/residence/residence.go
+++ b/internal/placement/residence/residence.go
@@ -1,10 +1,10 @@
 // Package residence decides, for one upstream, which adapters are loaded and evicted and in which order.
-// The instance that holds the upstream asks it for the next step, carries that out and tells the outcome.
-// It decides without sockets; the caller reads the runtime's clock and passes the time in.
+// The instance that holds the upstream requests the next step, executes it and reports the outcome. The package
+// does no I/O; the caller reads the clock and passes the time in.
 //
-// An upstream counts the orders that it has accepted, and each order states the count it is made for. So
-// an order whose answer was lost, and that the upstream may carry out seconds later, is void as soon as
-// any other order was accepted: it can neither evict what is needed by then nor load more than fits.
+// An upstream counts the orders that it has accepted, and each order carries the count it was made for as its sequence
+// number. So an order whose answer was lost, and that the upstream may execute seconds later, is void as soon as
+// any other order was accepted: it can neither evict an adapter needed by then nor load more than fits.
 package residence
 
 import (
@@ -13,38 +13,38 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// Order is to load an adapter (or a base model, where the adapter has no name), or to unload it.
+// Order loads or unloads an adapter, or a base model if the adapter has no name.
 type Order struct {
 	Unload  bool
 	Adapter traffic.Adapter
 	// Version to load; 0 for the newest.
 	Version int64
-	// Sequence is how many orders the upstream must have accepted before.
+	// Sequence is how many orders the upstream must have accepted before this one.
 	Sequence int64
 }
 
-// Outcome of an order.
+// Outcome is the result of an order.
 type Outcome string
 
 // The outcomes.
 const (
-	// Accepted: it is being carried out.
+	// Accepted: the order is being executed.
 	Accepted Outcome = "accepted"
-	// Holds: what was ordered is so already.
+	// Holds: the upstream is already in the ordered state.
 	Holds Outcome = "holds"
-	// Conflict: another count of orders, or another order is under way.
+	// Conflict: the sequence number does not match, or another order is in progress.
 	Conflict Outcome = "conflict"
-	// Fenced: another holder has given orders under a later fence.
+	// Fenced: another holder has given orders with a higher fencing token.
 	Fenced Outcome = "fenced"
-	// OtherUpstream: another upstream has the address now.
+	// OtherUpstream: the address now belongs to another upstream.
 	OtherUpstream Outcome = "other_upstream"
-	// Rejected: the upstream does not understand the order.
+	// Rejected: the upstream rejected the order as invalid.
 	Rejected Outcome = "rejected"
-	// NoAnswer: it may have been accepted, or may still be.
+	// NoAnswer: no answer arrived; the order may have been accepted, or may still be.
 	NoAnswer Outcome = "no_answer"
 )
 
-// Report is what an upstream had loaded a moment before it was asked.
+// Report lists what an upstream had loaded shortly before the report was requested.
 type Report struct {
 	Sequence int64
 	Busy     bool
@@ -53,22 +53,22 @@
 	Pending  []Pending
 }
 
-// Pending is an adapter on its way to the upstream.
+// Pending is an adapter that the upstream is loading.
 type Pending struct {
 	Adapter traffic.Adapter
 	Version int64
 }
 
-// Step is what to do next: Give, Inspect or Rest.
+// Step is the next step: SendOrder, FetchReport or Idle.
 type Step interface{ isStep() }
 
-// Give an order.
+// Give sends the order to the upstream.
 type Give struct{ Order Order }
 
-// Inspect the upstream's report.
+// Inspect fetches the upstream's report.
 type Inspect struct{}
 
-// Rest until a time, or until something is wanted.
+// Rest waits until a time, or until a request waits for an adapter.
 type Rest struct{ Until time.Time }
 
 func (Give) isStep()    {}
--- a/internal/placement/residence/waiters.go
+++ b/internal/placement/residence/waiters.go
@@ -7,20 +7,20 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// wants.go keeps what requests wait for: in which order, and for how long.
+// waiters.go tracks the adapters that requests wait for: their order and their expected wait.
 
-// Want asks for an adapter on behalf of one request, until Unwant is called for it. The request is on time
-// if it is answered until onTimeUntil.
+// Want registers one request that waits for an adapter, until RemoveWaiter is called for it. The request is on time
+// if it is answered by onTimeUntil.
 func (p *Planner) Want(
 	now time.Time, adapter traffic.Adapter, version int64, priority int, onTimeUntil time.Time,
 ) {
-	p.prepare()
-	w := p.wants[adapter]
+	p.ensureInitialised()
+	w := p.waiters[adapter]
 	if w == nil {
-		w = &want{since: now, priority: priority}
-		p.wants[adapter] = w
+		w = &waiterGroup{since: now, priority: priority}
+		p.waiters[adapter] = w
 	}
-	w.waiting++
+	w.count++
 	w.version = max(w.version, version)
 	w.priority = min(w.priority, priority)
 	if onTimeUntil.After(w.onTimeUntil) {
@@ -28,97 +28,97 @@
 	}
 }
 
-// Unwant takes a request's want back: it has its adapter, or does not wait any more. Without it the
-// upstream would load, and evict for it, what nobody is there to use.
+// Unwant removes one request that waited for an adapter: it has its adapter, or no longer waits. Otherwise the
+// upstream would load an adapter that no request uses, and evict another for it.
 func (p *Planner) Unwant(adapter traffic.Adapter) {
-	w := p.wants[adapter]
+	w := p.waiters[adapter]
 	if w == nil {
 		return
 	}
-	w.waiting--
-	if w.waiting <= 0 {
-		delete(p.wants, adapter)
+	w.count--
+	if w.count <= 0 {
+		delete(p.waiters, adapter)
 	}
 }
 
-// HasWants tells whether any request waits.
-func (p *Planner) HasWants() bool { return len(p.wants) > 0 }
+// HasWants reports whether any request waits.
+func (p *Planner) HasWants() bool { return len(p.waiters) > 0 }
 
-// Wait is how long a new want is expected to wait until its adapter's load begins: the adapters that wait
-// before it, at the pace at which places came free lately. It is zero while a place is to be had, and for an
-// adapter that is being loaded.
+// Wait estimates how long a new waiter waits until its adapter's load begins: the number of adapters ahead of it
+// times the recent interval between two freed slots. It is zero while a slot is available, and for an adapter
+// that is being loaded.
 func (p *Planner) Wait(now time.Time, adapter traffic.Adapter) time.Duration {
-	if known := p.places[adapter]; known != nil && known.state == loading {
+	if s := p.slots[adapter]; s != nil && s.state == loading {
 		return 0
 	}
 	ahead := 0
-	for other := range p.wants {
-		if other != adapter && p.places[other] == nil {
+	for other := range p.waiters {
+		if other != adapter && p.slots[other] == nil {
 			ahead++
 		}
 	}
-	free := p.Engine.AdapterPlaces - p.taken(now)
+	free := p.Engine.AdapterPlaces - p.occupiedSlots(now)
 	if ahead < free {
 		return 0
 	}
 	return time.Duration(ahead-free+1) * p.pace()
 }
 
-// Hopeless tells whether a request that is on time until worthUntil would get its adapter only after that, and
+// Hopeless reports whether a request that is on time until worthUntil would get its adapter only after that, and
 // how long it would wait.
 //
-// Made for the time when more adapters are wanted than there are places. Those who can be on time go first, so
-// one who cannot waits until they are all served: it is held for seconds, mostly to its deadline, and takes a
-// place from the next caller if it gets one. Told at once, its caller can come back when there is room. While a
-// place is to be had, or will be in shortWait, late requests get it.
+// It applies under overload, when requests wait for more adapters than there are slots. Requests that can be on time go
+// first, so one that cannot waits until they are all served: for seconds, mostly until its deadline, and if it gets a
+// slot it takes it from the next caller. Refused at once, its caller can retry when there is room. While a
+// slot is available, or expected within acceptableWait, late requests get it.
 func (p *Planner) Hopeless(now time.Time, adapter traffic.Adapter, worthUntil time.Time) (time.Duration, bool) {
 	wait := p.Wait(now, adapter)
-	return wait, wait > shortWait && now.Add(wait).After(worthUntil)
+	return wait, wait > acceptableWait && now.Add(wait).After(worthUntil)
 }
 
-// shortWait is worth waiting also for a late answer: a caller that comes back would not be served sooner.
-const shortWait = 500 * time.Millisecond
+// acceptableWait is the wait that is acceptable even for a late answer: a caller that retries would not be served sooner.
+const acceptableWait = 500 * time.Millisecond
 
-// pace is the time between two places that come free while adapters wait.
+// pace returns the interval between two freed slots while adapters wait.
 func (p *Planner) pace() time.Duration {
 	if p.grantPace > 0 {
 		return p.grantPace
 	}
-	return usualTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
+	return defaultTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
 }
 
-// granted measures the pace: a place went to an adapter that had to wait for it.
-func (p *Planner) granted(now time.Time) {
+// updatePace updates the pace when a slot goes to an adapter that had to wait for it.
+func (p *Planner) updatePace(now time.Time) {
 	since := now.Sub(p.grantedAt)
 	p.grantedAt = now
-	if since > longestPace {
+	if since > maxPace {
 		return
 	}
-	p.grantPace = p.pace() + time.Duration(paceLearning*float64(since-p.pace()))
+	p.grantPace = p.pace() + time.Duration(paceWeight*float64(since-p.pace()))
 }
 
-// taken counts the places that are neither empty nor idle.
-func (p *Planner) taken(now time.Time) (count int) {
-	for adapter, known := range p.places {
-		if adapter.Name != "" && !p.isIdle(now, adapter, known) {
+// occupiedSlots counts the slots that are neither empty nor idle.
+func (p *Planner) occupiedSlots(now time.Time) (count int) {
+	for adapter, s := range p.slots {
+		if adapter.Name != "" && !p.isIdle(now, adapter, s) {
 			count++
 		}
 	}
 	return count
 }
 
-// wantedFirst lists what is wanted: first what can still be on time, of that the most urgent, and of that
-// what waits longest.
+// adaptersByUrgency lists the adapters that requests wait for: those that can still be on time first, then by priority, then
+// by the longest wait.
 //
-// Made for the time when more adapters are wanted than there are places. In the order of arrival each
-// would be served, and each too late, which is worth a third; this way those who come now are on time, and
-// the late ones get the places that are left.
-func (p *Planner) wantedFirst(now time.Time) (list []traffic.Adapter) {
-	for adapter := range p.wants {
+// Under overload, when requests wait for more adapters than there are slots, serving them in the order of arrival
+// would answer each one too late, and a late answer is worth a third. With this order the requests that arrive now
+// are on time, and the late ones get the remaining slots.
+func (p *Planner) adaptersByUrgency(now time.Time) (list []traffic.Adapter) {
+	for adapter := range p.waiters {
 		list = append(list, adapter)
 	}
 	sort.Slice(list, func(i, j int) bool {
-		a, b := p.wants[list[i]], p.wants[list[j]]
+		a, b := p.waiters[list[i]], p.waiters[list[j]]
 		if late := now.After(a.onTimeUntil); late != now.After(b.onTimeUntil) {
 			return !late
 		}
