--- a/internal/placement/broker/broker.go
+++ b/internal/placement/broker/broker.go
@@ -7,156 +7,159 @@
 	"time"
 )
 
-// broker.go orders the asks and gives out the permits.
+// broker.go ranks the permit requests and grants permits.
 
-// tokensPerSecond is how much waiting demand weighs like one second of waiting: about one or two usual
-// requests. Measured: 50 to 800 differ by less than two seeds do.
-const tokensPerSecond = 400
+// tokensPerWaitSecond is the waiting demand that counts as much as one second of waiting: about one or two typical
+// requests. In measurements, values from 50 to 800 differed by less than two random seeds did.
+const tokensPerWaitSecond = 400
 
-// forgetAsk is how long an ask counts that is not repeated; holders repeat theirs every second.
-const forgetAsk = 3 * time.Second
+// requestTTL is how long a permit request is valid unless repeated. Holders repeat their requests every second.
+const requestTTL = 3 * time.Second
 
-// mostUnused is how many unused permits are kept: the weight store takes two at once at full speed.
-const mostUnused = 2
+// bucketCapacity is how many unused permits accumulate: the weight store serves two loads at once at full speed.
+const bucketCapacity = 2
 
-// recentHalfLife is the time in which a workspace's past loads count half.
+// recentHalfLife is the half-life of a workspace's count of recent loads.
 const recentHalfLife = 10 * time.Second
 
-// Broker gives out permits. Set the exported field before use; one goroutine owns it.
+// Broker grants permits from a token bucket, with a limit on loads in flight. Set Settings before use. It is not
+// safe for concurrent use.
 //
-// Made for popularity that shifts and for cold engines, when many more loads are wanted than the weight
-// store can serve. The harm it prevents: all of them at once, each slower than the other, so that the
-// callers wait for everything and get nothing in time.
+// When popularity shifts or engines are cold, far more loads are requested than the weight store can serve. Run all
+// at once, they would slow each other down, and none of the waiting callers would get its adapter in time.
 type Broker struct {
 	Settings Settings
 
-	asks     map[Load]ask
-	inFlight map[Load]time.Time
-	unused   float64
-	counted  time.Time
-	recent   map[string]decaying
+	requests    map[Load]permitRequest
+	inFlight    map[Load]time.Time
+	available   float64
+	refilledAt  time.Time
+	recentLoads map[string]decayingCount
 }
 
-// ask is what a holder wants. since is when the longest waiting request came.
-type ask struct {
+// permitRequest is a holder's pending permit request. since is the arrival time of the request that has waited longest,
+// givesUpAt the time at which the last of the waiting requests gives up, and receivedAt when the holder last sent or
+// repeated it.
+type permitRequest struct {
 	Asked
-	since time.Time
-	last  time.Time
-	heard time.Time
+	since      time.Time
+	givesUpAt  time.Time
+	receivedAt time.Time
 }
 
-// decaying is a count that halves every recentHalfLife.
-type decaying struct {
-	value float64
-	at    time.Time
+// decayingCount is a count with exponential decay, with half-life recentHalfLife.
+type decayingCount struct {
+	value     float64
+	updatedAt time.Time
 }
 
-func (d decaying) of(now time.Time) float64 {
-	return d.value * math.Exp2(-now.Sub(d.at).Seconds()/recentHalfLife.Seconds())
+func (d decayingCount) valueAt(now time.Time) float64 {
+	return d.value * math.Exp2(-now.Sub(d.updatedAt).Seconds()/recentHalfLife.Seconds())
 }
 
-// Handle takes one event that happened at now and returns the answers that are due.
+// Handle processes one event that happened at now and returns the answers that are due.
 func (b *Broker) Handle(now time.Time, event Event) (actions []Action) {
-	b.prepare(now)
+	b.ensureInitialised(now)
 	b.refill(now)
 	switch e := event.(type) {
 	case Asked:
-		b.asks[e.Load] = ask{Asked: e, since: now.Add(-e.Waited), last: now.Add(e.Patience), heard: now}
+		b.requests[e.Load] = permitRequest{Asked: e, since: now.Add(-e.Waited), givesUpAt: now.Add(e.Patience), receivedAt: now}
 	case Withdrawn:
-		b.withdrawn(e)
+		b.withdraw(e)
 	case Ended:
-		delete(b.asks, e.Load)
+		delete(b.requests, e.Load)
 		delete(b.inFlight, e.Load)
 	case Tick:
 	}
-	b.forget(now)
-	if len(b.asks) == 0 {
+	b.expire(now)
+	if len(b.requests) == 0 {
 		return nil
 	}
 	return b.answer(now)
 }
 
-func (b *Broker) prepare(now time.Time) {
-	if b.asks != nil {
+func (b *Broker) ensureInitialised(now time.Time) {
+	if b.requests != nil {
 		return
 	}
-	b.asks = make(map[Load]ask)
+	b.requests = make(map[Load]permitRequest)
 	b.inFlight = make(map[Load]time.Time)
-	b.recent = make(map[string]decaying)
-	b.counted = now
-	b.unused = mostUnused
+	b.recentLoads = make(map[string]decayingCount)
+	b.refilledAt = now
+	b.available = bucketCapacity
 }
 
 func (b *Broker) refill(now time.Time) {
-	b.unused = min(mostUnused, b.unused+b.Settings.Rate*now.Sub(b.counted).Seconds())
-	b.counted = now
+	b.available = min(bucketCapacity, b.available+b.Settings.Rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// withdrawn takes the ask back, or the permit: one that was not used did not reach the weight store.
-func (b *Broker) withdrawn(e Withdrawn) {
-	delete(b.asks, e.Load)
-	if _, permitted := b.inFlight[e.Load]; permitted {
+// withdraw removes the permit request. An unused permit returns to the bucket, as its load did not reach the weight
+// store.
+func (b *Broker) withdraw(e Withdrawn) {
+	delete(b.requests, e.Load)
+	if _, granted := b.inFlight[e.Load]; granted {
 		delete(b.inFlight, e.Load)
-		b.unused = min(mostUnused, b.unused+1)
+		b.available = min(bucketCapacity, b.available+1)
 	}
 }
 
-// forget drops asks that are not repeated and permits whose end was never told: their holder may be
-// gone, and its share of the eight in flight would be lost for good.
-func (b *Broker) forget(now time.Time) {
-	for load, a := range b.asks {
-		if now.Sub(a.heard) > forgetAsk {
-			delete(b.asks, load)
+// expire drops permit requests that were not repeated, and permits whose end was not reported within Settings.InFlightTimeout.
+// Their holder may have failed, and its share of the eight loads in flight would be lost permanently.
+func (b *Broker) expire(now time.Time) {
+	for load, request := range b.requests {
+		if now.Sub(request.receivedAt) > requestTTL {
+			delete(b.requests, load)
 		}
 	}
-	for load, until := range b.inFlight {
-		if !now.Before(until) {
+	for load, expiresAt := range b.inFlight {
+		if !now.Before(expiresAt) {
 			delete(b.inFlight, load)
 		}
 	}
 }
 
-// answer permits the foremost asks while the budget lasts, and refuses those whose turn comes only
-// after the last of their waiting has given up.
+// answer grants the highest-ranked permit requests while the budget lasts, and refuses those whose turn comes after the
+// last of their waiting requests has given up.
 func (b *Broker) answer(now time.Time) (actions []Action) {
-	left := 0
-	for _, a := range b.ordered(now) {
-		if b.unused >= 1 && len(b.inFlight) < b.Settings.InFlight {
-			b.permit(now, a.ask)
-			actions = append(actions, Permit{Load: a.Load, UseWithin: b.Settings.UseWithin})
+	ahead := 0
+	for _, request := range b.ranked(now) {
+		if b.available >= 1 && len(b.inFlight) < b.Settings.InFlight {
+			b.grant(now, request.permitRequest)
+			actions = append(actions, Permit{Load: request.Load, UseWithin: b.Settings.UseWithin})
 			continue
 		}
-		left++
-		turn := time.Duration((float64(left) - b.unused) / b.Settings.Rate * float64(time.Second))
-		if now.Add(turn).After(a.last) {
-			delete(b.asks, a.Load)
-			actions = append(actions, Refuse{Load: a.Load, RetryAfter: turn})
+		ahead++
+		turn := time.Duration((float64(ahead) - b.available) / b.Settings.Rate * float64(time.Second))
+		if now.Add(turn).After(request.givesUpAt) {
+			delete(b.requests, request.Load)
+			actions = append(actions, Refuse{Load: request.Load, RetryAfter: turn})
 		}
 	}
 	return actions
 }
 
-func (b *Broker) permit(now time.Time, a ask) {
-	delete(b.asks, a.Load)
-	b.unused--
-	b.inFlight[a.Load] = now.Add(b.Settings.Lapse)
-	b.recent[a.Workspace] = decaying{value: b.recent[a.Workspace].of(now) + 1, at: now}
+func (b *Broker) grant(now time.Time, request permitRequest) {
+	delete(b.requests, request.Load)
+	b.available--
+	b.inFlight[request.Load] = now.Add(b.Settings.Lapse)
+	b.recentLoads[request.Workspace] = decayingCount{value: b.recentLoads[request.Workspace].valueAt(now) + 1, updatedAt: now}
 }
 
-// scored is an ask with its place in the order.
-type scored struct {
-	ask
+// scoredRequest is a permit request with its score.
+type scoredRequest struct {
+	permitRequest
 	score float64
 }
 
-// ordered lists the asks, foremost first: those that waited longest and have the most demand waiting,
-// and of workspaces that had few loads lately. Ties go by name, so that equal runs decide equally.
-func (b *Broker) ordered(now time.Time) []scored {
-	list := make([]scored, 0, len(b.asks))
-	for _, a := range b.asks {
-		list = append(list, scored{ask: a, score: b.score(now, a)})
+// ranked lists the permit requests by descending score. The score grows with the wait and the waiting demand, and
+// falls with the workspace's recent loads. Ties are broken by name, so that decisions are deterministic.
+func (b *Broker) ranked(now time.Time) []scoredRequest {
+	list := make([]scoredRequest, 0, len(b.requests))
+	for _, request := range b.requests {
+		list = append(list, scoredRequest{permitRequest: request, score: b.score(now, request)})
 	}
-	slices.SortFunc(list, func(x, y scored) int {
+	slices.SortFunc(list, func(x, y scoredRequest) int {
 		return cmp.Or(
 			cmp.Compare(y.score, x.score),
 			cmp.Compare(x.Load.Upstream, y.Load.Upstream),
@@ -167,7 +170,7 @@
 	return list
 }
 
-func (b *Broker) score(now time.Time, a ask) float64 {
-	waited := now.Sub(a.since).Seconds()
-	return (waited + a.Demand/tokensPerSecond) / (1 + b.recent[a.Workspace].of(now))
+func (b *Broker) score(now time.Time, request permitRequest) float64 {
+	waited := now.Sub(request.since).Seconds()
+	return (waited + request.Demand/tokensPerWaitSecond) / (1 + b.recentLoads[request.Workspace].valueAt(now))
 }
--- a/internal/placement/broker/events.go
+++ b/internal/placement/broker/events.go
@@ -1,7 +1,7 @@
-// Package broker gives out the fleet's budget of loads from the weight store, which allows about two
-// a second and takes longer for each beyond eight in flight. One member of the fleet runs it. It
-// decides without sockets; the caller reads the runtime's clock and passes the time in, so that the
-// measuring program can drive the same code on a simulated clock.
+// Package broker rate-limits the fleet's loads from the weight store, which allows about two loads a second and
+// slows down with more than eight in flight. One member of the fleet runs the broker. The package does no I/O; the
+// caller reads the clock and passes the time in, so that the measuring program can run the same code on a simulated
+// clock.
 package broker
 
 import (
@@ -10,19 +10,19 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// Load identifies one load: an adapter version onto an upstream.
+// Load identifies one load: an adapter version to be loaded by an upstream.
 type Load struct {
 	Upstream string
 	Model    model.Reference
 }
 
-// Event is a fact told to the broker. It is sealed.
+// Event is an input of the broker. It is sealed.
 type Event interface{ event() }
 
 type (
-	// Asked tells that a holder wants a permit. Demand is the waiting tokens, Waited the longest wait among the
-	// waiting, Patience the time until the last of them gives up, Workspace the longest waiting one's.
-	// Asking again replaces the earlier ask.
+	// Asked is a holder's request for a permit. Demand is the number of waiting tokens, Waited the longest wait
+	// among the waiting requests, Patience the time until the last of them gives up, and Workspace the workspace
+	// of the one that has waited longest. A repeated request replaces the earlier one.
 	Asked struct {
 		Load      Load
 		Workspace string
@@ -30,12 +30,12 @@
 		Waited    time.Duration
 		Patience  time.Duration
 	}
-	// Withdrawn tells that the holder wants the permit no more, or gives it back unused.
+	// Withdrawn cancels a permit request, or returns an unused permit.
 	Withdrawn struct{ Load Load }
-	// Ended tells that the load is done, has failed or is wanted no more, whether it was asked for or
-	// permitted. Without it the permit lapses by itself.
+	// Ended reports that the load has finished, failed or is no longer needed, whether a permit was only requested
+	// or already granted. Without it the permit expires after Settings.InFlightTimeout.
 	Ended struct{ Load Load }
-	// Tick lets time pass; send one at least every 50 milliseconds.
+	// Tick triggers time-dependent decisions; send one at least every 50 milliseconds.
 	Tick struct{}
 )
 
@@ -48,12 +48,12 @@
 type Action interface{ action() }
 
 type (
-	// Permit tells that the load may be ordered within UseWithin.
+	// Permit allows the load to be ordered within UseWithin.
 	Permit struct {
 		Load      Load
 		UseWithin time.Duration
 	}
-	// Refuse tells that the permit cannot come in time; ask again after RetryAfter.
+	// Refuse reports that a permit cannot be granted in time; request it again after RetryAfter.
 	Refuse struct {
 		Load       Load
 		RetryAfter time.Duration
@@ -63,19 +63,19 @@
 func (Permit) action() {}
 func (Refuse) action() {}
 
-// Settings of a Broker.
+// Settings configure a Broker.
 type Settings struct {
-	// Rate is the loads a second that the weight store allows the whole fleet.
+	// Rate is how many loads a second the weight store allows for the whole fleet.
 	Rate float64
-	// InFlight is how many loads may run at once before each takes longer.
+	// InFlight is the limit on concurrent loads; beyond it each load takes longer.
 	InFlight int
-	// UseWithin is how long a permit may be used.
+	// UseWithin is how long a permit is valid.
 	UseWithin time.Duration
-	// Lapse is how long a permit counts as in flight when its end is not told.
+	// Lapse is how long a granted load counts as in flight if its end is not reported.
 	Lapse time.Duration
 }
 
-// DefaultSettings are what the weight store allows today.
+// DefaultSettings returns the current limits of the weight store.
 func DefaultSettings() Settings {
 	return Settings{Rate: 2, InFlight: 8, UseWithin: time.Second, Lapse: 3 * time.Second}
 }
