--- a/internal/placement/holder/actions.go
+++ b/internal/placement/holder/actions.go
@@ -6,35 +6,35 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// actions.go lists what a holder wants done. The daemon carries the actions out in their order.
+// actions.go lists a holder's actions. The daemon executes them in order.
 
-// Action is something the daemon has to do for a holder. It is sealed.
+// Action is an instruction to the daemon. It is sealed.
 type Action interface{ action() }
 
-// Reason tells why a request was refused; the request did not run.
+// Reason is why a request was refused. A refused request did not run.
 type Reason string
 
 // The reasons of Refuse.
 const (
-	// ReasonNotHolder: this instance does not hold the upstream, any more or yet.
+	// ReasonNotHolder: this instance is not the upstream's holder, either no longer or not yet.
 	ReasonNotHolder Reason = "not_holder"
 	// ReasonBusy: the queue is too long for the request's patience, or for its workspace's share.
 	ReasonBusy Reason = "busy"
 	// ReasonLoadFailed: the adapter version could not be loaded in time.
 	ReasonLoadFailed Reason = "load_failed"
-	// ReasonLeaving: the upstream is leaving, or does not answer.
+	// ReasonLeaving: the upstream is draining, or does not answer.
 	ReasonLeaving Reason = "leaving"
 )
 
 type (
-	// Grant answers a request: it may run, and the pin keeps its adapter version loaded until the pin
-	// is released.
+	// Grant allows a request to run. The pin keeps the request's adapter version loaded until the pin is
+	// released.
 	Grant struct {
 		Pin         Pin
 		WaitedLoad  time.Duration
 		WaitedQueue time.Duration
 	}
-	// Refuse answers a request that did not run and will not.
+	// Refuse rejects a request. The request did not run and will not run.
 	Refuse struct {
 		RequestID   string
 		Instance    string
@@ -43,14 +43,14 @@
 		WaitedLoad  time.Duration
 		WaitedQueue time.Duration
 	}
-	// AskPins asks every member for its pins on the upstream; answered by PinsTold for each.
+	// AskPins requests the pins on the upstream from every member; answered by one PinsReported per member.
 	AskPins struct{ Epoch int64 }
-	// OrderFence makes the upstream note the epoch, by any order that changes nothing; answered by
-	// FenceNoted. When it cannot be answered the holder waits longer instead.
+	// OrderFence makes the upstream record the epoch as its fencing token, with any order that changes nothing;
+	// answered by FenceNoted. Without an answer the holder waits for Settings.OrderTimeout instead.
 	OrderFence struct{ Fence int64 }
-	// AskPermit asks the load broker for leave to load; answered by PermitGranted or PermitRefused.
-	// Demand is the waiting tokens, Waited the longest wait, Patience the time until the last of the
-	// waiting gives up, Workspace that of the one who has waited longest.
+	// AskPermit requests a load permit from the load broker; answered by PermitGranted or PermitRefused.
+	// Demand is the number of waiting tokens, Waited the longest wait, Patience the time until the last of the
+	// waiting requests gives up, and Workspace the workspace of the request that has waited longest.
 	AskPermit struct {
 		Model     model.Reference
 		Workspace string
@@ -58,10 +58,10 @@
 		Waited    time.Duration
 		Patience  time.Duration
 	}
-	// ReturnPermit gives an unused permit back.
+	// ReturnPermit returns an unused permit or withdraws the request for it.
 	ReturnPermit struct{ Model model.Reference }
 	// OrderLoad orders the upstream to unload Evict (unless zero) and then to load Load; answered by
-	// LoadDone or LoadFailed. Give up on an order that takes longer than Settings.LongestOrder.
+	// LoadDone or LoadFailed. The daemon gives up on an order after Settings.OrderTimeout.
 	OrderLoad struct {
 		Load  model.Reference
 		Evict model.Reference
--- a/internal/placement/holder/answers_test.go
+++ b/internal/placement/holder/answers_test.go
@@ -11,155 +11,155 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// desk plays everything around one holder and notes what each request was told.
-type desk struct {
-	t         *rapid.T
-	now       time.Time
-	holder    *holder.Holder
-	answers   map[string]int
-	deadlines map[string]time.Time
-	cancelled map[string]bool
-	permits   []model.Reference
-	orders    []model.Reference
-	number    int
-	granted   int
+// harness simulates the environment of one holder and counts the answers to each request.
+type harness struct {
+	t              *rapid.T
+	now            time.Time
+	holder         *holder.Holder
+	answers        map[string]int
+	deadlines      map[string]time.Time
+	cancelled      map[string]bool
+	permitRequests []model.Reference
+	orders         []model.Reference
+	requests       int
+	granted        int
 }
 
-func (d *desk) tell(event holder.Event) {
-	for _, action := range d.holder.Handle(d.now, event) {
+func (h *harness) handle(event holder.Event) {
+	for _, action := range h.holder.Handle(h.now, event) {
 		switch a := action.(type) {
 		case holder.Grant:
-			d.granted++
-			d.answers[a.Pin.RequestID]++
-			if d.now.After(d.deadlines[a.Pin.RequestID]) {
-				d.t.Fatalf("%s is granted after its deadline", a.Pin.RequestID)
+			h.granted++
+			h.answers[a.Pin.RequestID]++
+			if h.now.After(h.deadlines[a.Pin.RequestID]) {
+				h.t.Fatalf("%s is granted after its deadline", a.Pin.RequestID)
 			}
 		case holder.Refuse:
-			d.answers[a.RequestID]++
+			h.answers[a.RequestID]++
 		case holder.AskPermit:
-			d.permits = append(d.permits, a.Model)
+			h.permitRequests = append(h.permitRequests, a.Model)
 		case holder.OrderLoad:
-			d.orders = append(d.orders, a.Load)
+			h.orders = append(h.orders, a.Load)
 		}
 	}
-	if running := len(d.holder.Pins()); running > d.holder.Upstream.Batch {
-		d.t.Fatalf("%d requests run in a batch of %d", running, d.holder.Upstream.Batch)
+	if running := len(h.holder.Pins()); running > h.holder.Upstream.Batch {
+		h.t.Fatalf("%d requests run in a batch of %d", running, h.holder.Upstream.Batch)
 	}
 }
 
-func (d *desk) arrive() {
-	d.number++
-	id := fmt.Sprint("r", d.number)
-	patience := time.Duration(rapid.IntRange(1, 8000).Draw(d.t, "patience")) * time.Millisecond
-	d.deadlines[id] = d.now.Add(patience)
-	d.tell(holder.Arrived{Request: holder.Request{
-		ID: id, Instance: "i1", Incarnation: "x", Workspace: rapid.SampledFrom([]string{"v", "w"}).Draw(d.t, "workspace"),
-		Weight: 1, Cost: float64(rapid.IntRange(1, 500).Draw(d.t, "cost")), Deadline: d.deadlines[id],
-		Model: model.Reference{Adapter: fmt.Sprint("a", rapid.IntRange(1, 3).Draw(d.t, "adapter")), Version: "v1"},
-		Alone: rapid.IntRange(0, 9).Draw(d.t, "alone") == 0, Apart: rapid.IntRange(0, 9).Draw(d.t, "apart") == 0,
+func (h *harness) arrive() {
+	h.requests++
+	id := fmt.Sprint("r", h.requests)
+	patience := time.Duration(rapid.IntRange(1, 8000).Draw(h.t, "patience")) * time.Millisecond
+	h.deadlines[id] = h.now.Add(patience)
+	h.handle(holder.Arrived{Request: holder.Request{
+		ID: id, Instance: "i1", Incarnation: "x", Workspace: rapid.SampledFrom([]string{"v", "w"}).Draw(h.t, "workspace"),
+		Weight: 1, Cost: float64(rapid.IntRange(1, 500).Draw(h.t, "cost")), Deadline: h.deadlines[id],
+		Model: model.Reference{Adapter: fmt.Sprint("a", rapid.IntRange(1, 3).Draw(h.t, "adapter")), Version: "v1"},
+		Alone: rapid.IntRange(0, 9).Draw(h.t, "alone") == 0, Apart: rapid.IntRange(0, 9).Draw(h.t, "apart") == 0,
 	}})
 }
 
-func (d *desk) cancel() {
-	id := fmt.Sprint("r", rapid.IntRange(1, d.number+1).Draw(d.t, "cancelled"))
-	if d.answers[id] == 0 {
-		d.cancelled[id] = true
+func (h *harness) cancel() {
+	id := fmt.Sprint("r", rapid.IntRange(1, h.requests+1).Draw(h.t, "cancelled"))
+	if h.answers[id] == 0 {
+		h.cancelled[id] = true
 	}
-	d.tell(holder.Cancelled{RequestID: id})
+	h.handle(holder.Cancelled{RequestID: id})
 }
 
-func (d *desk) release() {
-	for _, pin := range d.holder.Pins() {
-		d.tell(holder.Released{Pin: pin.ID, Tokens: 50, NotResident: rapid.IntRange(0, 9).Draw(d.t, "not resident") == 0})
+func (h *harness) release() {
+	for _, pin := range h.holder.Pins() {
+		h.handle(holder.Released{Pin: pin.ID, Tokens: 50, NotResident: rapid.IntRange(0, 9).Draw(h.t, "not resident") == 0})
 		return
 	}
 }
 
-func (d *desk) answerPermit() {
-	if len(d.permits) == 0 {
+func (h *harness) answerPermit() {
+	if len(h.permitRequests) == 0 {
 		return
 	}
-	ref := d.permits[0]
-	d.permits = d.permits[1:]
-	switch rapid.IntRange(0, 3).Draw(d.t, "permit") {
-	case 0: // lost
+	ref := h.permitRequests[0]
+	h.permitRequests = h.permitRequests[1:]
+	switch rapid.IntRange(0, 3).Draw(h.t, "permit") {
+	case 0: // the answer is lost
 	case 1:
-		d.tell(holder.PermitRefused{Model: ref, RetryAfter: time.Second})
+		h.handle(holder.PermitRefused{Model: ref, RetryAfter: time.Second})
 	default:
-		d.tell(holder.PermitGranted{Model: ref, UseWithin: time.Second})
+		h.handle(holder.PermitGranted{Model: ref, UseWithin: time.Second})
 	}
 }
 
-func (d *desk) answerOrder() {
-	if len(d.orders) == 0 {
+func (h *harness) answerOrder() {
+	if len(h.orders) == 0 {
 		return
 	}
-	ref := d.orders[0]
-	d.orders = d.orders[1:]
-	cause := rapid.SampledFrom([]holder.Cause{"", "", holder.CauseWeightStore, holder.CauseNoSlot, holder.CauseInUse, holder.CauseUpstream}).Draw(d.t, "cause")
+	ref := h.orders[0]
+	h.orders = h.orders[1:]
+	cause := rapid.SampledFrom([]holder.Cause{"", "", holder.CauseWeightStore, holder.CauseNoSlot, holder.CauseInUse, holder.CauseUpstream}).Draw(h.t, "cause")
 	if cause == "" {
-		d.tell(holder.LoadDone{Load: ref})
+		h.handle(holder.LoadDone{Load: ref})
 		return
 	}
-	d.tell(holder.LoadFailed{Load: ref, Cause: cause, Evicted: rapid.Bool().Draw(d.t, "evicted")})
+	h.handle(holder.LoadFailed{Load: ref, Cause: cause, Evicted: rapid.Bool().Draw(h.t, "evicted")})
 }
 
-func (d *desk) wait() {
-	d.now = d.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(d.t, "ms")) * time.Millisecond)
-	d.tell(holder.Tick{})
+func (h *harness) advanceClock() {
+	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(h.t, "ms")) * time.Millisecond)
+	h.handle(holder.Tick{})
 }
 
-func (d *desk) disturb() {
-	up := rapid.IntRange(0, 3).Draw(d.t, "up") > 0
-	switch rapid.IntRange(0, 15).Draw(d.t, "disturbance") {
+func (h *harness) injectFault() {
+	up := rapid.IntRange(0, 3).Draw(h.t, "up") > 0
+	switch rapid.IntRange(0, 15).Draw(h.t, "disturbance") {
 	case 0:
-		d.tell(holder.UpstreamHealth{Healthy: up})
+		h.handle(holder.UpstreamHealth{Healthy: up})
 	case 1:
-		d.tell(holder.UpstreamLeaving{Leaving: !up})
+		h.handle(holder.UpstreamLeaving{Leaving: !up})
 	case 2:
-		d.tell(holder.UpstreamRestarted{Incarnation: fmt.Sprint(d.number)})
+		h.handle(holder.UpstreamRestarted{Incarnation: fmt.Sprint(h.requests)})
 	case 3:
-		d.tell(holder.Reported{Incarnation: fmt.Sprint(d.number), Age: time.Second})
+		h.handle(holder.Reported{Incarnation: fmt.Sprint(h.requests), Age: time.Second})
 	}
 }
 
-// A caller whose request the holder forgets waits for its whole patience and gets no answer; one that is
-// answered twice may be run twice. Whatever fails around the holder, each request is granted or refused
-// exactly once, by its deadline, and never more run than the batch holds.
+// If the holder loses a request, its caller waits until the deadline and gets no answer. A request that is
+// answered twice may run twice. Whatever fails around the holder, each request must be granted or refused
+// exactly once, by its deadline, and no more requests may run than the batch holds.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		d := &desk{
+		h := &harness{
 			t: t, now: time.Unix(0, 0), holder: newHolder(true),
 			answers: map[string]int{}, deadlines: map[string]time.Time{}, cancelled: map[string]bool{},
 		}
-		d.holder.Upstream.Batch = 2
-		d.tell(holder.Appointed{Epoch: 5, Members: []string{"i1"}})
-		d.tell(holder.EpochInForce{Epoch: 5})
-		d.tell(holder.FenceNoted{Fence: 5})
-		d.tell(holder.PinsTold{Instance: "i1", Epoch: 5})
-		d.tell(holder.Reported{Incarnation: "a"})
+		h.holder.Upstream.Batch = 2
+		h.handle(holder.Appointed{Epoch: 5, Members: []string{"i1"}})
+		h.handle(holder.EpochInForce{Epoch: 5})
+		h.handle(holder.FenceNoted{Fence: 5})
+		h.handle(holder.PinsTold{Instance: "i1", Epoch: 5})
+		h.handle(holder.Reported{Incarnation: "a"})
 		step := func(do func()) func(*rapid.T) { return func(*rapid.T) { do() } }
 		steps := map[string]func(*rapid.T){
-			"arrive": step(d.arrive), "arrive more": step(d.arrive), "cancel": step(d.cancel), "release": step(d.release),
-			"answer permit": step(d.answerPermit), "answer order": step(d.answerOrder), "wait": step(d.wait), "disturb": step(d.disturb),
+			"arrive": step(h.arrive), "arrive more": step(h.arrive), "cancel": step(h.cancel), "release": step(h.release),
+			"answer permit": step(h.answerPermit), "answer order": step(h.answerOrder), "wait": step(h.advanceClock), "disturb": step(h.injectFault),
 		}
-		for range worldRounds {
+		for range simulationRounds {
 			t.Repeat(steps)
 		}
-		d.now = d.now.Add(10 * time.Second)
-		d.tell(holder.Tick{})
-		for id := range d.deadlines {
-			if d.cancelled[id] && d.answers[id] == 0 {
+		h.now = h.now.Add(10 * time.Second)
+		h.handle(holder.Tick{})
+		for id := range h.deadlines {
+			if h.cancelled[id] && h.answers[id] == 0 {
 				continue
 			}
-			if d.answers[id] != 1 {
-				t.Fatalf("%s was answered %d times", id, d.answers[id])
+			if h.answers[id] != 1 {
+				t.Fatalf("%s was answered %d times", id, h.answers[id])
 			}
 		}
-		granted += d.granted
+		granted += h.granted
 	})
 	if granted == 0 {
-		t.Fatal("nothing was granted in any sequence")
+		t.Fatal("no request was granted in any sequence")
 	}
 }
--- a/internal/placement/holder/change_of_holder_test.go
+++ b/internal/placement/holder/change_of_holder_test.go
@@ -14,337 +14,338 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// world is an engine, the instances that take turns at holding it, and the messages under way between
-// them, which arrive in any order. It keeps a plain record of what the engine runs.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	checks  bool
-	engine  map[model.Reference]bool
-	fence   int64
-	runs    map[string]holder.Pin
-	holders map[string]*holder.Holder
-	epoch   int64
-	holding string
-	acting  map[string]bool
-	orders  []sentOrder
-	grants  []holder.Grant
-	told    map[string]int64
-	made    time.Time
-	listed  []model.Reference
-	running []model.Reference
-	number  int
-	evicted int
-	granted int
-	orphans int
+// simulation simulates an engine, the instances that hold it in turn, and the messages in flight between
+// them, which arrive in any order. It records which requests the engine runs.
+type simulation struct {
+	t                *rapid.T
+	now              time.Time
+	checksFencing    bool
+	engine           map[model.Reference]bool
+	fence            int64
+	inFlight         map[string]holder.Pin
+	holders          map[string]*holder.Holder
+	epoch            int64
+	currentHolder    string
+	acting           map[string]bool
+	orders           []sentOrder
+	grants           []holder.Grant
+	reportedEpoch    map[string]int64
+	reportMadeAt     time.Time
+	reportedResident []model.Reference
+	reportedRunning  []model.Reference
+	requests         int
+	evicted          int
+	granted          int
+	orphans          int
 }
 
-// sentOrder is an order on its way; the engine executes it or its sender gives it up.
+// sentOrder is an order in flight; the engine executes it, or its sender gives up on it.
 type sentOrder struct {
 	from  string
 	order holder.OrderLoad
 	at    time.Time
 }
 
-const worldSlots = 3
+const simulatedSlots = 3
 
-// dead stands for the instances that died: their requests run on at the engine.
-const dead = "dead"
+// failedInstance is the owner of the requests of failed instances, which continue to run at the engine.
+const failedInstance = "dead"
 
-// worldRounds is how often a sequence of some thirty steps is drawn in one world.
-const worldRounds = 8
+// simulationRounds is how many sequences of about thirty steps are drawn in one simulation.
+const simulationRounds = 8
 
-var worldInstances = []string{"i1", "i2"}
+var simulatedInstances = []string{"i1", "i2"}
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t: t, now: time.Unix(0, 0), checks: rapid.Bool().Draw(t, "checks fencing"),
-		engine: map[model.Reference]bool{}, runs: map[string]holder.Pin{},
-		holders: map[string]*holder.Holder{}, acting: map[string]bool{}, told: map[string]int64{},
-	}
-	for _, name := range worldInstances {
-		w.holders[name] = w.newHolder()
-	}
-	w.appoint("i1")
-	w.settleDown()
-	return w
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{
+		t: t, now: time.Unix(0, 0), checksFencing: rapid.Bool().Draw(t, "checks fencing"),
+		engine: map[model.Reference]bool{}, inFlight: map[string]holder.Pin{},
+		holders: map[string]*holder.Holder{}, acting: map[string]bool{}, reportedEpoch: map[string]int64{},
+	}
+	for _, name := range simulatedInstances {
+		s.holders[name] = s.newHolder()
+	}
+	s.appoint("i1")
+	s.deliverAll()
+	return s
 }
 
-func (w *world) newHolder() *holder.Holder {
+func (s *simulation) newHolder() *holder.Holder {
 	return &holder.Holder{
-		Upstream: resource.Upstream{Meta: resource.Meta{Name: "u"}, Slots: worldSlots, Batch: 4, ChecksFencing: w.checks},
+		Upstream: resource.Upstream{Meta: resource.Meta{Name: "u"}, Slots: simulatedSlots, Batch: 4, ChecksFencing: s.checksFencing},
 		Settings: holder.DefaultSettings(),
 	}
 }
 
-// settleDown lets all messages about the holder arrive, as they do most of the time.
-func (w *world) settleDown() {
-	w.inForce()
-	w.noteFence()
-	for _, name := range worldInstances {
-		w.tellPins(name)
-	}
-	w.report()
+// deliverAll delivers all messages about the holder change, as happens most of the time.
+func (s *simulation) deliverAll() {
+	s.inForce()
+	s.noteFence()
+	for _, name := range simulatedInstances {
+		s.reportPins(name)
+	}
+	s.report()
 }
 
-func (w *world) tell(name string, event holder.Event) {
-	for _, action := range w.holders[name].Handle(w.now, event) {
+func (s *simulation) handle(name string, event holder.Event) {
+	for _, action := range s.holders[name].Handle(s.now, event) {
 		switch a := action.(type) {
 		case holder.OrderLoad:
-			w.orders = append(w.orders, sentOrder{from: name, order: a, at: w.now})
+			s.orders = append(s.orders, sentOrder{from: name, order: a, at: s.now})
 		case holder.Grant:
-			w.grants = append(w.grants, a)
+			s.grants = append(s.grants, a)
 		case holder.AskPermit:
-			w.tell(name, holder.PermitGranted{Model: a.Model, UseWithin: time.Second})
+			s.handle(name, holder.PermitGranted{Model: a.Model, UseWithin: time.Second})
 		}
 	}
 }
 
-func (w *world) appoint(name string) {
-	w.epoch++
-	w.holding = name
-	w.acting[name] = true
-	w.tell(name, holder.Appointed{Epoch: w.epoch, Members: []string{"i1", "i2"}})
+func (s *simulation) appoint(name string) {
+	s.epoch++
+	s.currentHolder = name
+	s.acting[name] = true
+	s.handle(name, holder.Appointed{Epoch: s.epoch, Members: []string{"i1", "i2"}})
 }
 
-// change makes the other instance the holder; the old one learns of it later.
-func (w *world) change() {
-	if len(w.acting) > 1 {
+// changeHolder makes the other instance the holder; the previous holder is notified later.
+func (s *simulation) changeHolder() {
+	if len(s.acting) > 1 {
 		return
 	}
-	next := map[string]string{"i1": "i2", "i2": "i1"}[w.holding]
-	w.appoint(next)
+	next := map[string]string{"i1": "i2", "i2": "i1"}[s.currentHolder]
+	s.appoint(next)
 }
 
-// inForce stops the old holder, by its own knowledge or because its knowledge has run out, and only
-// then tells the new one.
-func (w *world) inForce() {
-	for _, name := range worldInstances {
-		if w.acting[name] && name != w.holding {
-			delete(w.acting, name)
-			w.tell(name, holder.Yielded{})
+// inForce stops the previous holder, which has been notified or whose freshness bound has expired, and then notifies
+// the new one.
+func (s *simulation) inForce() {
+	for _, name := range simulatedInstances {
+		if s.acting[name] && name != s.currentHolder {
+			delete(s.acting, name)
+			s.handle(name, holder.Yielded{})
 		}
 	}
-	w.tell(w.holding, holder.EpochInForce{Epoch: w.epoch})
+	s.handle(s.currentHolder, holder.EpochInForce{Epoch: s.epoch})
 }
 
-// noteFence lets the holder's note reach an engine that checks.
-func (w *world) noteFence() {
-	if !w.checks || len(w.acting) > 1 {
+// noteFence delivers the holder's fencing order to an engine that checks fencing.
+func (s *simulation) noteFence() {
+	if !s.checksFencing || len(s.acting) > 1 {
 		return
 	}
-	w.fence = w.epoch
-	w.tell(w.holding, holder.FenceNoted{Fence: w.epoch})
+	s.fence = s.epoch
+	s.handle(s.currentHolder, holder.FenceNoted{Fence: s.epoch})
 }
 
-// tellPins lists what an instance runs; from then on it takes no grant of an older epoch.
-func (w *world) tellPins(name string) {
+// reportPins reports an instance's pins; from then on the instance accepts no grant of an older epoch.
+func (s *simulation) reportPins(name string) {
 	var pins []holder.Pin
-	for _, pin := range w.runs {
+	for _, pin := range s.inFlight {
 		if pin.Instance == name {
 			pins = append(pins, pin)
 		}
 	}
-	w.told[name] = w.epoch
-	w.tell(w.holding, holder.PinsTold{Instance: name, Epoch: w.epoch, Pins: pins})
+	s.reportedEpoch[name] = s.epoch
+	s.handle(s.currentHolder, holder.PinsTold{Instance: name, Epoch: s.epoch, Pins: pins})
 }
 
-func (w *world) arrive() {
-	w.number++
-	name := rapid.SampledFrom(worldInstances).Draw(w.t, "asker")
-	ref := model.Reference{Adapter: fmt.Sprint("a", rapid.IntRange(1, 6).Draw(w.t, "adapter")), Version: "v1"}
+func (s *simulation) arrive() {
+	s.requests++
+	name := rapid.SampledFrom(simulatedInstances).Draw(s.t, "sender")
+	ref := model.Reference{Adapter: fmt.Sprint("a", rapid.IntRange(1, 6).Draw(s.t, "adapter")), Version: "v1"}
 	request := holder.Request{
-		ID: fmt.Sprint("r", w.number), Instance: name, Incarnation: "1", Workspace: "w", Weight: 1,
-		Model: ref, Cost: 10, Deadline: w.now.Add(20 * time.Second),
+		ID: fmt.Sprint("r", s.requests), Instance: name, Incarnation: "1", Workspace: "w", Weight: 1,
+		Model: ref, Cost: 10, Deadline: s.now.Add(20 * time.Second),
 	}
-	w.tell(rapid.SampledFrom(w.actors()).Draw(w.t, "asked"), holder.Arrived{Request: request})
+	s.handle(rapid.SampledFrom(s.actingInstances()).Draw(s.t, "recipient"), holder.Arrived{Request: request})
 }
 
-// actors are the instances that believe to be the holder.
-func (w *world) actors() (names []string) {
-	for _, name := range worldInstances {
-		if w.acting[name] {
+// actingInstances returns the instances that act as the holder.
+func (s *simulation) actingInstances() (names []string) {
+	for _, name := range simulatedInstances {
+		if s.acting[name] {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// crash kills an instance, while the engine runs on with its requests, and starts it again. If it held the
-// upstream, the other one does from now on, and knows nothing of the dead one's pins. Otherwise the
-// holder cancels the streams it knows of before it forgets their pins.
-func (w *world) crash(name string) {
-	if len(w.acting) > 1 {
+// crash stops and restarts an instance while the engine continues to run its requests. If the instance was the
+// holder, the other one becomes the holder, without the failed instance's pins. Otherwise the holder cancels the
+// instance's streams before it drops their pins.
+func (s *simulation) crash(name string) {
+	if len(s.acting) > 1 {
 		return
 	}
-	w.grants = slices.DeleteFunc(w.grants, func(g holder.Grant) bool { return g.Pin.Instance == name })
-	held := w.holding == name
-	for id, pin := range w.runs {
+	s.grants = slices.DeleteFunc(s.grants, func(g holder.Grant) bool { return g.Pin.Instance == name })
+	wasHolder := s.currentHolder == name
+	for id, pin := range s.inFlight {
 		if pin.Instance != name {
 			continue
 		}
-		if !held {
-			delete(w.runs, id)
+		if !wasHolder {
+			delete(s.inFlight, id)
 			continue
 		}
-		pin.Instance = dead
-		w.runs[id] = pin
-		w.orphans++
+		pin.Instance = failedInstance
+		s.inFlight[id] = pin
+		s.orphans++
 	}
-	if !held {
-		w.tell(w.holding, holder.InstanceGone{Instance: name, Incarnation: "1"})
+	if !wasHolder {
+		s.handle(s.currentHolder, holder.InstanceGone{Instance: name, Incarnation: "1"})
 		return
 	}
-	delete(w.acting, name)
-	w.holders[name] = w.newHolder()
-	w.change()
+	delete(s.acting, name)
+	s.holders[name] = s.newHolder()
+	s.changeHolder()
 }
 
-// endOrphan ends a request of a dead instance at the engine; nobody hears of it.
-func (w *world) endOrphan() {
-	for _, id := range slices.Sorted(maps.Keys(w.runs)) {
-		if w.runs[id].Instance == dead {
-			delete(w.runs, id)
+// endOrphan ends a request of a failed instance at the engine; no instance is notified.
+func (s *simulation) endOrphan() {
+	for _, id := range slices.Sorted(maps.Keys(s.inFlight)) {
+		if s.inFlight[id].Instance == failedInstance {
+			delete(s.inFlight, id)
 			return
 		}
 	}
 }
 
-// run lets a grant arrive: the instance sends the request, unless it has told its pins to a newer
-// holder since; the engine runs it if the version is loaded.
-func (w *world) run() {
-	if len(w.grants) == 0 {
+// run delivers a grant: the instance sends the request, unless it has reported its pins to a newer holder since. The
+// engine runs the request if the version is loaded.
+func (s *simulation) run() {
+	if len(s.grants) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.grants)-1).Draw(w.t, "grant")
-	pin := w.grants[i].Pin
-	w.grants = append(w.grants[:i], w.grants[i+1:]...)
+	i := rapid.IntRange(0, len(s.grants)-1).Draw(s.t, "grant")
+	pin := s.grants[i].Pin
+	s.grants = append(s.grants[:i], s.grants[i+1:]...)
 	epoch := int64(0)
 	if _, err := fmt.Sscanf(pin.ID, "u/%d/", &epoch); err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	if epoch < w.told[pin.Instance] {
+	if epoch < s.reportedEpoch[pin.Instance] {
 		return
 	}
-	if !w.engine[pin.Model] {
-		w.tell(w.holding, holder.Released{Pin: pin.ID, NotResident: true})
+	if !s.engine[pin.Model] {
+		s.handle(s.currentHolder, holder.Released{Pin: pin.ID, NotResident: true})
 		return
 	}
-	w.granted++
-	w.runs[pin.ID] = pin
+	s.granted++
+	s.inFlight[pin.ID] = pin
 }
 
-func (w *world) finish() {
-	for _, pin := range w.holders[w.holding].Pins() {
-		if _, running := w.runs[pin.ID]; running {
-			delete(w.runs, pin.ID)
-			w.tell(w.holding, holder.Released{Pin: pin.ID, Tokens: 10})
+func (s *simulation) finish() {
+	for _, pin := range s.holders[s.currentHolder].Pins() {
+		if _, running := s.inFlight[pin.ID]; running {
+			delete(s.inFlight, pin.ID)
+			s.handle(s.currentHolder, holder.Released{Pin: pin.ID, Tokens: 10})
 			return
 		}
 	}
 }
 
-// execute lets an order arrive at the engine.
-func (w *world) execute() {
-	if len(w.orders) == 0 {
+// execute delivers an order to the engine.
+func (s *simulation) execute() {
+	if len(s.orders) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.orders)-1).Draw(w.t, "order")
-	sent := w.orders[i]
-	w.orders = append(w.orders[:i], w.orders[i+1:]...)
-	if w.checks && sent.order.Fence < w.fence {
-		w.tell(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseStaleFence})
+	i := rapid.IntRange(0, len(s.orders)-1).Draw(s.t, "order")
+	sent := s.orders[i]
+	s.orders = append(s.orders[:i], s.orders[i+1:]...)
+	if s.checksFencing && sent.order.Fence < s.fence {
+		s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseStaleFence})
 		return
 	}
-	if w.checks {
-		w.fence = sent.order.Fence
+	if s.checksFencing {
+		s.fence = sent.order.Fence
 	}
-	for _, pin := range w.runs {
+	for _, pin := range s.inFlight {
 		if pin.Model == sent.order.Evict {
-			w.t.Fatalf("%s evicts %s, which serves %s", sent.from, sent.order.Evict, pin.RequestID)
+			s.t.Fatalf("%s evicts %s, which serves %s", sent.from, sent.order.Evict, pin.RequestID)
 		}
 	}
-	if w.engine[sent.order.Evict] {
-		w.evicted++
+	if s.engine[sent.order.Evict] {
+		s.evicted++
 	}
-	delete(w.engine, sent.order.Evict)
-	if len(w.engine) >= worldSlots {
-		w.tell(sent.from, holder.LoadFailed{Load: sent.order.Load, Evicted: true, Cause: holder.CauseNoSlot})
+	delete(s.engine, sent.order.Evict)
+	if len(s.engine) >= simulatedSlots {
+		s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Evicted: true, Cause: holder.CauseNoSlot})
 		return
 	}
-	w.engine[sent.order.Load] = true
-	if rapid.Bool().Draw(w.t, "answer lost") {
-		w.tell(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseUpstream})
+	s.engine[sent.order.Load] = true
+	if rapid.Bool().Draw(s.t, "answer lost") {
+		s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseUpstream})
 		return
 	}
-	w.tell(sent.from, holder.LoadDone{Load: sent.order.Load})
+	s.handle(sent.from, holder.LoadDone{Load: sent.order.Load})
 }
 
-// report lets the holder know what is loaded now; makeReport keeps it to be heard of later.
-func (w *world) report() {
-	w.makeReport()
-	w.hearReport()
+// report delivers a current report to the holder. makeReport only stores one, to be delivered later.
+func (s *simulation) report() {
+	s.makeReport()
+	s.deliverReport()
 }
 
-func (w *world) makeReport() {
-	w.made = w.now
-	w.listed, w.running = nil, nil
-	for ref := range w.engine {
-		w.listed = append(w.listed, ref)
+func (s *simulation) makeReport() {
+	s.reportMadeAt = s.now
+	s.reportedResident, s.reportedRunning = nil, nil
+	for ref := range s.engine {
+		s.reportedResident = append(s.reportedResident, ref)
 	}
-	for _, pin := range w.runs {
-		w.running = append(w.running, pin.Model)
+	for _, pin := range s.inFlight {
+		s.reportedRunning = append(s.reportedRunning, pin.Model)
 	}
 }
 
-func (w *world) hearReport() {
-	w.tell(w.holding, holder.Reported{Incarnation: "a", Resident: w.listed, Running: w.running, Age: w.now.Sub(w.made)})
+func (s *simulation) deliverReport() {
+	s.handle(s.currentHolder, holder.Reported{Incarnation: "a", Resident: s.reportedResident, Running: s.reportedRunning, Age: s.now.Sub(s.reportMadeAt)})
 }
 
-// wait lets time pass; orders that took too long are given up.
-func (w *world) wait() {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "ms")) * time.Millisecond)
+// advanceClock advances the clock; senders give up on orders that exceed the timeout.
+func (s *simulation) advanceClock() {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(s.t, "ms")) * time.Millisecond)
 	var kept []sentOrder
-	under := w.orders
-	w.orders = nil
-	for _, sent := range under {
-		if w.now.Sub(sent.at) < holder.DefaultSettings().LongestOrder {
+	sentOrders := s.orders
+	s.orders = nil
+	for _, sent := range sentOrders {
+		if s.now.Sub(sent.at) < holder.DefaultSettings().LongestOrder {
 			kept = append(kept, sent)
 		} else {
-			w.tell(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseUpstream})
+			s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseUpstream})
 		}
 	}
-	w.orders = append(kept, w.orders...)
-	for _, name := range w.actors() {
-		w.tell(name, holder.Tick{})
+	s.orders = append(kept, s.orders...)
+	for _, name := range s.actingInstances() {
+		s.handle(name, holder.Tick{})
 	}
 }
 
-// The holder of an upstream changes, in order or because it died with requests of its own under way, while
-// its orders and grants are still on their way, at engines that check fencing and at ones that do not. If a new holder acted too early, or evicted without knowing
-// what still runs, a caller's stream would break off or go on with the wrong weights.
+// The holder of an upstream changes, as planned or because it failed with its own requests running, while its orders
+// and grants are still in flight, at engines with and without fencing checks. If a new holder acted too early, or
+// evicted without knowing which requests still run, a caller's stream would be aborted or continue with the wrong
+// weights.
 func TestChangeOfHolderEvictsNothingThatServes(t *testing.T) {
 	evicted, granted, orphans := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		step := func(do func()) func(*rapid.T) { return func(*rapid.T) { do() } }
-		crash := func() { w.crash(rapid.SampledFrom(worldInstances).Draw(t, "crashed")) }
-		tellPins := func() { w.tellPins(rapid.SampledFrom(worldInstances).Draw(t, "teller")) }
+		crash := func() { s.crash(rapid.SampledFrom(simulatedInstances).Draw(t, "crashed")) }
+		reportPins := func() { s.reportPins(rapid.SampledFrom(simulatedInstances).Draw(t, "member")) }
 		steps := map[string]func(*rapid.T){
-			"arrive": step(w.arrive), "arrive more": step(w.arrive), "run": step(w.run), "run more": step(w.run),
-			"finish": step(w.finish), "execute": step(w.execute), "execute more": step(w.execute),
-			"make report": step(w.makeReport), "hear report": step(w.hearReport), "wait": step(w.wait), "change": step(w.change), "in force": step(w.inForce),
-			"note fence": step(w.noteFence), "tell pins": step(tellPins), "crash": step(crash), "end orphan": step(w.endOrphan), "settle down": step(w.settleDown),
+			"arrive": step(s.arrive), "arrive more": step(s.arrive), "run": step(s.run), "run more": step(s.run),
+			"finish": step(s.finish), "execute": step(s.execute), "execute more": step(s.execute),
+			"make report": step(s.makeReport), "deliver report": step(s.deliverReport), "wait": step(s.advanceClock), "change": step(s.changeHolder), "in force": step(s.inForce),
+			"note fence": step(s.noteFence), "report pins": step(reportPins), "crash": step(crash), "end orphan": step(s.endOrphan), "deliver all": step(s.deliverAll),
 		}
-		for range worldRounds {
+		for range simulationRounds {
 			t.Repeat(steps)
 		}
-		evicted += w.evicted
-		granted += w.granted
-		orphans += w.orphans
+		evicted += s.evicted
+		granted += s.granted
+		orphans += s.orphans
 	})
 	if evicted == 0 || granted == 0 || orphans == 0 {
-		t.Fatalf("nothing was tried: %d evictions, %d runs, %d orphans", evicted, granted, orphans)
+		t.Fatalf("the sequences covered too little: %d evictions, %d runs, %d orphans", evicted, granted, orphans)
 	}
 	t.Logf("%d evictions, %d runs, %d orphans", evicted, granted, orphans)
 }
--- a/internal/placement/holder/dispatch.go
+++ b/internal/placement/holder/dispatch.go
@@ -7,17 +7,17 @@
 	"lacewingrock.example/lacewingrock/internal/placement/queue"
 )
 
-// dispatch.go hands free batch places to waiting requests, and takes places back.
+// dispatch.go assigns free batch slots to waiting requests and releases them.
 
-// mostApart is how many requests that were in flight at one crash may run beside each other. Measured:
-// with 2 a third fewer innocent requests are refused than with 1, 3 or no bound.
-const mostApart = 2
+// maxApart limits how many requests that were in flight at one crash may run concurrently. In measurements, 2 gave a
+// third fewer refusals of innocent requests than 1, 3 or no limit.
+const maxApart = 2
 
-// dispatch grants places while there are any, in fair order, to requests whose version is loaded.
+// dispatch grants free batch slots, in fair order, to requests whose version is loaded.
 //
-// Made for a full batch and for long and short requests mixed. A request whose version is still being
-// loaded is passed over: a place kept free for it would be a place wasted. A suspect that has come
-// first stops the rest until it has run alone, for otherwise a busy upstream would never be free for it.
+// This is for a full batch with long and short requests mixed. A request whose version is still being loaded is skipped:
+// a slot reserved for it would be wasted. A suspect at the head of the queue blocks the others until it has run alone;
+// otherwise a busy upstream would never be free for it.
 func (h *Holder) dispatch(now time.Time) {
 	if !h.mayAct(now) {
 		return
@@ -29,7 +29,7 @@
 			if draining || !h.residency.has(w.request.Model) {
 				return false
 			}
-			if w.request.Apart && h.pins.apart >= mostApart {
+			if w.request.Apart && h.pins.apart >= maxApart {
 				return false
 			}
 			draining = w.request.Alone && h.pins.len() > 0
@@ -53,17 +53,17 @@
 		Workspace:   request.Workspace,
 		Model:       request.Model,
 	}
-	h.pins.add(running{Pin: pin, since: now, cost: request.Cost, weight: request.Weight, alone: request.Alone, apart: request.Apart})
-	h.residency.use(now, request.Model)
+	h.pins.add(runningPin{Pin: pin, since: now, cost: request.Cost, weight: request.Weight, alone: request.Alone, apart: request.Apart})
+	h.residency.markUsed(now, request.Model)
 	load, queued := w.waited(now)
-	h.act(Grant{Pin: pin, WaitedLoad: load, WaitedQueue: queued})
+	h.emit(Grant{Pin: pin, WaitedLoad: load, WaitedQueue: queued})
 }
 
-// released takes a place back, and learns from how the request ran.
+// released frees the batch slot and updates the speed estimate and the workspace's share.
 func (h *Holder) released(now time.Time, e Released) {
 	r, ok := h.pins.remove(e.Pin)
 	if !ok {
-		h.tenure.noteReleased(e.Pin)
+		h.tenure.recordReleased(e.Pin)
 		return
 	}
 	if e.NotResident {
@@ -73,35 +73,36 @@
 	if e.UpstreamFailed || r.since.IsZero() || e.Tokens <= 0 {
 		return
 	}
-	h.speed = h.speed.with(now.Sub(r.since), r.cost)
+	h.speed = h.speed.withSample(now.Sub(r.since), r.cost)
 	h.queue.Settle(r.Workspace, r.weight, r.cost, e.Tokens)
 }
 
-// occupancy is how long the next waiting request waits for a place.
+// occupancy returns how long the next waiting request waits for a batch slot.
 func (h *Holder) occupancy(now time.Time) queue.Occupancy {
-	idle := time.Duration(0)
+	untilMayAct := time.Duration(0)
 	if from, known := h.mayActFrom(now); known && from.After(now) {
-		idle = from.Sub(now)
+		untilMayAct = from.Sub(now)
 	}
 	free := h.pins.len() < h.Upstream.Batch && !h.pins.alone
-	if free && idle == 0 {
+	if free && untilMayAct == 0 {
 		return queue.Occupancy{Free: true}
 	}
 	if free {
-		return queue.Occupancy{NextPlace: idle}
+		return queue.Occupancy{NextPlace: untilMayAct}
 	}
-	return queue.Occupancy{NextPlace: idle + h.untilPlace(now)}
+	return queue.Occupancy{NextPlace: untilMayAct + h.untilSlotFree(now)}
 }
 
-// longestUntilPlace stands for the time until a place is free when nothing is known of what runs, as all
-// of it was granted by an older holder. No measured reason yet.
-const longestUntilPlace = 10 * time.Second
+// maxUntilSlotFree caps the estimated time until a batch slot is free. It is the estimate when an earlier holder
+// granted all running requests, as nothing is known of them.
+const maxUntilSlotFree = 10 * time.Second
 
-// untilPlace is when the first of the running requests is expected to end. The mean time per request
-// would do for equal ones; among short and long ones it promises places that eight long ones keep.
-func (h *Holder) untilPlace(now time.Time) time.Duration {
-	least := h.speed.usual / time.Duration(2*max(h.Upstream.Batch, 1)) // of one that runs longer than expected
-	first := longestUntilPlace
+// untilSlotFree returns how long until the first running request is expected to end. The mean time per request would
+// suffice for equal requests. With short and long requests mixed, it would predict free slots while eight long
+// requests occupy them.
+func (h *Holder) untilSlotFree(now time.Time) time.Duration {
+	least := h.speed.perRequest / time.Duration(2*max(h.Upstream.Batch, 1)) // for a request that runs longer than expected
+	first := maxUntilSlotFree
 	for _, r := range h.pins.byID {
 		if r.since.IsZero() {
 			continue
@@ -114,40 +115,38 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// learning is the weight of the newest sample in a moving mean: about the last ten count. No measured
-// reason yet.
-const learning = 0.1
+// sampleWeight is the weight of the newest sample in a moving mean: about the last ten samples count.
+const sampleWeight = 0.1
 
-// speed is how fast the upstream works: moving means of the time per token of the expected cost and per
-// request. The expected cost is the most a request may take, so fewer tokens come than it says; measured
-// by it, that is made up for.
+// speed holds moving means of the upstream's time per token of expected cost and time per request. The expected cost
+// is an upper bound, so requests produce fewer tokens; dividing the time by the expected cost compensates for that.
 type speed struct {
-	perToken time.Duration
-	usual    time.Duration
+	perToken   time.Duration
+	perRequest time.Duration
 }
 
-func (s speed) with(took time.Duration, cost float64) speed {
-	s.perToken = blend(s.perToken, time.Duration(float64(took)/max(cost, 1)))
-	s.usual = blend(s.usual, took)
+func (s speed) withSample(took time.Duration, cost float64) speed {
+	s.perToken = movingMean(s.perToken, time.Duration(float64(took)/max(cost, 1)))
+	s.perRequest = movingMean(s.perRequest, took)
 	return s
 }
 
-// work is how long a request of that cost is expected to occupy a place.
+// work returns how long a request of that cost is expected to occupy a batch slot.
 func (s speed) work(cost float64) time.Duration {
 	return time.Duration(cost * float64(s.perToken))
 }
 
-func blend(mean, sample time.Duration) time.Duration {
+func movingMean(mean, sample time.Duration) time.Duration {
 	if mean == 0 {
 		return sample
 	}
-	return mean + time.Duration(learning*float64(sample-mean))
+	return mean + time.Duration(sampleWeight*float64(sample-mean))
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// loaded notes, for those that wait for the version, how long they waited for the load.
-func (h *Holder) loaded(now time.Time, ref model.Reference) {
+// recordLoadWaits records the load wait of the requests that wait for the version.
+func (h *Holder) recordLoadWaits(now time.Time, ref model.Reference) {
 	h.queue.Each(func(entry queue.Entry) {
 		w := h.waiting.byID[entry.ID]
 		if w.request.Model == ref && !w.loadSince.IsZero() {
--- a/internal/placement/holder/events.go
+++ b/internal/placement/holder/events.go
@@ -1,7 +1,7 @@
-// Package holder decides for one upstream: which waiting request runs next, which adapter versions
-// are loaded and which is evicted. It is an aggregate: Handle takes one event and returns the actions
-// that the daemon has to carry out. It decides without sockets; the caller reads the runtime's clock
-// and passes the time in, so that the measuring program can drive the same code on a simulated clock.
+// Package holder decides for one upstream which waiting request runs next, which adapter versions
+// are loaded and which one is evicted. It is a state machine: Handle takes one event and returns the actions
+// that the daemon has to execute. The package does no I/O; the caller reads the clock and passes the time in, so that
+// the measuring program can run the same code on a simulated clock.
 package holder
 
 import (
@@ -10,16 +10,15 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// events.go lists the facts a holder is told. They come from the peers' protocol (requests, pins),
+// events.go lists a holder's input events. They come from the peer protocol (requests, pins),
 // from the engine client (loads, reports) and from the freshness rules (epochs).
 
-// Event is a fact told to a holder. It is sealed.
+// Event is an input of a holder. It is sealed.
 type Event interface{ event() }
 
-// Request asks for a batch place for one request. Cost is its expected tokens; it must be dispatched
-// by Deadline. Alone marks a suspect of crashing upstreams: nothing else may run beside it. Apart marks
-// one that is less suspect: few of its kind may run beside each other, so that the next crash tells
-// more.
+// Request asks for a batch slot for one request. Cost is its expected number of tokens; it must be dispatched by Deadline.
+// Alone marks a request suspected of crashing upstreams: no other request may run beside it. Apart marks a request
+// under weaker suspicion: only a few of these may run concurrently, so that the next crash narrows down the suspects.
 type Request struct {
 	ID          string
 	Instance    string
@@ -33,7 +32,7 @@
 	Apart       bool
 }
 
-// Pin is a running request's claim on a batch place and on its adapter version.
+// Pin is a running request's claim on a batch slot and on its adapter version.
 type Pin struct {
 	ID          string
 	RequestID   string
@@ -43,16 +42,16 @@
 	Model       model.Reference
 }
 
-// Cause tells why a load failed.
+// Cause is why a load failed.
 type Cause string
 
-// The causes of LoadFailed, as engines answer them.
+// The causes of LoadFailed, as reported by engines.
 const (
-	// CauseStaleFence: the engine has seen a newer epoch, so this instance is the holder no more.
+	// CauseStaleFence: the engine has seen a newer epoch, so this instance is no longer the holder.
 	CauseStaleFence Cause = "stale_fence"
-	// CauseNoSlot: the engine's slots are full of versions that the holder does not know of.
+	// CauseNoSlot: the engine has no free slot, as it holds versions unknown to the holder.
 	CauseNoSlot Cause = "no_slot"
-	// CauseInUse: the engine still runs a request on the version to be evicted.
+	// CauseInUse: the engine is still running a request on the version to be evicted.
 	CauseInUse Cause = "in_use"
 	// CauseWeightStore: the weight store refused or failed.
 	CauseWeightStore Cause = "weight_store"
@@ -61,80 +60,81 @@
 )
 
 type (
-	// Appointed tells that the head of revision Epoch names this instance the upstream's holder. Members are
-	// the live members whose pins have to be told, itself included. Continued is true only when this
-	// instance is certain to have been the holder in the epoch directly before, so that no other
-	// instance can have granted or ordered anything since; the pins it knows are then complete.
+	// Appointed reports that the head of revision Epoch names this instance the upstream's holder. Members are
+	// the live members that have to report their pins, this instance included. Continued is true only if this
+	// instance was certainly the holder in the previous epoch, so that no other instance can have granted or
+	// ordered anything since. Its list of pins is then complete.
 	Appointed struct {
 		Epoch     int64
 		Members   []string
 		Continued bool
 	}
-	// EpochInForce tells that no member acts on an epoch older than this one any more.
+	// EpochInForce reports that no member acts on an older epoch any more.
 	EpochInForce struct{ Epoch int64 }
-	// FenceNoted answers OrderFence: the upstream refuses orders of older epochs from now on.
+	// FenceNoted answers OrderFence: from now on the upstream refuses orders of older epochs.
 	FenceNoted struct{ Fence int64 }
-	// PinsTold tells that a member has noted the epoch, takes no grant of an older one any more, and
-	// has listed all the pins it has on the upstream.
+	// PinsTold lists all of a member's pins on the upstream. The member has recorded the epoch and no longer
+	// accepts grants of older epochs.
 	PinsTold struct {
 		Instance string
 		Epoch    int64
 		Pins     []Pin
 	}
-	// InstanceGone tells that this incarnation of the instance certainly runs no more (its bound has run out
-	// since it was heard of), so its pins are over and its list is not waited for.
+	// InstanceGone reports that this incarnation of the instance has certainly stopped, because its freshness
+	// bound has expired since its last heartbeat. Its pins are void and its list of pins is not awaited.
 	InstanceGone struct {
 		Instance    string
 		Incarnation string
 	}
-	// Yielded tells that another instance holds the upstream from now on.
+	// Yielded reports that another instance is the upstream's holder from now on.
 	Yielded struct{}
-	// Arrived tells that a request asks for a place.
+	// Arrived reports a new request for a batch slot.
 	Arrived struct{ Request Request }
-	// Cancelled tells that the caller of a waiting request has gone. A granted one is ended by Released.
+	// Cancelled reports that the caller of a waiting request has disconnected. A granted request ends with
+	// Released.
 	Cancelled struct{ RequestID string }
-	// Released tells that a granted request ended. Tokens is what the upstream spent on it.
-	// UpstreamFailed means that the upstream was lost meanwhile, NotResident that the upstream said
-	// that the version is not loaded.
+	// Released reports that a granted request ended. Tokens is the number of tokens that the upstream spent on it.
+	// UpstreamFailed means that the upstream failed while the request ran, NotResident that the upstream
+	// answered that the version is not loaded.
 	Released struct {
 		Pin            string
 		Tokens         float64
 		UpstreamFailed bool
 		NotResident    bool
 	}
-	// PermitGranted answers AskPermit: the load may be ordered within UseWithin.
+	// PermitGranted answers RequestPermit: the load may be ordered within UseWithin.
 	PermitGranted struct {
 		Model     model.Reference
 		UseWithin time.Duration
 	}
-	// PermitRefused answers AskPermit: ask again after RetryAfter.
+	// PermitRefused answers RequestPermit: request the permit again after RetryAfter.
 	PermitRefused struct {
 		Model      model.Reference
 		RetryAfter time.Duration
 	}
-	// LoadDone answers OrderLoad: the version is resident, and what was to be evicted is gone.
+	// LoadDone answers OrderLoad: the version is loaded, and the version to be evicted is unloaded.
 	LoadDone struct{ Load model.Reference }
-	// LoadFailed answers OrderLoad. Evicted tells whether the eviction took effect before the failure.
+	// LoadFailed answers OrderLoad. Evicted is true if the eviction took effect before the failure.
 	LoadFailed struct {
 		Load    model.Reference
 		Evicted bool
 		Cause   Cause
 	}
-	// Reported is the upstream's own report; Age is how old it was when it arrived. Running are the
-	// versions it ran requests on; nil from an upstream that does not tell them.
+	// Reported is the upstream's report; Age is the report's age on arrival. Running lists the versions that have
+	// running requests; nil from an upstream that does not report them.
 	Reported struct {
 		Incarnation string
 		Resident    []model.Reference
 		Running     []model.Reference
 		Age         time.Duration
 	}
-	// UpstreamRestarted tells that the engine is another process than before, with nothing loaded.
+	// UpstreamRestarted reports that the engine is a new process with nothing loaded.
 	UpstreamRestarted struct{ Incarnation string }
-	// UpstreamHealth tells that the upstream answers, or has stopped answering.
+	// UpstreamHealth reports whether the upstream answers.
 	UpstreamHealth struct{ Healthy bool }
-	// UpstreamLeaving tells that the upstream is to get no new work (or stays after all).
+	// UpstreamLeaving starts or stops draining the upstream: while it drains it gets no new work.
 	UpstreamLeaving struct{ Leaving bool }
-	// Tick lets time pass; send one at least every 100 milliseconds.
+	// Tick triggers time-dependent decisions; send one at least every 100 milliseconds.
 	Tick struct{}
 )
 
--- a/internal/placement/holder/eviction.go
+++ b/internal/placement/holder/eviction.go
@@ -7,27 +7,27 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// demand.go counts how much each adapter version has been asked for lately, and chooses what to evict.
+// eviction.go counts the recent requests for each adapter version and selects the version to evict.
 
-// leastDemand is when a count is dropped: a single request nearly seven half-lives ago. It bounds the
-// memory to the versions asked for lately, so that an idle adapter costs nothing here.
-const leastDemand = 0.01
+// minDemand is the value below which a count is dropped: a single request nearly seven half-lives ago. It limits
+// the memory to recently requested versions, so that an idle adapter uses none.
+const minDemand = 0.01
 
-// silenceWeight is how far the silence of a version counts. Requests come in bursts and to other
-// upstreams too, so a gap says less than it would of independent ones. Measured: 1 evicts versions that
-// come again, 0.25 keeps dead ones longer.
-const silenceWeight = 0.5
+// gapWeight scales the effect of the time since a version's last request. Requests arrive in bursts and at other
+// upstreams too, so a gap is weaker evidence than it would be with independent arrivals. In measurements, 1 evicted
+// versions that were requested again, and 0.25 kept unused versions longer.
+const gapWeight = 0.5
 
-// pruneEvery is how many additions go by between two rounds of dropping.
-const pruneEvery = 1024
+// pruneInterval is the number of additions between two prunings.
+const pruneInterval = 1024
 
 type demand struct {
-	halfLife time.Duration
-	counts   map[model.Reference]count
-	added    int
+	halfLife  time.Duration
+	counts    map[model.Reference]count
+	additions int
 }
 
-// count is a number of requests as of a time; it halves every half-life.
+// count is a number of requests at a time, with exponential decay.
 type count struct {
 	value float64
 	at    time.Time
@@ -42,14 +42,14 @@
 }
 
 func (d *demand) add(now time.Time, ref model.Reference) {
-	d.counts[ref] = count{value: d.of(now, ref) + 1, at: now}
-	d.added++
-	if d.added%pruneEvery == 0 {
+	d.counts[ref] = count{value: d.valueAt(now, ref) + 1, at: now}
+	d.additions++
+	if d.additions%pruneInterval == 0 {
 		d.prune(now)
 	}
 }
 
-func (d *demand) of(now time.Time, ref model.Reference) float64 {
+func (d *demand) valueAt(now time.Time, ref model.Reference) float64 {
 	c, ok := d.counts[ref]
 	if !ok {
 		return 0
@@ -57,11 +57,11 @@
 	return c.value * math.Exp2(-now.Sub(c.at).Seconds()/d.halfLife.Seconds())
 }
 
-// prune makes the table anew, as a map keeps the memory of what is deleted from it.
+// prune drops small counts. It builds a new map, as a map does not release the memory of deleted entries.
 func (d *demand) prune(now time.Time) {
 	kept := make(map[model.Reference]count)
 	for ref, c := range d.counts {
-		if d.of(now, ref) >= leastDemand {
+		if d.valueAt(now, ref) >= minDemand {
 			kept[ref] = c
 		}
 	}
@@ -70,23 +70,23 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// victim chooses the version to evict; ok is false when there is none. Never one that is pinned: its
-// requests would be cut off or answered by the wrong weights. Never one that somebody waits for: it
-// would be loaded again at once, at the fleet's cost.
+// victim selects the version to evict; ok is false if there is none. A pinned version is never evicted: its
+// requests would be aborted or answered by the wrong weights. A version that requests wait for is never evicted: it
+// would be reloaded at once, at the fleet's cost.
 //
-// Made for skewed popularity, where the least recently used rule lets a stream of adapters that are
-// asked for once push out those that are asked for every few seconds.
-func (h *Holder) victim(now time.Time, needs *needs) (victim model.Reference, ok bool) {
+// Versions are ranked by demand because of skewed popularity: with the least recently used rule, a stream of adapters
+// that are requested once evicts those that are requested every few seconds.
+func (h *Holder) victim(now time.Time, awaited *awaitedVersions) (victim model.Reference, ok bool) {
 	if !h.mayEvict(now) {
 		return victim, false
 	}
 	least := math.Inf(1)
 	for ref, s := range h.residency.resident {
-		if h.pins.isPinned(ref) || s.orphaned || needs.awaits(ref) || now.Before(s.busyUntil) {
+		if h.pins.isPinned(ref) || s.orphaned || awaited.contains(ref) || now.Before(s.protectedUntil) {
 			continue
 		}
-		value := h.keepValue(now, ref, s)
-		if value < least || (value == least && less(ref, victim)) {
+		value := h.evictionScore(now, ref, s)
+		if value < least || (value == least && lessReference(ref, victim)) {
 			least = value
 			victim = ref
 			ok = true
@@ -95,17 +95,17 @@
 	return victim, ok
 }
 
-// keepValue is how much the version is worth keeping.
-func (h *Holder) keepValue(now time.Time, ref model.Reference, s slot) float64 {
+// evictionScore returns the version's eviction score; the lowest is evicted first.
+func (h *Holder) evictionScore(now time.Time, ref model.Reference, s slot) float64 {
 	switch h.Settings.Eviction.(type) {
 	case LeastRecentlyUsed:
-		return -now.Sub(s.used).Seconds()
+		return -now.Sub(s.usedAt).Seconds()
 	default:
-		return h.demand.expected(now, ref)
+		return h.demand.discounted(now, ref)
 	}
 }
 
-// coldest is what the next load would cost the upstream: the recent demand for what it evicts.
+// coldest returns the cost of the next load: the recent demand for the version that it evicts.
 func (h *Holder) coldest(now time.Time) float64 {
 	if h.freeSlots() > 0 {
 		return 0
@@ -113,31 +113,31 @@
 	least := math.Inf(1)
 	for ref, s := range h.residency.resident {
 		if !h.pins.isPinned(ref) && !s.orphaned {
-			least = min(least, h.demand.expected(now, ref))
+			least = min(least, h.demand.discounted(now, ref))
 		}
 	}
 	if math.IsInf(least, 1) {
-		return h.demand.most(now)
+		return h.demand.highest(now)
 	}
 	return least
 }
 
-// expected is the recent demand, less what the silence since the last request says against it: requests
-// at a rate r leave a gap of t with probability exp(-r t), weighed down by silenceWeight. Made for popularity that shifts. By the count
-// alone, versions that were hot and are dead would stay for minutes, and the newly hot ones would evict
-// each other.
-func (d *demand) expected(now time.Time, ref model.Reference) float64 {
+// discounted returns the recent demand, discounted for the time since the last request: requests at a rate r leave a
+// gap of t with probability exp(-r t), with the exponent scaled by gapWeight. This handles shifts in popularity:
+// with the count alone, formerly popular versions would stay for minutes, and newly popular ones would evict each
+// other.
+func (d *demand) discounted(now time.Time, ref model.Reference) float64 {
 	c, ok := d.counts[ref]
 	if !ok {
 		return 0
 	}
 	rate := c.value * math.Ln2 / d.halfLife.Seconds()
-	return d.of(now, ref) * math.Exp(-silenceWeight*rate*now.Sub(c.at).Seconds())
+	return d.valueAt(now, ref) * math.Exp(-gapWeight*rate*now.Sub(c.at).Seconds())
 }
 
-func (d *demand) most(now time.Time) (most float64) {
+func (d *demand) highest(now time.Time) (highest float64) {
 	for ref := range d.counts {
-		most = max(most, d.of(now, ref))
+		highest = max(highest, d.valueAt(now, ref))
 	}
-	return most
+	return highest
 }
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -8,18 +8,18 @@
 	"lacewingrock.example/lacewingrock/internal/placement/queue"
 )
 
-// holder.go is the aggregate: it takes an event apart and hands it to the file that has the rule.
+// holder.go routes each event to its handler and queues or refuses requests.
 
-// retryElsewhere is when a caller may come back to an instance that is not the holder, or to an
-// upstream that takes nothing: by then heartbeats have told who is. No measured reason yet.
+// retryElsewhere is the retry time for a caller of an instance that is not the holder, or of an upstream that accepts no
+// work: by then heartbeats have announced the new holder.
 const retryElsewhere = time.Second
 
-// travel is what a grant takes to the instance and the request from there to the upstream: a request
-// granted in the last moment would be dispatched after its deadline, for nobody.
-const travel = 10 * time.Millisecond
+// networkDelay is the network delay of a grant to the instance and of the request from there to the upstream. Without this
+// margin a request granted just before its deadline would be dispatched after it, when its caller has given up.
+const networkDelay = 10 * time.Millisecond
 
 // Holder decides for one upstream. Set the exported fields before the first Handle. It is not safe
-// for use by several goroutines: one loop owns it.
+// for concurrent use: one event loop owns it.
 type Holder struct {
 	Upstream resource.Upstream
 	Settings Settings
@@ -35,14 +35,14 @@
 	times     loadTimes
 	unhealthy bool
 	leaving   bool
-	// now and actions are those of the event being handled.
+	// now and actions belong to the event being handled.
 	now     time.Time
 	actions []Action
 }
 
-// Handle takes one event that happened at now and returns what has to be done.
+// Handle processes one event that happened at now and returns the actions to execute.
 func (h *Holder) Handle(now time.Time, event Event) []Action {
-	h.prepare()
+	h.ensureInitialised()
 	h.now = now
 	h.actions = nil
 	switch e := event.(type) {
@@ -53,9 +53,9 @@
 	case FenceNoted:
 		h.tenure = h.tenure.withFenceNoted(now, e.Fence)
 	case PinsTold:
-		h.pinsTold(e)
+		h.pinsReported(e)
 	case InstanceGone:
-		h.instanceGone(e)
+		h.instanceStopped(e)
 	case Yielded:
 		h.yielded()
 	case Arrived:
@@ -82,11 +82,11 @@
 		h.leaving = e.Leaving
 	case Tick:
 	}
-	h.settle(now)
+	h.advance(now)
 	return h.actions
 }
 
-// Summary is what the other instances are told of the upstream.
+// Summary is the upstream's state as published to the other instances.
 type Summary struct {
 	Upstream   string
 	Epoch      int64
@@ -99,27 +99,27 @@
 	Coldest float64
 }
 
-// Summary of the upstream as of now. Resident is in the order of the names.
+// Summary returns the upstream's state at now. Resident is sorted by name.
 func (h *Holder) Summary(now time.Time) Summary {
-	h.prepare()
+	h.ensureInitialised()
 	return Summary{
 		Upstream:   h.Upstream.Meta.Name,
 		Epoch:      h.tenure.epoch,
 		FreePlaces: max(0, h.Upstream.Batch-h.pins.len()-h.queue.Len()),
 		Backlog:    h.occupancy(now).NextPlace + h.queue.Backlog(),
 		Resident:   h.residency.list(),
-		Healthy:    h.takesWork(),
+		Healthy:    h.acceptsWork(),
 		Coldest:    h.coldest(now),
 	}
 }
 
-// Pins lists the running pins that this holder granted or was told of.
+// Pins lists the pins of running requests that this holder granted or that members reported.
 func (h *Holder) Pins() []Pin { return h.pins.list() }
 
 // ---------------------------------------------------------------------------------------------
 
-// prepare makes the zero value usable, as the exported fields are set after it is made.
-func (h *Holder) prepare() {
+// ensureInitialised initialises the unexported fields from the exported ones, which are set after construction.
+func (h *Holder) ensureInitialised() {
 	if h.queue != nil {
 		return
 	}
@@ -139,9 +139,9 @@
 	h.leaving = h.Upstream.Leaving
 }
 
-// settle does what any event may have made possible.
-func (h *Holder) settle(now time.Time) {
-	if !h.takesWork() {
+// advance expires and dispatches queued requests and advances the loads, after any event.
+func (h *Holder) advance(now time.Time) {
+	if !h.acceptsWork() {
 		h.refuseAll(ReasonLeaving, retryElsewhere)
 		return
 	}
@@ -150,11 +150,11 @@
 		h.refuse(entry.ID, ReasonBusy, occupancy.NextPlace+h.queue.Backlog())
 	}
 	h.dispatch(now)
-	h.driveLoads(now)
+	h.advanceLoads(now)
 }
 
-// takesWork tells whether the upstream may get new work at all.
-func (h *Holder) takesWork() bool { return !h.unhealthy && !h.leaving }
+// acceptsWork reports whether the upstream may get new work.
+func (h *Holder) acceptsWork() bool { return !h.unhealthy && !h.leaving }
 
 // arrived queues a request, or refuses it at once.
 func (h *Holder) arrived(now time.Time, request Request) {
@@ -162,7 +162,7 @@
 		h.refuseNew(request, ReasonNotHolder, retryElsewhere)
 		return
 	}
-	if !h.takesWork() {
+	if !h.acceptsWork() {
 		h.refuseNew(request, ReasonLeaving, retryElsewhere)
 		return
 	}
@@ -184,11 +184,11 @@
 		Weight:    request.Weight,
 		Cost:      request.Cost,
 		Work:      h.speed.work(request.Cost),
-		Deadline:  request.Deadline.Add(-travel),
+		Deadline:  request.Deadline.Add(-networkDelay),
 	}
 	displaced, err := h.queue.Push(now, entry, h.occupancy(now))
-	for _, out := range displaced {
-		h.refuse(out.ID, ReasonBusy, h.queue.Backlog())
+	for _, dropped := range displaced {
+		h.refuse(dropped.ID, ReasonBusy, h.queue.Backlog())
 	}
 	if refusal, refused := err.(queue.Refusal); refused {
 		h.refuseNew(request, ReasonBusy, refusal.RetryAfter)
@@ -206,14 +206,14 @@
 	h.waiting.remove(e.RequestID)
 }
 
-// refuse answers a waiting request that is already out of the queue.
+// refuse refuses a waiting request that was already removed from the queue.
 func (h *Holder) refuse(id string, reason Reason, retryAfter time.Duration) {
 	w := h.waiting.remove(id)
 	if w == nil {
 		return
 	}
 	load, queued := w.waited(h.now)
-	h.act(Refuse{
+	h.emit(Refuse{
 		RequestID:   id,
 		Instance:    w.request.Instance,
 		Reason:      reason,
@@ -223,12 +223,12 @@
 	})
 }
 
-// refuseNew answers a request that was never queued.
+// refuseNew refuses a request that was never queued.
 func (h *Holder) refuseNew(request Request, reason Reason, retryAfter time.Duration) {
-	h.act(Refuse{RequestID: request.ID, Instance: request.Instance, Reason: reason, RetryAfter: retryAfter})
+	h.emit(Refuse{RequestID: request.ID, Instance: request.Instance, Reason: reason, RetryAfter: retryAfter})
 }
 
-// refuseWhere answers and removes the waiting requests that match.
+// refuseWhere refuses and removes the waiting requests that match.
 func (h *Holder) refuseWhere(match func(Request) bool, reason Reason, retryAfter time.Duration) {
 	var ids []string
 	h.queue.Each(func(entry queue.Entry) {
@@ -246,4 +246,4 @@
 	h.refuseWhere(func(Request) bool { return true }, reason, retryAfter)
 }
 
-func (h *Holder) act(action Action) { h.actions = append(h.actions, action) }
+func (h *Holder) emit(action Action) { h.actions = append(h.actions, action) }
--- a/internal/placement/holder/holder_test.go
+++ b/internal/placement/holder/holder_test.go
@@ -18,7 +18,7 @@
 	sites = model.Reference{Adapter: "sites", Version: "v1"}
 )
 
-// newHolder makes the holder of an upstream with two slots and four batch places.
+// newHolder returns the holder of an upstream with two adapter slots and four batch slots.
 func newHolder(checksFencing bool) *holder.Holder {
 	return &holder.Holder{
 		Upstream: resource.Upstream{
@@ -28,8 +28,8 @@
 	}
 }
 
-// appoint brings a holder to where it may order and evict.
-func appoint(h *holder.Holder) {
+// takeOver completes a holder's takeover, so that it may order and evict.
+func takeOver(h *holder.Holder) {
 	h.Handle(time.Now(), holder.Appointed{Epoch: 5, Members: []string{"i1"}})
 	h.Handle(time.Now(), holder.EpochInForce{Epoch: 5})
 	h.Handle(time.Now(), holder.FenceNoted{Fence: 5})
@@ -53,7 +53,7 @@
 	return found
 }
 
-// load brings a version in and returns the grant of the request that wanted it.
+// load loads a version for a new request and returns the load order and the request's grant.
 func load(t *testing.T, h *holder.Holder, id string, ref model.Reference) (holder.OrderLoad, holder.Grant) {
 	t.Helper()
 	is := is.New(t)
@@ -66,13 +66,13 @@
 	return orders[0], grants[0]
 }
 
-// Two callers use two adapters on an engine with two slots, and a third adapter is asked for. Were one
-// of the two evicted, its caller would get an answer cut off, or one by the wrong adapter.
+// Two callers use two adapters on an engine with two slots, and a third adapter is requested. If one of the two were
+// evicted, its caller would get a truncated answer, or an answer by the wrong adapter.
 func TestPinnedVersionIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHolder(true)
-		appoint(h)
+		takeOver(h)
 		load(t, h, "r1", bids)
 		_, second := load(t, h, "r2", lawns)
 		actions := h.Handle(time.Now(), holder.Arrived{Request: request("r3", sites, 10*time.Second)})
@@ -84,9 +84,9 @@
 	})
 }
 
-// An instance takes an upstream over while the one before it is paused with an order under way. If it
-// granted at once, that order could evict the version a caller has just been sent to.
-func TestNewHolderWaits(t *testing.T) {
+// An instance takes over an upstream while the previous holder is paused with an order in flight. If the new holder
+// granted at once, that order could evict the version of a request that was just granted.
+func TestNewHolderWaitsForEarlierOrders(t *testing.T) {
 	tests := []struct {
 		name          string
 		checksFencing bool
@@ -96,9 +96,9 @@
 	}{
 		{"fence noted", true, true, 0, true},
 		{"fence not answered", true, false, time.Second, false},
-		{"fence not answered for long", true, false, 6 * time.Second, true},
+		{"fence not answered, order timed out", true, false, 6 * time.Second, true},
 		{"engine ignores fencing", false, false, time.Second, false},
-		{"engine ignores fencing, order waited out", false, false, 6 * time.Second, true},
+		{"engine ignores fencing, order timed out", false, false, 6 * time.Second, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -119,9 +119,9 @@
 	}
 }
 
-// An instance that forwards a long stream has not yet told the upstream's new holder. If the holder
-// evicted meanwhile, that stream would break off.
-func TestNothingIsEvictedUntilPinsAreTold(t *testing.T) {
+// An instance that forwards a long stream has not yet reported its pin to the upstream's new holder. If the holder
+// evicted a version meanwhile, that stream could be aborted.
+func TestNothingIsEvictedUntilPinsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHolder(true)
@@ -142,13 +142,13 @@
 	})
 }
 
-// A request asks for an adapter that cannot be loaded before its caller gives up. A load for it would
-// take the weight store's time from others and serve nobody.
+// A request needs an adapter that cannot be loaded before its caller gives up. A load for it would use
+// the weight store's capacity without serving any request.
 func TestNoLoadForWorkThatMissesItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHolder(true)
-		appoint(h)
+		takeOver(h)
 		actions := h.Handle(time.Now(), holder.Arrived{Request: request("r1", bids, 50*time.Millisecond)})
 		is.Equal(find[holder.Refuse](actions)[0].Reason, holder.ReasonBusy)
 		h.Handle(time.Now(), holder.Arrived{Request: request("r2", bids, time.Second)})
@@ -160,12 +160,12 @@
 	})
 }
 
-// A request was in flight at two crashes. Run beside others again it would take them down with it.
+// A request was in flight at two crashes. If it ran beside other requests again, the next crash would fail them too.
 func TestSuspectRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHolder(true)
-		appoint(h)
+		takeOver(h)
 		_, first := load(t, h, "r1", bids)
 		alone := request("r2", bids, 10*time.Second)
 		alone.Alone = true
@@ -179,13 +179,13 @@
 	})
 }
 
-// Eight requests shared a batch with one that crashes engines. Sent on together, all of them are in
-// flight at the next crash too, and each has to run alone after that.
+// Eight requests shared a batch with one that crashes engines. If they were all dispatched together again, all of them
+// would be in flight at the next crash too, and each would have to run alone after that.
 func TestSuspectsOfOneCrashAreKeptApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHolder(true)
-		appoint(h)
+		takeOver(h)
 		_, first := load(t, h, "r1", bids)
 		granted := 0
 		for _, id := range []string{"r2", "r3", "r4"} {
@@ -200,8 +200,8 @@
 	})
 }
 
-// An engine restarts cold between placement and dispatch, or has evicted by itself. If the holder went
-// on believing its own book, every request would be sent to an engine that cannot run it.
+// An engine restarts with nothing loaded between placement and dispatch, or has evicted a version by itself. If the
+// holder did not correct its residency, every request would be sent to an engine that cannot run it.
 func TestResidencyIsCorrected(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -217,10 +217,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				h := newHolder(true)
-				appoint(h)
+				takeOver(h)
 				_, grant := load(t, h, "r1", bids)
 				h.Handle(time.Now(), holder.Reported{Incarnation: "a", Age: 2 * time.Second})
-				is.Equal(h.Summary(time.Now()).Resident, []model.Reference{bids}) // a report older than the load says nothing
+				is.Equal(h.Summary(time.Now()).Resident, []model.Reference{bids}) // a report older than the load is ignored
 				time.Sleep(time.Second)
 				h.Handle(time.Now(), tt.event(grant.Pin.ID))
 				is.Equal(len(h.Summary(time.Now()).Resident), 0)
--- a/internal/placement/holder/loads.go
+++ b/internal/placement/holder/loads.go
@@ -8,187 +8,187 @@
 	"lacewingrock.example/lacewingrock/internal/placement/queue"
 )
 
-// loads.go sees each load through: asked for, permitted by the broker, ordered, done or failed. All
-// requests that wait for a version share one load.
+// loads.go drives each load through its states: permit requested, permitted by the broker, ordered, done or failed.
+// All requests that wait for a version share one load.
 
-// askAgain is when an ask is repeated with the demand of then, as the ask or its answer may be lost.
-const askAgain = time.Second
+// permitRequestInterval is the interval at which a permit request is repeated with the current demand, as the request
+// or its answer may be lost.
+const permitRequestInterval = time.Second
 
-// mostFailures is how many loads of a version may fail before those that wait for it are refused. No
-// measured reason yet.
-const mostFailures = 2
+// maxFailures is how many loads of a version may fail before the requests that wait for it are refused.
+const maxFailures = 2
 
 type loadState int
 
 const (
-	loadAsked loadState = iota
+	loadRequested loadState = iota
 	loadRefused
 	loadPermitted
 	loadOrdered
 )
 
-// load is one load under way. until is when the state lapses, first when the load was first wanted.
+// load is one load in progress. expiresAt is when its state expires, requestedAt when the load was first requested.
 type load struct {
-	state    loadState
-	until    time.Time
-	first    time.Time
-	ordered  time.Time
-	evict    model.Reference
-	failures int
+	state       loadState
+	expiresAt   time.Time
+	requestedAt time.Time
+	orderedAt   time.Time
+	evicting    model.Reference
+	failures    int
 }
 
-// need is what waits for one version. last is the latest deadline of the waiting.
-type need struct {
-	ref       model.Reference
-	demand    float64
-	oldest    time.Time
-	workspace string
-	last      time.Time
+// awaitedVersion summarises the requests that wait for one version. lastDeadline is the latest deadline among them.
+type awaitedVersion struct {
+	ref           model.Reference
+	demand        float64
+	oldestArrival time.Time
+	workspace     string
+	lastDeadline  time.Time
 }
 
-// needs lists what waits for each version, in the order of the queue.
-type needs struct {
-	list []need
-	at   map[model.Reference]int
+// awaitedVersions lists the versions that requests wait for, in queue order.
+type awaitedVersions struct {
+	list  []awaitedVersion
+	index map[model.Reference]int
 }
 
-func (n *needs) awaits(ref model.Reference) bool {
-	_, ok := n.at[ref]
+func (v *awaitedVersions) contains(ref model.Reference) bool {
+	_, ok := v.index[ref]
 	return ok
 }
 
-func (h *Holder) needs() *needs {
-	n := &needs{at: make(map[model.Reference]int)}
+func (h *Holder) awaitedVersions() *awaitedVersions {
+	awaited := &awaitedVersions{index: make(map[model.Reference]int)}
 	h.queue.Each(func(entry queue.Entry) {
 		w := h.waiting.byID[entry.ID]
-		i, known := n.at[w.request.Model]
+		i, known := awaited.index[w.request.Model]
 		if !known {
-			i = len(n.list)
-			n.at[w.request.Model] = i
-			n.list = append(n.list, need{ref: w.request.Model, oldest: w.arrived, workspace: entry.Workspace})
+			i = len(awaited.list)
+			awaited.index[w.request.Model] = i
+			awaited.list = append(awaited.list, awaitedVersion{ref: w.request.Model, oldestArrival: w.arrived, workspace: entry.Workspace})
 		}
-		n.list[i].demand += entry.Cost
-		if w.arrived.Before(n.list[i].oldest) {
-			n.list[i].oldest = w.arrived
-			n.list[i].workspace = entry.Workspace
+		awaited.list[i].demand += entry.Cost
+		if w.arrived.Before(awaited.list[i].oldestArrival) {
+			awaited.list[i].oldestArrival = w.arrived
+			awaited.list[i].workspace = entry.Workspace
 		}
-		if entry.Deadline.After(n.list[i].last) {
-			n.list[i].last = entry.Deadline
+		if entry.Deadline.After(awaited.list[i].lastDeadline) {
+			awaited.list[i].lastDeadline = entry.Deadline
 		}
 	})
-	return n
+	return awaited
 }
 
-// driveLoads moves every load on that can be moved on.
-func (h *Holder) driveLoads(now time.Time) {
+// advanceLoads advances every load that can be advanced.
+func (h *Holder) advanceLoads(now time.Time) {
 	if len(h.loads) == 0 && !h.awaitsLoad() {
 		return
 	}
-	h.refuseTooLateForLoad(now)
-	needs := h.needs()
-	h.dropUnneeded(needs)
+	h.refuseUnreachableDeadlines(now)
+	awaited := h.awaitedVersions()
+	h.cancelUnneededLoads(awaited)
 	if !h.mayAct(now) || !h.residencyKnown(now) {
 		return
 	}
-	for _, n := range needs.list {
-		if !h.residency.has(n.ref) {
-			h.driveLoad(now, n, needs)
+	for _, version := range awaited.list {
+		if !h.residency.has(version.ref) {
+			h.advanceLoad(now, version, awaited)
 		}
 	}
 }
 
-// dropUnneeded gives up loads that nobody waits for any more, unless they are ordered already.
-func (h *Holder) dropUnneeded(needs *needs) {
+// cancelUnneededLoads cancels loads that no request waits for any more, unless they were already ordered.
+func (h *Holder) cancelUnneededLoads(awaited *awaitedVersions) {
 	var unneeded []model.Reference
 	for ref, l := range h.loads {
-		if l.state != loadOrdered && (!needs.awaits(ref) || h.residency.has(ref)) {
+		if l.state != loadOrdered && (!awaited.contains(ref) || h.residency.has(ref)) {
 			unneeded = append(unneeded, ref)
 		}
 	}
-	sort.Slice(unneeded, func(i, j int) bool { return less(unneeded[i], unneeded[j]) })
+	sort.Slice(unneeded, func(i, j int) bool { return lessReference(unneeded[i], unneeded[j]) })
 	for _, ref := range unneeded {
 		delete(h.loads, ref)
-		h.act(ReturnPermit{Model: ref})
+		h.emit(ReturnPermit{Model: ref})
 	}
 }
 
-// refuseTooLateForLoad refuses those that their load cannot reach in time any more.
-func (h *Holder) refuseTooLateForLoad(now time.Time) {
+// refuseUnreachableDeadlines refuses the requests whose load cannot finish before their deadline.
+func (h *Holder) refuseUnreachableDeadlines(now time.Time) {
 	h.refuseWhere(func(request Request) bool {
 		if h.residency.has(request.Model) {
 			return false
 		}
-		left := h.times.order
+		left := h.times.fromOrder
 		if l, ok := h.loads[request.Model]; ok && l.state == loadOrdered {
-			left = max(0, h.times.order-now.Sub(l.ordered))
+			left = max(0, h.times.fromOrder-now.Sub(l.orderedAt))
 		}
 		return now.Add(left).After(request.Deadline)
 	}, ReasonBusy, h.times.wait(now))
 }
 
-// driveLoad moves the load of one version on. One whose eviction is under way is not loaded before that
-// has ended: orders may overtake each other, and the eviction would come after the load.
-func (h *Holder) driveLoad(now time.Time, n need, needs *needs) {
-	if h.residency.mayStillGo(now, n.ref) {
+// advanceLoad advances the load of one version. A version that is being evicted is not loaded before the eviction has
+// ended: orders may overtake each other, and the eviction would then take effect after the load.
+func (h *Holder) advanceLoad(now time.Time, version awaitedVersion, awaited *awaitedVersions) {
+	if h.residency.isEvictionPending(now, version.ref) {
 		return
 	}
-	l, known := h.loads[n.ref]
+	l, known := h.loads[version.ref]
 	switch {
 	case !known:
-		h.ask(now, n, &load{first: now}, needs)
+		h.requestPermit(now, version, &load{requestedAt: now}, awaited)
 	case l.state == loadOrdered:
-	case l.state == loadPermitted && now.Before(l.until):
-		h.order(now, n, l, needs)
-	case !now.Before(l.until):
-		h.ask(now, n, l, needs)
+	case l.state == loadPermitted && now.Before(l.expiresAt):
+		h.orderLoad(now, version, l, awaited)
+	case !now.Before(l.expiresAt):
+		h.requestPermit(now, version, l, awaited)
 	}
 }
 
-// ask asks for a permit, once there is a slot to load into.
-func (h *Holder) ask(now time.Time, n need, l *load, needs *needs) {
+// requestPermit requests a permit once there is a slot to load into.
+func (h *Holder) requestPermit(now time.Time, version awaitedVersion, l *load, awaited *awaitedVersions) {
 	if h.freeSlots() == 0 {
-		if _, ok := h.victim(now, needs); !ok {
+		if _, ok := h.victim(now, awaited); !ok {
 			return
 		}
 	}
-	l.state = loadAsked
-	l.until = now.Add(askAgain)
-	h.loads[n.ref] = l
-	h.act(AskPermit{
-		Model:     n.ref,
-		Workspace: n.workspace,
-		Demand:    n.demand,
-		Waited:    now.Sub(n.oldest),
-		Patience:  n.last.Sub(now),
+	l.state = loadRequested
+	l.expiresAt = now.Add(permitRequestInterval)
+	h.loads[version.ref] = l
+	h.emit(AskPermit{
+		Model:     version.ref,
+		Workspace: version.workspace,
+		Demand:    version.demand,
+		Waited:    now.Sub(version.oldestArrival),
+		Patience:  version.lastDeadline.Sub(now),
 	})
 }
 
-// order orders a permitted load, unless it would come too late for all that wait for it: then it
-// would take the weight store's time from others and serve nobody.
-func (h *Holder) order(now time.Time, n need, l *load, needs *needs) {
-	if now.Add(h.times.order).After(n.last) {
-		h.refuseModel(n.ref, ReasonBusy, h.times.order)
-		delete(h.loads, n.ref)
-		h.act(ReturnPermit{Model: n.ref})
+// orderLoad orders a permitted load, unless it would finish too late for all requests that wait for it: it would then use
+// the weight store's capacity without serving any of them.
+func (h *Holder) orderLoad(now time.Time, version awaitedVersion, l *load, awaited *awaitedVersions) {
+	if now.Add(h.times.fromOrder).After(version.lastDeadline) {
+		h.refuseModel(version.ref, ReasonBusy, h.times.fromOrder)
+		delete(h.loads, version.ref)
+		h.emit(ReturnPermit{Model: version.ref})
 		return
 	}
 	evict := model.Reference{}
 	if h.freeSlots() <= 0 {
-		victim, ok := h.victim(now, needs)
+		victim, ok := h.victim(now, awaited)
 		if !ok {
 			return
 		}
 		evict = victim
 		h.residency.remove(now, victim)
-		h.residency.notBefore(victim, now.Add(h.Settings.LongestOrder))
+		h.residency.ignoreReportsBefore(victim, now.Add(h.Settings.LongestOrder))
 	}
 	l.state = loadOrdered
-	l.ordered = now
-	l.evict = evict
-	h.act(OrderLoad{Load: n.ref, Evict: evict, Fence: h.tenure.epoch})
+	l.orderedAt = now
+	l.evicting = evict
+	h.emit(OrderLoad{Load: version.ref, Evict: evict, Fence: h.tenure.epoch})
 }
 
-// freeSlots counts the slots that neither hold a version nor wait for one that is ordered.
+// freeSlots counts the slots that neither hold a version nor are reserved for an ordered one.
 func (h *Holder) freeSlots() int {
 	free := h.Upstream.Slots - len(h.residency.resident)
 	for _, l := range h.loads {
@@ -204,25 +204,25 @@
 func (h *Holder) permitGranted(now time.Time, e PermitGranted) {
 	l, ok := h.loads[e.Model]
 	if !ok {
-		h.act(ReturnPermit{Model: e.Model})
+		h.emit(ReturnPermit{Model: e.Model})
 		return
 	}
 	if l.state != loadOrdered {
 		l.state = loadPermitted
-		l.until = now.Add(e.UseWithin)
+		l.expiresAt = now.Add(e.UseWithin)
 	}
 }
 
-// permitRefused refuses in turn those that cannot wait until the next ask: they learn it now instead
-// of at their deadline.
+// permitRefused refuses the requests that cannot wait until the next permit request, so that their callers get the
+// refusal now instead of at their deadline.
 func (h *Holder) permitRefused(now time.Time, e PermitRefused) {
 	l, ok := h.loads[e.Model]
 	if !ok || l.state == loadOrdered {
 		return
 	}
 	l.state = loadRefused
-	l.until = now.Add(e.RetryAfter)
-	soonest := l.until.Add(h.times.order)
+	l.expiresAt = now.Add(e.RetryAfter)
+	soonest := l.expiresAt.Add(h.times.fromOrder)
 	h.refuseWhere(func(request Request) bool {
 		return request.Model == e.Model && request.Deadline.Before(soonest)
 	}, ReasonBusy, e.RetryAfter)
@@ -233,51 +233,51 @@
 	if !ok || l.state != loadOrdered {
 		return
 	}
-	h.times = h.times.with(now, now.Sub(l.first), now.Sub(l.ordered))
+	h.times = h.times.withSample(now, now.Sub(l.requestedAt), now.Sub(l.orderedAt))
 	delete(h.loads, e.Load)
-	h.residency.settled(now, l.evict)
+	h.residency.endEviction(now, l.evicting)
 	h.residency.add(now, e.Load)
-	h.loaded(now, e.Load)
+	h.recordLoadWaits(now, e.Load)
 }
 
-// loadFailed decides whether to try again.
+// loadFailed schedules a retry, or refuses the waiting requests after too many failures.
 func (h *Holder) loadFailed(now time.Time, e LoadFailed) {
 	l, ok := h.loads[e.Load]
 	if !ok || l.state != loadOrdered {
 		return
 	}
-	h.takeBackEviction(now, e, l)
+	h.revertEviction(now, e, l)
 	switch e.Cause {
 	case CauseStaleFence:
 		h.yielded()
 		return
 	case CauseNoSlot, CauseInUse, CauseUpstream:
-		h.residency.doubt(now)
+		h.residency.invalidate(now)
 	case CauseWeightStore:
 	}
 	l.failures++
-	l.evict = model.Reference{}
+	l.evicting = model.Reference{}
 	l.state = loadRefused
-	l.until = now.Add(h.times.order)
-	if l.failures >= mostFailures {
-		h.refuseModel(e.Load, ReasonLoadFailed, h.times.order*mostFailures)
+	l.expiresAt = now.Add(h.times.fromOrder)
+	if l.failures >= maxFailures {
+		h.refuseModel(e.Load, ReasonLoadFailed, h.times.fromOrder*maxFailures)
 		delete(h.loads, e.Load)
 	}
 }
 
-// takeBackEviction keeps the version that was to be evicted if it certainly still is loaded. When the
-// outcome is unknown the order may take effect later still, so it is not believed to be loaded before.
-func (h *Holder) takeBackEviction(now time.Time, e LoadFailed, l *load) {
-	if l.evict.IsZero() || e.Cause == CauseUpstream {
+// revertEviction keeps the version that was to be evicted if it is certainly still loaded. If the outcome is unknown,
+// the order may still take effect later, so the version counts as unloaded until then.
+func (h *Holder) revertEviction(now time.Time, e LoadFailed, l *load) {
+	if l.evicting.IsZero() || e.Cause == CauseUpstream {
 		return
 	}
-	h.residency.settled(now, l.evict)
+	h.residency.endEviction(now, l.evicting)
 	if e.Evicted {
 		return
 	}
-	h.residency.add(now, l.evict)
+	h.residency.add(now, l.evicting)
 	if e.Cause == CauseInUse {
-		h.residency.busy(l.evict, now.Add(h.Settings.LongestOrder))
+		h.residency.protect(l.evicting, now.Add(h.Settings.LongestOrder))
 	}
 }
 
@@ -287,46 +287,46 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// forgetLoads is how long a measured wait for a load is believed in full. Without it one long wait
-// would refuse every later request that needs a load, and no shorter one would ever be measured.
-const forgetLoads = 5 * time.Second
+// loadWaitTTL is how long a measured load wait is valid. Without this expiry one long wait would cause every later
+// request that needs a load to be refused, and no shorter wait would ever be measured.
+const loadWaitTTL = 5 * time.Second
 
-// loadTimes are moving means: wanted from the first want of a load until it is done, order from its
-// order until it is done.
+// loadTimes holds moving means: fromRequest is the time from the first request for a load until it is done, fromOrder
+// the time from its order until it is done.
 type loadTimes struct {
-	expected time.Duration
-	wanted   time.Duration
-	order    time.Duration
-	at       time.Time
+	expected    time.Duration
+	fromRequest time.Duration
+	fromOrder   time.Duration
+	measuredAt  time.Time
 }
 
 func newLoadTimes(expected time.Duration) loadTimes {
-	return loadTimes{expected: expected, wanted: expected, order: expected}
+	return loadTimes{expected: expected, fromRequest: expected, fromOrder: expected}
 }
 
-func (t loadTimes) with(now time.Time, wanted, order time.Duration) loadTimes {
-	t.wanted = blend(t.wanted, wanted)
-	t.order = blend(t.order, order)
-	t.at = now
+func (t loadTimes) withSample(now time.Time, fromRequest, fromOrder time.Duration) loadTimes {
+	t.fromRequest = movingMean(t.fromRequest, fromRequest)
+	t.fromOrder = movingMean(t.fromOrder, fromOrder)
+	t.measuredAt = now
 	return t
 }
 
-// wait is how long a load is expected to take from now on.
+// wait returns the expected time until a load requested now is done.
 func (t loadTimes) wait(now time.Time) time.Duration {
-	if t.at.IsZero() || now.Sub(t.at) > forgetLoads {
+	if t.measuredAt.IsZero() || now.Sub(t.measuredAt) > loadWaitTTL {
 		return t.expected
 	}
-	return t.wanted
+	return t.fromRequest
 }
 
-// untilLoaded is how long until the version is loaded, as far as known.
+// untilLoaded returns the expected time until the version is loaded.
 func (h *Holder) untilLoaded(now time.Time, ref model.Reference) time.Duration {
 	if h.residency.has(ref) || !h.mayAct(now) {
 		return 0
 	}
 	l, ok := h.loads[ref]
 	if ok && l.state == loadOrdered {
-		return max(0, h.times.order-now.Sub(l.ordered))
+		return max(0, h.times.fromOrder-now.Sub(l.orderedAt))
 	}
-	return h.times.order
+	return h.times.fromOrder
 }
--- a/internal/placement/holder/pins.go
+++ b/internal/placement/holder/pins.go
@@ -8,10 +8,10 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// pins.go keeps what runs on the upstream: one pin for each running request.
+// pins.go tracks the upstream's running requests: one pin for each.
 
-// running is a pin with what its grant was based on; since is zero if an older holder granted it.
-type running struct {
+// runningPin is a pin with the attributes of its request; since is zero if an earlier holder granted it.
+type runningPin struct {
 	Pin
 	since  time.Time
 	cost   float64
@@ -21,46 +21,46 @@
 }
 
 type pins struct {
-	byID   map[string]running
-	perRef map[model.Reference]int
-	alone  bool
-	apart  int
-	number uint64
+	byID       map[string]runningPin
+	perVersion map[model.Reference]int
+	alone      bool
+	apart      int
+	lastNumber uint64
 }
 
 func newPins() pins {
-	return pins{byID: make(map[string]running), perRef: make(map[model.Reference]int)}
+	return pins{byID: make(map[string]runningPin), perVersion: make(map[model.Reference]int)}
 }
 
 func (p *pins) len() int { return len(p.byID) }
 
-// nextID makes a pin's name. The epoch is in it, as a later holder counts from one again.
+// nextID returns a unique pin ID. It contains the epoch, as the numbering restarts at one with each holder.
 func (p *pins) nextID(upstream string, epoch int64) string {
-	p.number++
-	return fmt.Sprintf("%s/%d/%d", upstream, epoch, p.number)
+	p.lastNumber++
+	return fmt.Sprintf("%s/%d/%d", upstream, epoch, p.lastNumber)
 }
 
-func (p *pins) add(r running) {
+func (p *pins) add(r runningPin) {
 	if _, known := p.byID[r.ID]; known {
 		return
 	}
 	p.byID[r.ID] = r
-	p.perRef[r.Model]++
+	p.perVersion[r.Model]++
 	p.alone = p.alone || r.alone
 	if r.apart {
 		p.apart++
 	}
 }
 
-func (p *pins) remove(id string) (r running, ok bool) {
+func (p *pins) remove(id string) (r runningPin, ok bool) {
 	r, ok = p.byID[id]
 	if !ok {
-		return running{}, false
+		return runningPin{}, false
 	}
 	delete(p.byID, id)
-	p.perRef[r.Model]--
-	if p.perRef[r.Model] == 0 {
-		delete(p.perRef, r.Model)
+	p.perVersion[r.Model]--
+	if p.perVersion[r.Model] == 0 {
+		delete(p.perVersion, r.Model)
 	}
 	if r.alone {
 		p.alone = false
@@ -71,7 +71,7 @@
 	return r, true
 }
 
-func (p *pins) isPinned(ref model.Reference) bool { return p.perRef[ref] > 0 }
+func (p *pins) isPinned(ref model.Reference) bool { return p.perVersion[ref] > 0 }
 
 func (p *pins) list() []Pin {
 	list := make([]Pin, 0, len(p.byID))
--- a/internal/placement/holder/residency.go
+++ b/internal/placement/holder/residency.go
@@ -8,35 +8,35 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// residency.go keeps which versions the upstream has loaded. It is learnt from the holder's own orders
-// and from the upstream's reports. Reports lag: one that is older than an order says nothing about it.
+// residency.go tracks which versions the upstream has loaded, from the holder's own orders and the upstream's
+// reports. Reports lag: one that is older than an order does not show its effect.
 
 type residency struct {
-	// known is false until a report has shown all that is loaded, and again after an order with an
-	// unknown outcome. Until then nothing is ordered, for the free slots are not known.
+	// known is false until a report has listed all loaded versions, and again after an order with an
+	// unknown outcome. While the free slots are unknown no loads are ordered; see residencyKnown.
 	known       bool
 	incarnation string
 	resident    map[model.Reference]slot
-	// gone holds, for a version that is evicted, the time from which on reports are believed that still
-	// list it: a report made while the eviction is under way lists it truly and too early. Believed, it
-	// would have a request sent to a version that is evicted while it runs.
-	gone map[model.Reference]time.Time
-	// doubtFrom is when the outcome of an order became unknown.
-	doubtFrom time.Time
+	// ignoreReportsUntil holds, for each evicted version, the time from which reports that list it are accepted.
+	// A report made while the eviction is in progress still lists the version. If it were accepted, a request would
+	// be sent to a version that is evicted while the request runs.
+	ignoreReportsUntil map[model.Reference]time.Time
+	// unknownSince is when an order's outcome became unknown.
+	unknownSince time.Time
 }
 
-// slot is a loaded version: since when that is known, its last use, and until when the upstream is
-// believed to run something on it that no pin tells of. Orphaned is true from the report that first shows
-// the version, if it shows it running, until one that shows it idle.
+// slot is a loaded version. since is when the load became known, usedAt the last use, and protectedUntil the time until
+// which the upstream is assumed to run a request on it that has no pin. orphaned is true from the first report that lists
+// the version until a report shows it without running requests.
 type slot struct {
-	since     time.Time
-	used      time.Time
-	busyUntil time.Time
-	orphaned  bool
+	since          time.Time
+	usedAt         time.Time
+	protectedUntil time.Time
+	orphaned       bool
 }
 
 func newResidency() residency {
-	return residency{resident: make(map[model.Reference]slot), gone: make(map[model.Reference]time.Time)}
+	return residency{resident: make(map[model.Reference]slot), ignoreReportsUntil: make(map[model.Reference]time.Time)}
 }
 
 func (r *residency) has(ref model.Reference) bool {
@@ -44,52 +44,52 @@
 	return ok
 }
 
-func (r *residency) use(now time.Time, ref model.Reference) {
+func (r *residency) markUsed(now time.Time, ref model.Reference) {
 	s := r.resident[ref]
-	s.used = now
+	s.usedAt = now
 	r.resident[ref] = s
 }
 
 func (r *residency) add(now time.Time, ref model.Reference) {
-	r.resident[ref] = slot{since: now, used: now}
-	delete(r.gone, ref)
+	r.resident[ref] = slot{since: now, usedAt: now}
+	delete(r.ignoreReportsUntil, ref)
 }
 
 func (r *residency) remove(now time.Time, ref model.Reference) {
 	delete(r.resident, ref)
-	r.gone[ref] = now
+	r.ignoreReportsUntil[ref] = now
 }
 
-// busy keeps the version from being evicted for a while.
-func (r *residency) busy(ref model.Reference, until time.Time) {
+// protect protects the version from eviction until the given time.
+func (r *residency) protect(ref model.Reference, until time.Time) {
 	s := r.resident[ref]
-	s.busyUntil = until
+	s.protectedUntil = until
 	r.resident[ref] = s
 }
 
-// notBefore drops reports of the version that are made earlier.
-func (r *residency) notBefore(ref model.Reference, from time.Time) {
-	if !ref.IsZero() && from.After(r.gone[ref]) {
-		r.gone[ref] = from
+// ignoreReportsBefore makes reports of the version ignored if they were made before from.
+func (r *residency) ignoreReportsBefore(ref model.Reference, from time.Time) {
+	if !ref.IsZero() && from.After(r.ignoreReportsUntil[ref]) {
+		r.ignoreReportsUntil[ref] = from
 	}
 }
 
-// mayStillGo tells that an eviction of the version may still take effect.
-func (r *residency) mayStillGo(now time.Time, ref model.Reference) bool {
-	return r.gone[ref].After(now)
+// isEvictionPending reports whether an eviction of the version may still take effect.
+func (r *residency) isEvictionPending(now time.Time, ref model.Reference) bool {
+	return r.ignoreReportsUntil[ref].After(now)
 }
 
-// settled tells that the eviction has ended, one way or the other.
-func (r *residency) settled(now time.Time, ref model.Reference) {
+// endEviction records that the eviction has ended, with or without effect.
+func (r *residency) endEviction(now time.Time, ref model.Reference) {
 	if !ref.IsZero() {
-		r.gone[ref] = now
+		r.ignoreReportsUntil[ref] = now
 	}
 }
 
-// doubt makes the residency unknown until a report that was made later.
-func (r *residency) doubt(now time.Time) {
+// invalidate marks the residency as unknown until a report that was made after now.
+func (r *residency) invalidate(now time.Time) {
 	r.known = false
-	r.doubtFrom = now
+	r.unknownSince = now
 }
 
 func (r *residency) list() []model.Reference {
@@ -97,52 +97,52 @@
 	for ref := range r.resident {
 		list = append(list, ref)
 	}
-	sort.Slice(list, func(i, j int) bool { return less(list[i], list[j]) })
+	sort.Slice(list, func(i, j int) bool { return lessReference(list[i], list[j]) })
 	return list
 }
 
-// apply takes a report that was made at made into account, and returns what it shows to be new.
+// apply applies a report made at madeAt and returns the versions that are newly known to be loaded.
 //
-// An instance may die together with the holder of an upstream (they may be one process) while the engine
-// runs on with its requests. Nobody tells the next holder of their pins, and it would evict the version
-// under them. So a version that is found running is not evicted before it was seen idle once: from then on
-// every request on it has a pin of this holder. Whether a pin is known meanwhile does not matter, as an
-// untold request may run beside it; a version in steady use is no good choice for an eviction anyway.
-func (r *residency) apply(made time.Time, listed, running []model.Reference) (added []model.Reference) {
+// An instance may fail together with the upstream's holder (they may be one process) while the engine continues
+// to run its requests. No member reports their pins to the next holder, which would evict their version while they
+// run. So a version that is found running is not evicted until a report has shown it idle once: from then on
+// every request on it has a pin of this holder. A known pin on the version does not change this, as a request without
+// a pin may run beside it. A version in continuous use is a poor choice for eviction anyway.
+func (r *residency) apply(madeAt time.Time, listed, running []model.Reference) (added []model.Reference) {
 	seen := make(map[model.Reference]bool, len(listed))
 	for _, ref := range listed {
 		seen[ref] = true
-		if !r.has(ref) && r.gone[ref].Before(made) {
-			r.add(made, ref)
-			r.orphan(ref)
+		if !r.has(ref) && r.ignoreReportsUntil[ref].Before(madeAt) {
+			r.add(madeAt, ref)
+			r.markOrphaned(ref)
 			added = append(added, ref)
 		}
 	}
-	r.adopt(running)
+	r.clearOrphaned(running)
 	for ref, s := range r.resident {
-		if !seen[ref] && s.since.Before(made) {
+		if !seen[ref] && s.since.Before(madeAt) {
 			delete(r.resident, ref)
 		}
 	}
-	for ref, at := range r.gone {
-		if at.Before(made) {
-			delete(r.gone, ref)
+	for ref, at := range r.ignoreReportsUntil {
+		if at.Before(madeAt) {
+			delete(r.ignoreReportsUntil, ref)
 		}
 	}
-	if !r.doubtFrom.After(made) {
+	if !r.unknownSince.After(madeAt) {
 		r.known = true
 	}
 	return added
 }
 
-func (r *residency) orphan(ref model.Reference) {
+func (r *residency) markOrphaned(ref model.Reference) {
 	s := r.resident[ref]
 	s.orphaned = true
 	r.resident[ref] = s
 }
 
-// adopt takes over the versions on which nothing runs any more that nobody tells of.
-func (r *residency) adopt(running []model.Reference) {
+// clearOrphaned clears the orphaned mark of the versions that no longer have running requests.
+func (r *residency) clearOrphaned(running []model.Reference) {
 	for ref, s := range r.resident {
 		if s.orphaned && !slices.Contains(running, ref) {
 			s.orphaned = false
@@ -153,32 +153,32 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// reported takes note of the upstream's own report. One made while an older holder could still act is
-// dropped: what it lists may have been evicted since.
+// reported applies the upstream's report. A report made while an earlier holder could still act is dropped: the
+// versions it lists may have been evicted since.
 func (h *Holder) reported(now time.Time, e Reported) {
 	if h.residency.incarnation != "" && h.residency.incarnation != e.Incarnation {
 		h.restarted(now, e.Incarnation)
 	}
 	h.residency.incarnation = e.Incarnation
-	made := now.Add(-e.Age)
+	madeAt := now.Add(-e.Age)
 	from, known := h.mayActFrom(now)
-	if !known || made.Before(from) {
+	if !known || madeAt.Before(from) {
 		return
 	}
-	for _, ref := range h.residency.apply(made, e.Resident, e.Running) {
-		h.loaded(now, ref)
+	for _, ref := range h.residency.apply(madeAt, e.Resident, e.Running) {
+		h.recordLoadWaits(now, ref)
 	}
 }
 
-// restarted forgets what was loaded. Kept, it would send requests to an engine that has nothing, each
-// of which comes back as "not resident" after a wasted trip.
+// restarted clears the loaded versions. Otherwise requests would be sent to an engine with nothing loaded, and each
+// would fail as "not resident" after a wasted round trip.
 func (h *Holder) restarted(now time.Time, incarnation string) {
 	if h.residency.incarnation == incarnation {
 		return
 	}
 	h.residency = newResidency()
 	h.residency.incarnation = incarnation
-	h.residency.doubt(now)
+	h.residency.invalidate(now)
 	for ref, l := range h.loads {
 		if l.state == loadOrdered {
 			delete(h.loads, ref)
@@ -186,8 +186,8 @@
 	}
 }
 
-// residencyKnown tells whether the free slots are known. When an upstream does not report at all the
-// holder goes on after a while, as a load that finds no slot is refused and does no harm.
+// residencyKnown reports whether the free slots are known. If an upstream sends no reports, the holder continues
+// after Settings.OrderTimeout, as a load that finds no free slot is refused without harm.
 func (h *Holder) residencyKnown(now time.Time) bool {
 	if h.residency.known {
 		return true
@@ -196,13 +196,13 @@
 	if !known {
 		return false
 	}
-	if h.residency.doubtFrom.After(from) {
-		from = h.residency.doubtFrom
+	if h.residency.unknownSince.After(from) {
+		from = h.residency.unknownSince
 	}
 	return now.Sub(from) > h.Settings.LongestOrder
 }
 
-func less(a, b model.Reference) bool {
+func lessReference(a, b model.Reference) bool {
 	if a.Adapter != b.Adapter {
 		return a.Adapter < b.Adapter
 	}
--- a/internal/placement/holder/settings.go
+++ b/internal/placement/holder/settings.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// Eviction is the rule by which a version is chosen to make room. It is sealed.
+// Eviction is the policy that selects the version to evict. It is sealed.
 type Eviction interface{ eviction() }
 
 type (
-	// ByDemand evicts the version with the least recent demand: a count of its requests that halves
+	// ByDemand evicts the version with the lowest recent demand: a count of its requests that halves
 	// every HalfLife.
 	ByDemand struct{ HalfLife time.Duration }
-	// LeastRecentlyUsed evicts the version whose last use is the longest ago: the measurements'
-	// baseline.
+	// LeastRecentlyUsed evicts the least recently used version. It is the baseline for measurements.
 	LeastRecentlyUsed struct{}
 )
 
 func (ByDemand) eviction()          {}
 func (LeastRecentlyUsed) eviction() {}
 
-// Settings of a holder; New values come from DefaultSettings.
+// Settings configure a holder; DefaultSettings returns the defaults.
 type Settings struct {
-	// Eviction chooses what makes room for a load.
+	// Eviction selects the version that is evicted for a load.
 	Eviction Eviction
-	// FirstInFirstOut turns fairness between workspaces off: the measurements' baseline.
+	// FirstInFirstOut disables fairness between workspaces. It is the baseline for measurements.
 	FirstInFirstOut bool
-	// LongestBacklog bounds the queue by the time its work will take on this upstream.
+	// LongestBacklog limits the queue by the time that its work takes on this upstream.
 	LongestBacklog time.Duration
-	// LongestQueue bounds the queue's length, and with it the memory and the cost of a decision.
+	// LongestQueue limits the queue's length, and with it the memory and the cost of a decision.
 	LongestQueue int
-	// ExpectedLoad is how long a load is expected to take until measured.
+	// ExpectedLoad is the estimated load time until one was measured.
 	ExpectedLoad time.Duration
-	// LongestOrder is the longest an order may take; the daemon gives up on it after that. A new
-	// holder of an upstream that ignores fencing waits that long before its first order.
+	// LongestOrder is the timeout of an order, after which the daemon gives up on it. A new holder of an upstream
+	// that ignores fencing waits that long before its first order.
 	LongestOrder time.Duration
-	// TokenTime is how long one token of a request is expected to occupy a batch place until measured.
+	// TokenTime is the estimated time that one token of a request occupies a batch slot, until it was measured.
 	TokenTime time.Duration
 }
 
-// DefaultSettings for today's sizes.
+// DefaultSettings returns settings for the current deployment sizes.
 func DefaultSettings() Settings {
 	return Settings{
 		Eviction:       ByDemand{HalfLife: 2 * time.Minute},
--- a/internal/placement/holder/tenure.go
+++ b/internal/placement/holder/tenure.go
@@ -6,31 +6,31 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// tenure.go decides from when on this instance may act on the upstream. Two instances that both
-// believe to be the holder would evict under each other's running requests: a caller would notice an
-// answer cut off, or one by the wrong version. So a new holder waits until no older one can act.
+// tenure.go decides when this instance may start to act on the upstream. Two instances that both act as the holder
+// would evict versions that the other's requests run on: callers would get truncated answers, or answers by the wrong
+// version. So a new holder waits until no earlier one can act.
 
-// tenure is how far this instance has become the holder.
+// tenure is the progress of this instance's takeover as the holder.
 type tenure struct {
-	holding     bool
-	epoch       int64
-	inForce     bool
-	inForceFrom time.Time
-	fenceNoted  time.Time
-	// released are pins of earlier tenures that ended before they were told.
-	released map[string]bool
-	// awaited are the members that have not told their pins.
-	awaited map[string]bool
+	holding      bool
+	epoch        int64
+	inForce      bool
+	inForceSince time.Time
+	fenceNotedAt time.Time
+	// releasedEarly are pins of earlier tenures that ended before a member reported them.
+	releasedEarly map[string]bool
+	// unreported are the members that have not reported their pins.
+	unreported map[string]bool
 }
 
 func (t tenure) withFenceNoted(now time.Time, fence int64) tenure {
 	if fence == t.epoch && t.inForce {
-		t.fenceNoted = now
+		t.fenceNotedAt = now
 	}
 	return t
 }
 
-// appointed starts a tenure, or carries the running one on under a new epoch.
+// appointed starts a tenure, or continues the current one under a new epoch.
 func (h *Holder) appointed(e Appointed) {
 	if e.Epoch <= h.tenure.epoch && h.tenure.holding {
 		return
@@ -40,44 +40,44 @@
 		return
 	}
 	h.tenure = tenure{
-		holding:  true,
-		epoch:    e.Epoch,
-		released: make(map[string]bool),
-		awaited:  make(map[string]bool),
+		holding:       true,
+		epoch:         e.Epoch,
+		releasedEarly: make(map[string]bool),
+		unreported:    make(map[string]bool),
 	}
 	for _, member := range e.Members {
-		h.tenure.awaited[member] = true
+		h.tenure.unreported[member] = true
 	}
 	h.residency = newResidency()
 	h.loads = make(map[model.Reference]*load)
-	h.act(AskPins{Epoch: e.Epoch})
+	h.emit(AskPins{Epoch: e.Epoch})
 }
 
-// epochInForce tells that no older holder starts anything new.
+// epochInForce records that no earlier holder starts anything new.
 func (h *Holder) epochInForce(now time.Time, e EpochInForce) {
 	if !h.tenure.holding || h.tenure.inForce || e.Epoch < h.tenure.epoch {
 		return
 	}
 	h.tenure.inForce = true
-	h.tenure.inForceFrom = now
+	h.tenure.inForceSince = now
 	if h.Upstream.ChecksFencing {
-		h.act(OrderFence{Fence: h.tenure.epoch})
+		h.emit(OrderFence{Fence: h.tenure.epoch})
 	}
 }
 
-// mayActFrom is when nothing that an older holder ordered can take effect any more. In force is not
-// enough: an order that was sent before may still be under way. An engine that checks fencing refuses
-// it once it has noted the new epoch; with any other, and when the note is not answered, the longest
-// that an order may take has to pass.
+// mayActFrom returns the time from which no order of an earlier holder can take effect any more. An epoch in force is
+// not sufficient: an order sent before may still be in flight. An engine that checks fencing refuses it once it has
+// recorded the new epoch. For any other engine, and if the fencing order is not answered, Settings.OrderTimeout has
+// to pass.
 func (h *Holder) mayActFrom(now time.Time) (from time.Time, known bool) {
 	t := h.tenure
 	if !t.holding || !t.inForce {
 		return now, false
 	}
-	if !t.fenceNoted.IsZero() {
-		return t.fenceNoted, true
+	if !t.fenceNotedAt.IsZero() {
+		return t.fenceNotedAt, true
 	}
-	return t.inForceFrom.Add(h.Settings.LongestOrder), true
+	return t.inForceSince.Add(h.Settings.LongestOrder), true
 }
 
 func (h *Holder) mayAct(now time.Time) bool {
@@ -85,29 +85,29 @@
 	return known && !now.Before(from)
 }
 
-// mayEvict asks in addition that every member has told its pins: a request granted by an older holder
-// may still run, and only the instance that forwards it knows.
+// mayEvict additionally requires that every member has reported its pins: a request granted by an earlier holder
+// may still be running, and only the instance that forwards it has its pin.
 func (h *Holder) mayEvict(now time.Time) bool {
-	return h.mayAct(now) && len(h.tenure.awaited) == 0
+	return h.mayAct(now) && len(h.tenure.unreported) == 0
 }
 
-// pinsTold takes note of what still runs from earlier tenures.
-func (h *Holder) pinsTold(e PinsTold) {
+// pinsReported adds the pins of requests that still run from earlier tenures.
+func (h *Holder) pinsReported(e PinsTold) {
 	if !h.tenure.holding || e.Epoch != h.tenure.epoch {
 		return
 	}
 	for _, pin := range e.Pins {
-		if !h.tenure.released[pin.ID] {
-			h.pins.add(running{Pin: pin})
+		if !h.tenure.releasedEarly[pin.ID] {
+			h.pins.add(runningPin{Pin: pin})
 		}
 	}
-	delete(h.tenure.awaited, e.Instance)
+	delete(h.tenure.unreported, e.Instance)
 }
 
-// instanceGone drops the pins of an instance that certainly runs no more. Dropped too early, a request
-// that still streams through a paused instance loses its adapter; never dropped, each crash of an
-// instance takes slots and places away for good.
-func (h *Holder) instanceGone(e InstanceGone) {
+// instanceStopped drops the pins of an instance that has certainly stopped. If they were dropped too early, a request
+// that still streams through a paused instance would lose its adapter. If they were never dropped, each crash of an
+// instance would take adapter slots and batch slots permanently.
+func (h *Holder) instanceStopped(e InstanceGone) {
 	for _, pin := range h.pins.list() {
 		if pin.Instance == e.Instance && pin.Incarnation == e.Incarnation {
 			h.pins.remove(pin.ID)
@@ -116,11 +116,10 @@
 	h.refuseWhere(func(request Request) bool {
 		return request.Instance == e.Instance && request.Incarnation == e.Incarnation
 	}, ReasonNotHolder, retryElsewhere)
-	delete(h.tenure.awaited, e.Instance)
+	delete(h.tenure.unreported, e.Instance)
 }
 
-// yielded ends the tenure. Pins are kept by the instances that run the requests, and told to the next
-// holder by them.
+// yielded ends the tenure. The instances that run the requests keep the pins and report them to the next holder.
 func (h *Holder) yielded() {
 	h.refuseAll(ReasonNotHolder, retryElsewhere)
 	h.tenure = tenure{epoch: h.tenure.epoch}
@@ -129,10 +128,10 @@
 	h.loads = make(map[model.Reference]*load)
 }
 
-// noteReleased remembers a pin that ended before its instance's list came: taken from the list later,
-// it would never be released again, and its version could never be evicted.
-func (t tenure) noteReleased(pin string) {
-	if len(t.awaited) > 0 {
-		t.released[pin] = true
+// recordReleased records a pin that ended before its instance reported its pins. If the pin were later added from that
+// report, it would never be released again, and its version could never be evicted.
+func (t tenure) recordReleased(pin string) {
+	if len(t.unreported) > 0 {
+		t.releasedEarly[pin] = true
 	}
 }
--- a/internal/placement/holder/waiters.go
+++ b/internal/placement/holder/waiters.go
@@ -6,9 +6,9 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// waiting.go keeps what the holder knows of the requests in its queue.
+// waiters.go tracks the requests in the holder's queue.
 
-// waiter is a request in the queue. loadSince is when it began to wait for a load, zero if it did not.
+// waiter is a request in the queue. loadSince is when it started to wait for a load; zero if it does not wait for one.
 type waiter struct {
 	request    Request
 	arrived    time.Time
@@ -16,7 +16,7 @@
 	waitedLoad time.Duration
 }
 
-// waited is how long the waiter has waited for a load and, apart from that, in the queue.
+// waited returns how long the waiter has waited for a load, and the rest of its time in the queue.
 func (w *waiter) waited(now time.Time) (load, queue time.Duration) {
 	load = w.waitedLoad
 	if !w.loadSince.IsZero() {
@@ -25,39 +25,39 @@
 	return load, now.Sub(w.arrived) - load
 }
 
-// waiting holds the waiters by request, and how many wait for each version.
+// waiting indexes the waiters by request ID and counts them by version.
 type waiting struct {
-	byID   map[string]*waiter
-	perRef map[model.Reference]int
+	byID       map[string]*waiter
+	perVersion map[model.Reference]int
 }
 
 func newWaiting() waiting {
-	return waiting{byID: make(map[string]*waiter), perRef: make(map[model.Reference]int)}
+	return waiting{byID: make(map[string]*waiter), perVersion: make(map[model.Reference]int)}
 }
 
 func (ws *waiting) add(w *waiter) {
 	ws.byID[w.request.ID] = w
-	ws.perRef[w.request.Model]++
+	ws.perVersion[w.request.Model]++
 }
 
-// remove takes a waiter out; it returns nil if there is none.
+// remove removes and returns a waiter; nil if there is none.
 func (ws *waiting) remove(id string) *waiter {
 	w := ws.byID[id]
 	if w == nil {
 		return nil
 	}
 	delete(ws.byID, id)
-	ws.perRef[w.request.Model]--
-	if ws.perRef[w.request.Model] == 0 {
-		delete(ws.perRef, w.request.Model)
+	ws.perVersion[w.request.Model]--
+	if ws.perVersion[w.request.Model] == 0 {
+		delete(ws.perVersion, w.request.Model)
 	}
 	return w
 }
 
-// awaitsLoad tells whether anybody waits for a version that is not loaded. It saves a walk through the
-// queue for each event of a busy upstream that has all that it needs.
+// awaitsLoad reports whether any request waits for a version that is not loaded. It avoids a scan of the queue for
+// each event of a busy upstream that has all requested versions loaded.
 func (h *Holder) awaitsLoad() bool {
-	for ref := range h.waiting.perRef {
+	for ref := range h.waiting.perVersion {
 		if !h.residency.has(ref) {
 			return true
 		}
