--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -46,9 +46,10 @@
 // Planner decides for one upstream. Set Engine before use. It is not safe for concurrent use.
 type Planner struct {
 	Engine traffic.Engine
-	// LoadGuess and ReloadGuess are the load times measured at other upstreams of the service. They are used until
-	// a load was measured here; 0 if unknown.
-	LoadGuess   time.Duration
+	// LoadGuess is the time of a load from the weight store, measured at other upstreams of the service. It is used
+	// until a load was measured here; 0 if unknown.
+	LoadGuess time.Duration
+	// ReloadGuess is the same for a load from a recent copy near the upstream.
 	ReloadGuess time.Duration
 
 	// stateKnown is true while sequence and slots match the upstream's state as far as its answers show.
