--- /dev/null
+++ b/internal/placement/residence/waiters.go
@@ -0,0 +1,134 @@
+package residence
+
+import (
+	"sort"
+	"time"
+
+	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
+)
+
+// waiters.go tracks the adapters that requests wait for: their order and their expected wait.
+
+// Want registers one request that waits for an adapter, until RemoveWaiter is called for it. The request is on time
+// if it is answered by onTimeUntil.
+func (p *Planner) Want(
+	now time.Time, adapter traffic.Adapter, version int64, priority int, onTimeUntil time.Time,
+) {
+	p.ensureInitialised()
+	w := p.waiters[adapter]
+	if w == nil {
+		w = &waiterGroup{since: now, priority: priority}
+		p.waiters[adapter] = w
+	}
+	w.count++
+	w.version = max(w.version, version)
+	w.priority = min(w.priority, priority)
+	if onTimeUntil.After(w.onTimeUntil) {
+		w.onTimeUntil = onTimeUntil
+	}
+}
+
+// Unwant removes one request that waited for an adapter: it has its adapter, or no longer waits. Otherwise the
+// upstream would load an adapter that no request uses, and evict another for it.
+func (p *Planner) Unwant(adapter traffic.Adapter) {
+	w := p.waiters[adapter]
+	if w == nil {
+		return
+	}
+	w.count--
+	if w.count <= 0 {
+		delete(p.waiters, adapter)
+	}
+}
+
+// HasWants reports whether any request waits.
+func (p *Planner) HasWants() bool { return len(p.waiters) > 0 }
+
+// Wait estimates how long a new waiter waits until its adapter's load begins: the number of adapters ahead of it
+// times the recent interval between two freed slots. It is zero while a slot is available, and for an adapter
+// that is being loaded.
+func (p *Planner) Wait(now time.Time, adapter traffic.Adapter) time.Duration {
+	if s := p.slots[adapter]; s != nil && s.state == loading {
+		return 0
+	}
+	ahead := 0
+	for other := range p.waiters {
+		if other != adapter && p.slots[other] == nil {
+			ahead++
+		}
+	}
+	free := p.Engine.AdapterPlaces - p.occupiedSlots(now)
+	if ahead < free {
+		return 0
+	}
+	return time.Duration(ahead-free+1) * p.pace()
+}
+
+// Hopeless reports whether a request that is on time until worthUntil would get its adapter only after that, and
+// how long it would wait.
+//
+// It applies under overload, when requests wait for more adapters than there are slots. Requests that can be on time go
+// first, so one that cannot waits until they are all served: for seconds, mostly until its deadline, and if it gets a
+// slot it takes it from the next caller. Refused at once, its caller can retry when there is room. While a
+// slot is available, or expected within acceptableWait, late requests get it.
+func (p *Planner) Hopeless(now time.Time, adapter traffic.Adapter, worthUntil time.Time) (time.Duration, bool) {
+	wait := p.Wait(now, adapter)
+	return wait, wait > acceptableWait && now.Add(wait).After(worthUntil)
+}
+
+// acceptableWait is the wait that is acceptable even for a late answer: a caller that retries would not be served sooner.
+const acceptableWait = 500 * time.Millisecond
+
+// pace returns the interval between two freed slots while adapters wait.
+func (p *Planner) pace() time.Duration {
+	if p.grantPace > 0 {
+		return p.grantPace
+	}
+	return defaultTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
+}
+
+// updatePace updates the pace when a slot goes to an adapter that had to wait for it.
+func (p *Planner) updatePace(now time.Time) {
+	since := now.Sub(p.grantedAt)
+	p.grantedAt = now
+	if since > maxPace {
+		return
+	}
+	p.grantPace = p.pace() + time.Duration(paceWeight*float64(since-p.pace()))
+}
+
+// occupiedSlots counts the slots that are neither empty nor idle.
+func (p *Planner) occupiedSlots(now time.Time) (count int) {
+	for adapter, s := range p.slots {
+		if adapter.Name != "" && !p.isIdle(now, adapter, s) {
+			count++
+		}
+	}
+	return count
+}
+
+// adaptersByUrgency lists the adapters that requests wait for: those that can still be on time first, then by priority, then
+// by the longest wait.
+//
+// Under overload, when requests wait for more adapters than there are slots, serving them in the order of arrival
+// would answer each one too late, and a late answer is worth a third. With this order the requests that arrive now
+// are on time, and the late ones get the remaining slots.
+func (p *Planner) adaptersByUrgency(now time.Time) (list []traffic.Adapter) {
+	for adapter := range p.waiters {
+		list = append(list, adapter)
+	}
+	sort.Slice(list, func(i, j int) bool {
+		a, b := p.waiters[list[i]], p.waiters[list[j]]
+		if late := now.After(a.onTimeUntil); late != now.After(b.onTimeUntil) {
+			return !late
+		}
+		if a.priority != b.priority {
+			return a.priority < b.priority
+		}
+		if !a.since.Equal(b.since) {
+			return a.since.Before(b.since)
+		}
+		return list[i].String() < list[j].String()
+	})
+	return list
+}
