--- a/internal/placement/deployment/policy.go
+++ b/internal/placement/deployment/policy.go
@@ -1,5 +1,5 @@
-// Package deployment puts the settings of the deciding packages together into one policy. Deployments
-// differ by the values, never by the code.
+// Package deployment combines the settings of the placement packages into one policy. Deployments differ in the
+// values, never in the code.
 package deployment
 
 import (
@@ -12,20 +12,20 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// Policy is all that an operator can set about placement.
+// Policy is all placement settings that an operator can change.
 type Policy struct {
 	Name    string
 	Holder  holder.Settings
 	Route   route.Settings
 	Broker  broker.Settings
 	Suspect suspect.Settings
-	// RetryRatio is the share of first tries that an instance may repeat.
+	// RetryRatio is the ratio of retries to first attempts that an instance may make.
 	RetryRatio float64
-	// RetryMost is how many unused retries are kept.
+	// RetryMost is the maximum number of unused retries that are saved up.
 	RetryMost float64
 }
 
-// Default is the policy of a deployment that says nothing.
+// Default is the policy of a deployment that configures none.
 func Default() Policy {
 	return Policy{
 		Name:       "default",
@@ -38,10 +38,9 @@
 	}
 }
 
-// BlueMountain weighs load stalls and the worst-served workspace most. A high price of a load means
-// fewer loads, and callers queue behind a loaded version instead; queues are kept short, so that a
-// request that cannot be served in time is told so while its caller can still act. It costs some
-// efficiency in a flood.
+// BlueMountain gives priority to few load stalls and to the worst-served workspace. A high cost of a load means
+// fewer loads: callers queue for a loaded version instead. Queues are short, so that a request that cannot be
+// served in time is refused while its caller can still act. The price is some batch efficiency during floods.
 func BlueMountain() Policy {
 	p := Default()
 	p.Name = "blue-mountain"
@@ -50,9 +49,9 @@
 	return p
 }
 
-// Hellenic weighs batch efficiency and wrongful refusals most. Its callers can wait, so queues are
-// long and nobody is refused for a queue that a minute clears; a lower price of a load uses places of
-// other upstreams sooner. It costs more loads, and stalls.
+// Hellenic gives priority to batch efficiency and to few wrongful refusals. Its callers can wait, so queues are
+// long, and no request is refused because of a queue that drains within a minute. A lower cost of a load uses slots
+// of other upstreams sooner. The price is more loads, and load stalls.
 func Hellenic() Policy {
 	p := Default()
 	p.Name = "hellenic"
