--- a/internal/placement/queue/entry.go
+++ b/internal/placement/queue/entry.go
@@ -1,7 +1,6 @@
-// Package queue orders the requests that wait for one upstream: fair between workspaces by tokens,
-// bounded by the time the waiting work will take. It decides without sockets. The caller reads the
-// runtime's clock and passes the time in, so that the measuring program can drive the same code on a
-// simulated clock.
+// Package queue orders the requests that wait for one upstream. It is fair between workspaces by tokens, and
+// bounded by the time that the waiting work will take. It does no I/O. The caller reads the clock and passes the
+// time in, so that the measurement program can run the same code on a simulated clock.
 package queue
 
 import (
@@ -9,8 +8,8 @@
 	"time"
 )
 
-// Entry is one waiting request. Cost is its expected tokens and Work the time it is expected to
-// occupy one batch place. It must be dispatched by Deadline, after which nobody wants its answer.
+// Entry is one waiting request. Cost is its expected number of tokens, Work the expected time that it occupies one
+// batch slot. It must be dispatched by Deadline; after that its caller no longer waits for the answer.
 type Entry struct {
 	ID        string
 	Workspace string
@@ -20,25 +19,25 @@
 	Deadline  time.Time
 }
 
-// Reason tells why an entry was not queued, or left the queue without being dispatched.
+// Reason is why an entry was not queued, or why it left the queue without being dispatched.
 type Reason string
 
-// The reasons of a Refusal.
+// Reasons of a Refusal.
 const (
-	// ReasonTooLate: the entry would be dispatched only after its deadline.
+	// ReasonTooLate: the entry would be dispatched after its deadline.
 	ReasonTooLate Reason = "too_late"
-	// ReasonFull: the queue holds as much work as it may, and the entry's workspace has the most.
+	// ReasonFull: the queue is at its limit, and the entry's workspace has the most waiting work for its weight.
 	ReasonFull Reason = "full"
 )
 
-// Refusal is the error of an entry that was not queued. RetryAfter is when the queue is expected to
-// be short enough.
+// Refusal is the error for an entry that was not queued. RetryAfter is the expected time until the queue is short
+// enough.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Error names the reason.
+// Error implements error.
 func (r Refusal) Error() string {
 	return fmt.Sprintf("queue: refused (%s), retry after %s", r.Reason, r.RetryAfter)
 }
--- a/internal/placement/queue/fair_queue.go
+++ b/internal/placement/queue/fair_queue.go
@@ -5,43 +5,41 @@
 	"time"
 )
 
-// fair_queue.go is the queue itself. Entries are kept in the order of their start tags (start-time
-// fair queueing): a workspace's tags advance by cost/weight with each entry, so that of two workspaces
-// which both have work waiting, each gets tokens in proportion to its weight, however much the other
-// sends and however long its requests are.
+// fair_queue.go implements start-time fair queueing. Entries are ordered by their start tags. A workspace's tags
+// advance by cost/weight with each entry. Of two workspaces with waiting work, each gets tokens in proportion to
+// its weight, however much the other sends and however long its requests are.
 
-// impossible is the share of an estimated wait that is certain enough to give a queued entry up
-// early. Estimates are of means, and a wait is often half of its mean estimate; no measured reason yet.
-const impossible = 0.5
+// expiryFactor is the fraction of an estimated wait that is certain enough to expire a queued entry early.
+// Estimates are means, and an actual wait is often half of its estimate.
+const expiryFactor = 0.5
 
-// Queue is the queue of one upstream. Set the exported fields before use. It is not safe for use by
-// several goroutines.
+// Queue is the queue of one upstream. Set the exported fields before use. It is not safe for concurrent use.
 type Queue struct {
-	// Places is how many entries the upstream works on at once.
+	// Places is the number of entries that the upstream processes concurrently.
 	Places int
-	// LongestBacklog bounds the time the waiting work takes, so that long and short requests count for
-	// what they are: a bound on length alone lets some hundred long ones promise what cannot be kept.
+	// LongestBacklog limits the time that the waiting work takes, so that long and short requests count by their
+	// work. A limit on the length alone would accept about a hundred long requests, more than can be served in
+	// time.
 	LongestBacklog time.Duration
-	// Longest bounds the length, and with it memory and the cost of a decision.
+	// Longest limits the number of entries, and so the memory and the cost of a decision.
 	Longest int
-	// FirstInFirstOut keeps the order of arrival instead: the measurements' baseline.
+	// FirstInFirstOut orders entries by arrival instead. It is the baseline of the measurements.
 	FirstInFirstOut bool
 
-	items   []item
-	virtual float64
-	finish  map[string]float64
-	arrived uint64
-	work    time.Duration
+	waiting     []item
+	virtualTime float64
+	finishTags  map[string]float64
+	lastSeq     uint64
+	totalWork   time.Duration
 }
 
-// Occupancy is how busy the upstream is: whether a place is free now, and else how long until the
-// next one is.
+// Occupancy says whether the upstream has a free slot, and if not, how long until the next one is free.
 type Occupancy struct {
 	Free      bool
 	NextPlace time.Duration
 }
 
-// item is an entry in its place. seq breaks ties between equal tags by arrival.
+// item is a queued entry with its start tag. seq breaks ties between equal tags by arrival.
 type item struct {
 	Entry
 	start  float64
@@ -49,20 +47,20 @@
 	queued time.Time
 }
 
-// Len is the number of waiting entries.
-func (q *Queue) Len() int { return len(q.items) }
+// Len returns the number of waiting entries.
+func (q *Queue) Len() int { return len(q.waiting) }
 
-// Backlog is how long the upstream will take for the waiting work.
-func (q *Queue) Backlog() time.Duration { return q.spread(q.work) }
+// Backlog returns the time that the upstream takes for the waiting work.
+func (q *Queue) Backlog() time.Duration { return q.drainTime(q.totalWork) }
 
-// Push queues the entry, or fails with a Refusal. Entries that had to make room are returned: they are
-// to be refused.
+// Push queues the entry, or fails with a Refusal. It returns the entries that it displaced; the caller has to
+// refuse them.
 //
-// Made for bursts, for one workspace at several times its rate, and for saturation. The harm it
-// prevents: a request waits for its whole patience and is then refused, or worse, runs for nobody.
+// It handles bursts, a workspace at several times its rate, and saturation. Without the check a request would wait
+// until its deadline and then be refused, or be processed after its caller has gone.
 func (q *Queue) Push(now time.Time, entry Entry, at Occupancy) (displaced []Entry, err error) {
-	if len(q.items) == 0 {
-		q.startOver()
+	if len(q.waiting) == 0 {
+		q.reset()
 	}
 	it := q.tag(now, entry)
 	wait := q.wait(at, q.workBefore(q.position(it)))
@@ -71,7 +69,7 @@
 		return nil, Refusal{Reason: ReasonTooLate, RetryAfter: wait - patience}
 	}
 	for q.isFull(entry) {
-		last, ok := q.lastOfTheHeaviest(entry)
+		last, ok := q.victim(entry)
 		if !ok {
 			return displaced, Refusal{Reason: ReasonFull, RetryAfter: at.NextPlace + q.Backlog()/2}
 		}
@@ -81,134 +79,135 @@
 	return displaced, nil
 }
 
-// Take removes and returns the first entry, in fair order, that ready accepts, and since when it waited.
+// Take removes the first entry in fair order that ready accepts. It returns the entry and the time when it was
+// queued.
 func (q *Queue) Take(ready func(Entry) bool) (entry Entry, queued time.Time, ok bool) {
-	for i := range q.items {
-		if !ready(q.items[i].Entry) {
+	for i := range q.waiting {
+		if !ready(q.waiting[i].Entry) {
 			continue
 		}
-		it := q.items[i]
-		q.cut(i)
-		q.virtual = max(q.virtual, it.start)
+		it := q.waiting[i]
+		q.deleteAt(i)
+		q.virtualTime = max(q.virtualTime, it.start)
 		return it.Entry, it.queued, true
 	}
 	return Entry{}, time.Time{}, false
 }
 
-// Remove takes the entry of that ID out, because its caller has gone or it is refused.
+// Remove removes the entry with that ID, because its caller has gone or it is refused.
 func (q *Queue) Remove(id string) (entry Entry, ok bool) {
-	for i := range q.items {
-		if q.items[i].ID == id {
+	for i := range q.waiting {
+		if q.waiting[i].ID == id {
 			return q.removeAt(i).Entry, true
 		}
 	}
 	return Entry{}, false
 }
 
-// Expire removes and returns the entries that are certain to miss their deadlines: later arrivals of
-// workspaces that are owed more went before them, or the upstream has become slower. They are refused
-// as soon as that shows, so that their callers can turn elsewhere in time.
+// Expire removes and returns the entries that are certain to miss their deadlines: later arrivals of workspaces
+// with a larger unused share were placed before them, or the upstream has become slower. They are refused early, so
+// that their callers can send the request elsewhere in time.
 func (q *Queue) Expire(now time.Time, at Occupancy) (late []Entry) {
 	ahead := time.Duration(0)
-	for i := 0; i < len(q.items); {
-		wait := time.Duration(float64(q.wait(at, ahead)) * impossible)
-		if now.Add(wait).After(q.items[i].Deadline) {
+	for i := 0; i < len(q.waiting); {
+		wait := time.Duration(float64(q.wait(at, ahead)) * expiryFactor)
+		if now.Add(wait).After(q.waiting[i].Deadline) {
 			late = append(late, q.removeAt(i).Entry)
 			continue
 		}
-		ahead += q.items[i].Work
+		ahead += q.waiting[i].Work
 		i++
 	}
 	return late
 }
 
-// Settle corrects what a workspace was charged once the true cost of an entry is known.
+// Settle corrects the charge of a workspace once the actual cost of an entry is known.
 func (q *Queue) Settle(workspace string, weight, expected, actual float64) {
-	if finish, ok := q.finish[workspace]; ok {
-		q.finish[workspace] = max(q.virtual, finish+(actual-expected)/positive(weight))
+	if finish, ok := q.finishTags[workspace]; ok {
+		q.finishTags[workspace] = max(q.virtualTime, finish+(actual-expected)/positive(weight))
 	}
 }
 
 // Each calls visit for all waiting entries in order.
 func (q *Queue) Each(visit func(Entry)) {
-	for i := range q.items {
-		visit(q.items[i].Entry)
+	for i := range q.waiting {
+		visit(q.waiting[i].Entry)
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// startOver forgets what workspaces were charged. While nothing waits nobody is kept waiting by
-// another, so there is nothing to make good; it also bounds the memory to the workspaces in a backlog.
-func (q *Queue) startOver() {
-	q.virtual = 0
-	q.finish = make(map[string]float64)
+// reset clears the charges of all workspaces. While nothing waits, no workspace delays another, so there is nothing
+// to compensate. It also limits the memory to the workspaces with a backlog.
+func (q *Queue) reset() {
+	q.virtualTime = 0
+	q.finishTags = make(map[string]float64)
 }
 
-// tag gives the entry its place in the fair order. The workspace is charged only in insert.
+// tag computes the start tag of an entry. The workspace is charged only in insert.
 func (q *Queue) tag(now time.Time, entry Entry) item {
-	q.arrived++
-	it := item{Entry: entry, seq: q.arrived, queued: now}
+	q.lastSeq++
+	it := item{Entry: entry, seq: q.lastSeq, queued: now}
 	if !q.FirstInFirstOut {
-		it.start = max(q.virtual, q.finish[entry.Workspace])
+		it.start = max(q.virtualTime, q.finishTags[entry.Workspace])
 	}
 	return it
 }
 
-// position is where the item belongs.
+// position returns the index at which the item belongs.
 func (q *Queue) position(it item) int {
-	return sort.Search(len(q.items), func(i int) bool {
-		other := q.items[i]
+	return sort.Search(len(q.waiting), func(i int) bool {
+		other := q.waiting[i]
 		return other.start > it.start || (other.start == it.start && other.seq > it.seq)
 	})
 }
 
-// wait is how long an entry with so much work before it waits for a place. While places are free,
-// what is queued waits for something else (a load, say) and is in nobody's way.
+// wait is the time until an entry with the given work before it gets a slot. While slots are free, queued entries
+// wait for something else, such as a load, and delay no other entry.
 func (q *Queue) wait(at Occupancy, before time.Duration) time.Duration {
 	if at.Free {
 		return 0
 	}
-	return at.NextPlace + q.spread(before)
+	return at.NextPlace + q.drainTime(before)
 }
 
 func (q *Queue) workBefore(position int) (work time.Duration) {
-	for _, it := range q.items[:position] {
+	for _, it := range q.waiting[:position] {
 		work += it.Work
 	}
 	return work
 }
 
-// spread is how long the upstream takes for work, with all its places.
-func (q *Queue) spread(work time.Duration) time.Duration {
+// drainTime is the time that the upstream takes for work with all its slots.
+func (q *Queue) drainTime(work time.Duration) time.Duration {
 	return work / time.Duration(max(q.Places, 1))
 }
 
 func (q *Queue) isFull(next Entry) bool {
-	if len(q.items) == 0 {
+	if len(q.waiting) == 0 {
 		return false
 	}
-	return len(q.items) >= q.Longest || q.spread(q.work+next.Work) > q.LongestBacklog
+	return len(q.waiting) >= q.Longest || q.drainTime(q.totalWork+next.Work) > q.LongestBacklog
 }
 
-// lastOfTheHeaviest is the last entry of the workspace that even without it has the most waiting work
-// for its weight. It fails when that is the workspace of next itself: then next has to go. So a
-// workspace that floods the queue pushes out its own requests and nobody else's.
-func (q *Queue) lastOfTheHeaviest(next Entry) (at int, ok bool) {
+// victim returns the last entry of the workspace that has the most waiting work for its weight, even without that
+// entry. It fails if that is the workspace of next itself: next is then refused. This way a workspace that floods
+// the queue displaces only its own requests.
+func (q *Queue) victim(next Entry) (at int, ok bool) {
 	if q.FirstInFirstOut {
 		return 0, false
 	}
 	load := map[string]float64{next.Workspace: next.Work.Seconds() / positive(next.Weight)}
 	last := make(map[string]int)
-	for i, it := range q.items {
+	for i, it := range q.waiting {
 		load[it.Workspace] += it.Work.Seconds() / positive(it.Weight)
 		last[it.Workspace] = i
 	}
 	at = -1
 	heaviest := load[next.Workspace]
-	for _, it := range q.items {
+	for _, it := range q.waiting {
 		i := last[it.Workspace]
-		without := load[it.Workspace] - q.items[i].Work.Seconds()/positive(it.Weight)
+		without := load[it.Workspace] - q.waiting[i].Work.Seconds()/positive(it.Weight)
 		if it.Workspace != next.Workspace && without > heaviest {
 			heaviest = without
 			at = i
@@ -218,27 +217,27 @@
 }
 
 func (q *Queue) insert(at int, it item) {
-	q.items = append(q.items, item{})
-	copy(q.items[at+1:], q.items[at:])
-	q.items[at] = it
-	q.work += it.Work
-	q.finish[it.Workspace] = it.start + it.Cost/positive(it.Weight)
+	q.waiting = append(q.waiting, item{})
+	copy(q.waiting[at+1:], q.waiting[at:])
+	q.waiting[at] = it
+	q.totalWork += it.Work
+	q.finishTags[it.Workspace] = it.start + it.Cost/positive(it.Weight)
 }
 
-// removeAt takes an item out that will not be worked on, and takes its charge back.
+// removeAt removes an item that will not be processed, and refunds its charge.
 func (q *Queue) removeAt(at int) item {
-	it := q.items[at]
-	q.cut(at)
-	q.finish[it.Workspace] = max(q.virtual, q.finish[it.Workspace]-it.Cost/positive(it.Weight))
+	it := q.waiting[at]
+	q.deleteAt(at)
+	q.finishTags[it.Workspace] = max(q.virtualTime, q.finishTags[it.Workspace]-it.Cost/positive(it.Weight))
 	return it
 }
 
-func (q *Queue) cut(at int) {
-	q.work -= q.items[at].Work
-	q.items = append(q.items[:at], q.items[at+1:]...)
+func (q *Queue) deleteAt(at int) {
+	q.totalWork -= q.waiting[at].Work
+	q.waiting = append(q.waiting[:at], q.waiting[at+1:]...)
 }
 
-// positive guards against a weight that was never set.
+// positive replaces a weight that was never set.
 func positive(weight float64) float64 {
 	if weight <= 0 {
 		return 1
--- a/internal/placement/queue/fair_queue_test.go
+++ b/internal/placement/queue/fair_queue_test.go
@@ -27,8 +27,8 @@
 
 func anything(queue.Entry) bool { return true }
 
-// One workspace sends five times what another does, in long requests. If the queue went by arrival, the
-// other's callers would wait behind all of it.
+// Guards against serving in order of arrival. One workspace sends five times as much as another, in long requests;
+// the other's callers would wait behind all of them.
 func TestTokensAreSharedByWeight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -53,9 +53,9 @@
 	})
 }
 
-// A queue is full of one workspace's requests when another's comes. Refusing the newcomer would let a
-// flood shut everybody else out.
-func TestFullQueuePushesOutTheFlood(t *testing.T) {
+// Guards against refusing each new request when the queue is full. If it is full of one workspace's requests, that
+// would lock all other workspaces out.
+func TestFullQueueDisplacesTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := newQueue()
@@ -69,7 +69,7 @@
 				is.True(refusal.RetryAfter > 0)
 			}
 		}
-		is.Equal(q.Len(), 20) // ten seconds of four places, two seconds each
+		is.Equal(q.Len(), 20) // ten seconds of four slots, two seconds each
 		is.Equal(refused, 40)
 		displaced, err := q.Push(time.Now(), entry("other", "calm", 200, time.Hour), busy)
 		is.NoErr(err)
@@ -78,8 +78,8 @@
 	})
 }
 
-// A caller can wait two seconds and the queue is four seconds long. Queued, it would wait in vain, and
-// its place would be taken from one that can wait.
+// Guards against queueing a request that cannot be served in time: its caller can wait two seconds and the queue is
+// four seconds long. It would wait in vain and take the place of a request that can wait.
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,12 +94,12 @@
 		is.Equal(refusal.Reason, queue.ReasonTooLate)
 		is.Equal(refusal.RetryAfter, 2*time.Second+100*time.Millisecond)
 		_, err = q.Push(time.Now(), entry("free", "w", 200, 2*time.Second), queue.Occupancy{Free: true})
-		is.NoErr(err) // with a place free, what is queued waits for loads and is in nobody's way
+		is.NoErr(err) // with a free slot, queued entries wait for loads and delay no other entry
 	})
 }
 
-// The upstream stalls while requests wait. Those that will miss their deadlines are given back before
-// they do, and nothing is left behind of them.
+// Guards against entries that time out in the queue while the upstream is stalled: those that will miss their
+// deadlines are returned before they do, and are removed completely.
 func TestExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
