--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// choose.go compares upstreams by when a request would be answered there.
+// choose.go chooses the upstream for a request by its expected response time.
 
 const (
-	// awayCost is what another data centre costs: the way there and back, and bytes that are billed.
-	awayCost = 20 * time.Millisecond
-	// failureCost is what a certain failure costs: the time of a retry. Callers of a request that may not
-	// be repeated lose it altogether, so they gain as well from the upstream that fails less.
+	// crossDataCentreCost is the cost of an upstream in another data centre: the round trip, and the bytes that are
+	// billed.
+	crossDataCentreCost = 20 * time.Millisecond
+	// failureCost is the cost of a certain failure: the time of a retry. A request that may not be repeated is lost
+	// on failure, so its caller gains from an upstream that fails less as well.
 	failureCost = 800 * time.Millisecond
 )
 
 // Choose picks the upstream where the request is expected to be answered first.
 func (p *Pool) Choose(now time.Time, query Query) (Choice, error) {
-	p.dropSilent(now)
+	p.dropExpired(now)
 	var best Choice
 	found := false
 	var full *Choice
 	bestTotal := time.Duration(0)
-	p.turn++
-	upstreams := p.servingFor(query.Service)
+	p.rotation++
+	upstreams := p.upstreamsOf(query.Service)
 	homes := p.homes(query)
 	for i := range upstreams {
-		u := upstreams[(i+p.turn)%len(upstreams)]
-		if !p.isCandidate(now, u, query) || p.isConnectedOut(u) {
+		u := upstreams[(i+p.rotation)%len(upstreams)]
+		if !p.isCandidate(now, u, query) || p.isConnectionLimitReached(u) {
 			continue
 		}
 		if p.isFull(now, u) {
@@ -37,7 +38,7 @@
 			}
 			continue
 		}
-		choice, total := p.weigh(now, u, query, homes)
+		choice, total := p.estimate(now, u, query, homes)
 		if !found || isBetter(choice, total, best, bestTotal) {
 			best = choice
 			bestTotal = total
@@ -53,8 +54,8 @@
 	return Choice{}, ErrNone
 }
 
-// isBetter reports whether a choice is better than another. An upstream that is cold is the worse choice, however idle: the
-// little that it bears is for those who have no other.
+// isBetter reports whether a choice is better than another. A cold upstream is always the worse choice, however
+// idle: its small capacity is for requests that have no other upstream.
 func isBetter(choice Choice, total time.Duration, other Choice, otherTotal time.Duration) bool {
 	if choice.Cold != other.Cold {
 		return other.Cold
@@ -62,9 +63,9 @@
 	return total < otherTotal
 }
 
-// isCandidate tells whether an upstream of the service takes the request.
+// isCandidate reports whether an upstream of the service can take the request.
 func (p *Pool) isCandidate(now time.Time, u *upstream, query Query) bool {
-	if !p.IsOpen(u.declared) || now.Before(u.bannedUntil) || u.isAway(now) {
+	if !p.IsOpen(u.declared) || now.Before(u.retryAt) || u.isUnreachable(now) {
 		return false
 	}
 	if p.isCold(now, u) && now.Before(u.cold.fullUntil) {
@@ -76,21 +77,22 @@
 	return !slices.Contains(query.Exclude, u.declared.ID)
 }
 
-// answersFor is how long an answer from an upstream proves that it can be reached from here.
-const answersFor = time.Second
+// reachableFor is how long an answer from an upstream proves that this instance can reach it.
+const reachableFor = time.Second
 
-// isAway tells whether the holder does not reach the upstream, and this instance does not know better.
+// isUnreachable reports whether the holder cannot reach the upstream and this instance has had no recent answer
+// from it.
 //
-// Made for many upstreams that fall silent at once. Their entries stay in the store for some seconds, and each
-// instance would find out by itself, at the cost of requests that wait for a connection or an adapter there until
-// it is too late for another upstream. Where only the holder's way there is lost, those who have just had answers
-// go on.
-func (u *upstream) isAway(now time.Time) bool {
-	return now.Before(u.awayUntil) && now.Sub(u.servedAt) > answersFor
+// It is needed when many upstreams fail at once. Their entries stay in the store for some seconds. Each instance
+// would have to find out by itself, while requests wait there for a connection or an adapter until it is too late
+// for another upstream. If only the holder's link to the upstream is lost, instances with recent answers from it
+// continue to use it.
+func (u *upstream) isUnreachable(now time.Time) bool {
+	return now.Before(u.unreachableUntil) && now.Sub(u.servedAt) > reachableFor
 }
 
-// servingFor lists the upstreams of a service in a fixed order.
-func (p *Pool) servingFor(service string) []*upstream {
+// upstreamsOf lists the upstreams of a service in a fixed order.
+func (p *Pool) upstreamsOf(service string) []*upstream {
 	if p.services == nil {
 		p.services = make(map[string][]*upstream)
 		for _, u := range p.upstreams {
@@ -103,38 +105,38 @@
 	return p.services[service]
 }
 
-// isConnectedOut tells whether this instance uses its part of an upstream's connections up. One more is
-// reset by the upstream, and a request that may not be repeated is lost with it.
-func (p *Pool) isConnectedOut(u *upstream) bool {
-	most := p.connections[u.declared.Service]
-	return most > 0 && len(u.sends) >= max(most/max(p.Settings.Instances, 1), 1)
+// isConnectionLimitReached reports whether this instance uses its full share of an upstream's connections. The
+// upstream would reset one more, and a request that may not be repeated would be lost with it.
+func (p *Pool) isConnectionLimitReached(u *upstream) bool {
+	limit := p.connectionLimits[u.declared.Service]
+	return limit > 0 && len(u.sends) >= max(limit/max(p.Settings.Instances, 1), 1)
 }
 
-// weigh gives the choice of an upstream and what it is compared by.
-func (p *Pool) weigh(now time.Time, u *upstream, query Query, homes homes) (choice Choice, total time.Duration) {
+// estimate returns the choice of an upstream and the total cost by which upstreams are compared.
+func (p *Pool) estimate(now time.Time, u *upstream, query Query, homes homes) (choice Choice, total time.Duration) {
 	load := p.load(now, u)
-	failing := u.failing(now)
-	slow := u.slowness(now)
-	choice = Choice{Upstream: u.declared, Loaded: true, Running: load.Running, Waiting: load.Prompt, Failing: failing, Slow: slow}
+	failureRate := u.failureRate(now)
+	slowdown := u.slowness(now)
+	choice = Choice{Upstream: u.declared, Loaded: true, Running: load.Running, Waiting: load.Prompt, Failing: failureRate, Slow: slowdown}
 	choice.Cold = p.isCold(now, u)
 	engine, isEngine := p.engines[u.declared.Service]
-	choice.Uncertain = p.isUncertain(now, u)
-	choice.Expected = times(slow, p.usual(u, query, load))
-	choice.Idle = times(slow, p.usual(u, query, Load{}))
-	pace := p.pace(query.Service)
+	choice.Uncertain = p.isLoadStale(now, u)
+	choice.Expected = scale(slowdown, p.typicalTime(u, query, load))
+	choice.Idle = scale(slowdown, p.typicalTime(u, query, Load{}))
+	stats := p.statsOf(query.Service)
 	if isEngine && query.Adapter.Model != "" {
 		cost := p.loadCost(u, query, homes, &choice)
-		total = times(u.exploration(now), choice.Expected) + cost.wait + cost.charge
+		total = scale(u.explorationFactor(now), choice.Expected) + cost.wait + cost.charge
 		total += query.lateness(choice.Expected + cost.wait)
 		if engine.MemoryTokens > 0 && load.Memory+query.Tokens+query.Output > engine.MemoryTokens {
-			total += times(slow, pace.engine.Prefill(load.Memory))
+			total += scale(slowdown, stats.engine.Prefill(load.Memory))
 		}
 	} else {
-		total = times(u.exploration(now), choice.Expected) + times(float64(load.Running)/float64(u.places()), pace.service.Answer(0))
+		total = scale(u.explorationFactor(now), choice.Expected) + scale(float64(load.Running)/float64(u.slots()), stats.service.Answer(0))
 	}
-	total += time.Duration(failing * float64(failureCost))
+	total += time.Duration(failureRate * float64(failureCost))
 	if u.declared.DataCentre != p.Settings.DataCentre {
-		total += awayCost
+		total += crossDataCentreCost
 	}
 	if query.Alone && load.Running > 0 {
 		total += time.Hour
--- a/internal/placement/pool/choose_cost_test.go
+++ b/internal/placement/pool/choose_cost_test.go
@@ -9,8 +9,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// largePool is what an instance of a large fleet knows at a busy time: each upstream holds other adapters and
-// has requests of a third of the other instances under way.
+// largePool is the state of an instance of a large fleet under load: each upstream has other adapters loaded, and
+// has requests of a third of the other instances in flight.
 func largePool(upstreams, instances int) *pool.Pool {
 	var names []string
 	for i := range upstreams {
@@ -30,7 +30,7 @@
 	return p
 }
 
-// BenchmarkChoose chooses for an adapter that is loaded nowhere, which takes the longest.
+// BenchmarkChoose measures the slowest case: the adapter is not loaded anywhere.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []struct{ upstreams, instances int }{{9, 8}, {140, 63}, {810, 330}} {
 		b.Run(fmt.Sprintf("upstreams=%d", size.upstreams), func(b *testing.B) {
--- a/internal/placement/pool/cold_test.go
+++ b/internal/placement/pool/cold_test.go
@@ -16,7 +16,7 @@
 	coldStart = 3 * time.Second
 )
 
-// newColdPool has plain upstreams s1 and s2, which bear little while they are cold.
+// newColdPool returns a pool with the plain upstreams s1 and s2, which can handle few requests while they are cold.
 func newColdPool() *pool.Pool {
 	p := newPool()
 	p.Configure(map[string]traffic.Service{
@@ -34,7 +34,7 @@
 	})
 }
 
-// admitted counts how many of the requests that come each millisecond are admitted.
+// admitted requests admission each millisecond, and counts how often it is granted.
 func admitted(p *pool.Pool, id string, length time.Duration) (count int) {
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if _, ok := p.AdmitCold(time.Now(), id); ok {
@@ -44,7 +44,7 @@
 	return count
 }
 
-// Guards against an upstream that crashes again and again as the whole fleet sends it its usual share while it is cold.
+// Guards against an upstream that crashes repeatedly, as the whole fleet sends it its usual share while it is cold.
 func TestColdUpstreamGetsWhatItBears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,14 +57,14 @@
 			is.True(float64(count) >= 0.9*coldRate-1)
 		}
 		time.Sleep(5 * time.Second)
-		is.True(float64(admitted(p, "s1", time.Second)) <= coldRate+1) // what was not used is not saved up
+		is.True(float64(admitted(p, "s1", time.Second)) <= coldRate+1) // unused requests do not accumulate
 		time.Sleep(5 * time.Second)
-		is.Equal(admitted(p, "s1", 100*time.Millisecond), 100) // it is warm
+		is.Equal(admitted(p, "s1", 100*time.Millisecond), 100) // no longer cold
 	})
 }
 
-// Guards against a cold upstream that is chosen for being idle while another has room, and against one that is left
-// out where it is all there is.
+// Guards against choosing a cold upstream because it is idle while another one has capacity, and against excluding
+// it when there is no other.
 func TestColdUpstreamIsTheLastChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,8 +89,8 @@
 	})
 }
 
-// Guards against a data centre that is taken back and gets everything at once: its upstreams were restarted meanwhile,
-// and their entries do not say so yet.
+// Guards against full load on a data centre as soon as its evacuation ends: its upstreams were restarted meanwhile,
+// and their entries do not show it yet.
 func TestDataCentreTakenBackCountsAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,7 +98,7 @@
 		p.SetEvacuated(time.Now(), "s1", true)
 		time.Sleep(8 * time.Second)
 		p.SetEvacuated(time.Now(), "s1", false)
-		declareCold(p, "s1", 0) // written before it was restarted
+		declareCold(p, "s1", 0) // written before the restart
 		query := plain()
 		query.Exclude = []string{"s2"}
 		choice, err := p.Choose(time.Now(), query)
@@ -115,8 +115,8 @@
 	})
 }
 
-// Guards against an upstream that was away for a moment under the same name, came back cold, and is sent its usual
-// share until its entry is written again.
+// Guards against an upstream that was unreachable for a moment, came back cold under the same name, and gets its
+// usual share until its entry is written again.
 func TestUpstreamThatWasAwayCountsAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/pool/evacuation.go
+++ b/internal/placement/pool/evacuation.go
@@ -6,9 +6,10 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// evacuation.go keeps requests out of data centres that operators empty.
+// evacuation.go excludes data centres that operators evacuate.
 
-// SetEvacuated begins or ends the evacuation of a data centre. A name without upstreams is kept for those to come.
+// SetEvacuated begins or ends the evacuation of a data centre. A name without upstreams applies to upstreams that
+// are declared later.
 func (p *Pool) SetEvacuated(now time.Time, dataCentre string, evacuated bool) {
 	p.prepare()
 	if evacuated {
@@ -21,14 +22,14 @@
 	delete(p.evacuated, dataCentre)
 }
 
-// IsOpen reports whether an upstream takes new requests: it does not drain, and its data centre is not evacuated.
+// IsOpen reports whether an upstream takes new requests: it is not draining, and its data centre is not evacuated.
 func (p *Pool) IsOpen(upstream traffic.Upstream) bool {
 	return !upstream.Draining && !p.evacuated[upstream.DataCentre]
 }
 
-// openIn counts the upstreams of a service that take new requests.
-func (p *Pool) openIn(service string) (count int) {
-	for _, u := range p.servingFor(service) {
+// countAccepting counts the upstreams of a service that take new requests.
+func (p *Pool) countAccepting(service string) (count int) {
+	for _, u := range p.upstreamsOf(service) {
 		if p.IsOpen(u.declared) {
 			count++
 		}
--- a/internal/placement/pool/evacuation_test.go
+++ b/internal/placement/pool/evacuation_test.go
@@ -11,8 +11,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// Guards against requests to a data centre that operators empty: chosen before or after, with the adapter loaded or
-// not, and to upstreams that come up there meanwhile.
+// Guards against requests to a data centre that is evacuated: chosen before or after the evacuation began, with the
+// adapter loaded or not, and to upstreams that start there meanwhile.
 func TestNothingIsSentToAnEvacuatedDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,26 +34,27 @@
 		p.SetEvacuated(time.Now(), "there", false)
 		choice, err = p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
-		is.Equal(choice.Upstream.ID, "e1") // it kept the adapter
+		is.Equal(choice.Upstream.ID, "e1") // its adapter is still loaded
 	})
 }
 
-// Guards against evacuations that undo each other, or an end without a beginning that opens or closes anything.
-func TestDataCentresAreEvacuatedEachByItself(t *testing.T) {
+// Guards against evacuations that affect each other, and against an end without a beginning that changes the state
+// of any data centre.
+func TestEvacuationsAreIndependent(t *testing.T) {
 	is := is.New(t)
 	p := newPool("e1")
 	declare(p, "e2", func(u *traffic.Upstream) { u.DataCentre = "there" })
-	open := func(id string) bool {
+	accepts := func(id string) bool {
 		upstream, _ := p.Upstream(id)
 		return p.IsOpen(upstream)
 	}
 	p.SetEvacuated(time.Now(), "nowhere", true)
 	p.SetEvacuated(time.Now(), "there", true)
 	p.SetEvacuated(time.Now(), "there", true)
-	is.True(open("e1") && !open("e2"))
+	is.True(accepts("e1") && !accepts("e2"))
 	p.SetEvacuated(time.Now(), "here", true)
-	is.True(!open("e1") && !open("e2"))
+	is.True(!accepts("e1") && !accepts("e2"))
 	p.SetEvacuated(time.Now(), "there", false)
 	p.SetEvacuated(time.Now(), "there", false)
-	is.True(!open("e1") && open("e2"))
+	is.True(!accepts("e1") && accepts("e2"))
 }
--- a/internal/placement/pool/evidence.go
+++ b/internal/placement/pool/evidence.go
@@ -6,50 +6,50 @@
 	"lacewingrock.example/lacewingrock/internal/placement/forecast"
 )
 
-// evidence.go has the instances learn together how long the engines of a service take.
+// evidence.go combines the evidence of all instances about the response times of a service's engines.
 
-// evidenceFor is how long counts what another instance has seen. One that is gone sends nothing new.
-const evidenceFor = 30 * time.Second
+// evidenceTTL is how long the evidence of another instance counts. An instance that is gone sends no new evidence.
+const evidenceTTL = 30 * time.Second
 
-// peerEvidence is what another instance has seen of the engines of a service.
+// peerEvidence is the evidence of another instance about the engines of a service.
 type peerEvidence struct {
 	at   time.Time
 	seen forecast.Evidence
 }
 
-// Evidence is what this instance has seen of the engines of each service.
+// Evidence returns the evidence of this instance about the engines of each service.
 func (p *Pool) Evidence() map[string]forecast.Evidence {
 	seen := make(map[string]forecast.Evidence)
-	for service, known := range p.paces {
-		if own := known.engine.Own(); own.Answers > 0 {
+	for service, stats := range p.stats {
+		if own := stats.engine.Own(); own.Answers > 0 {
 			seen[service] = own
 		}
 	}
 	return seen
 }
 
-// LearnEvidence takes note of what another instance has seen.
+// LearnEvidence records the evidence of another instance.
 func (p *Pool) LearnEvidence(now time.Time, instance string, seen map[string]forecast.Evidence) {
 	p.prepare()
 	for service, evidence := range seen {
-		known := p.pace(service)
-		if known.peers == nil {
-			known.peers = make(map[string]peerEvidence)
+		stats := p.statsOf(service)
+		if stats.peers == nil {
+			stats.peers = make(map[string]peerEvidence)
 		}
-		known.peers[instance] = peerEvidence{at: now, seen: evidence}
-		known.poolEvidence(now)
+		stats.peers[instance] = peerEvidence{at: now, seen: evidence}
+		stats.mergePeerEvidence(now)
 	}
 }
 
-// poolEvidence has the forecasts go by what all instances have seen.
-func (p *pace) poolEvidence(now time.Time) {
+// mergePeerEvidence updates the forecasts with the evidence of all other instances.
+func (s *serviceStats) mergePeerEvidence(now time.Time) {
 	var all forecast.Evidence
-	for instance, peer := range p.peers {
-		if now.Sub(peer.at) > evidenceFor {
-			delete(p.peers, instance)
+	for instance, peer := range s.peers {
+		if now.Sub(peer.at) > evidenceTTL {
+			delete(s.peers, instance)
 			continue
 		}
 		all = all.Plus(peer.seen, 1)
 	}
-	p.engine.SetOthers(all)
+	s.engine.SetOthers(all)
 }
--- a/internal/placement/pool/full.go
+++ b/internal/placement/pool/full.go
@@ -2,54 +2,57 @@
 
 import "time"
 
-// full.go learns how much the upstreams of a service take, from the requests that they refuse.
+// full.go estimates the capacity of a service's upstreams from the requests that they refuse.
 
-// fullFor is how long it counts that an upstream refused a request for want of room at a load.
-const fullFor = time.Minute
+// capacityTTL is how long a capacity estimate counts after the refusal that gave it.
+const capacityTTL = time.Minute
 
-// headroom is the part of what an upstream takes that is left to requests that are not known of yet. No place is left
-// empty for it.
+// headroom is the fraction of an upstream's capacity that is left for requests that are not known yet. No slot is
+// left empty for it.
 const headroom = 0.2
 
-// isFull reports whether an upstream has nearly as much in flight, in terms of its places, as one of its service had when
-// it refused a request for want of room.
+// isFull reports whether an upstream has nearly as many requests in flight, per slot, as an upstream of its service
+// had when it refused a request for lack of capacity.
 func (p *Pool) isFull(now time.Time, u *upstream) bool {
-	known := p.pace(u.declared.Service)
-	most := max((1-headroom)*known.full, 1)
-	return known.isFullKnown(now) && p.load(now, u).perPlace(u) >= most
+	stats := p.statsOf(u.declared.Service)
+	limit := max((1-headroom)*stats.capacity, 1)
+	return stats.isCapacityKnown(now) && p.load(now, u).perSlot(u) >= limit
 }
 
-// noteRefusal learns from a refusal for want of room how much an upstream takes, by what the upstream stated of its load
-// or else if all that it had in flight was known. A late refusal means that the request timed out in the queue, not that
-// the queue was full.
+// recordRefusal estimates the capacity of an upstream from a refusal for lack of capacity. It uses the load that
+// the upstream stated, or else the known load if that was up to date. A late refusal means that the request timed
+// out in the queue, not that the queue was full.
 //
-// What was known may be some milliseconds old. While several times what fits arrives at many instances, a good part of a
-// queue comes in that time, and an upstream would count as full for seconds by what it had before.
-func (p *Pool) noteRefusal(now time.Time, send *Send) {
+// The known load may be some milliseconds old. While several times the capacity arrives at many instances, a good
+// part of a queue arrives in that time. An estimate from the load before that would make the upstream count as full
+// for seconds.
+func (p *Pool) recordRefusal(now time.Time, send *Send) {
 	u := send.upstream
-	known := p.pace(u.declared.Service)
-	atOnce := now.Sub(send.began) < known.service.Answer(0)
+	stats := p.statsOf(u.declared.Service)
+	immediate := now.Sub(send.began) < stats.service.Answer(0)
 	isStated := send.stated.Running > 0
 	found := send.found
 	if isStated {
 		found = send.stated
 	}
-	if !atOnce || !isStated && !send.certain || found.Running < u.places() {
+	if !immediate || !isStated && !send.isFresh || found.Running < u.slots() {
 		return
 	}
-	full := found.perPlace(u)
-	if isStated && full > known.full && known.isFullKnown(now) {
-		return // upstreams may count requests that they are just refusing
+	capacity := found.perSlot(u)
+	if isStated && capacity > stats.capacity && stats.isCapacityKnown(now) {
+		return // the stated load may include requests that are being refused
 	}
-	known.full = full
-	known.fullAt = now
+	stats.capacity = capacity
+	stats.capacityAt = now
 }
 
-// isFullKnown reports whether a request was refused lately for want of room.
-func (p *pace) isFullKnown(now time.Time) bool { return p.full > 0 && now.Sub(p.fullAt) < fullFor }
+// isCapacityKnown reports whether a recent refusal gave an estimate of the capacity.
+func (s *serviceStats) isCapacityKnown(now time.Time) bool {
+	return s.capacity > 0 && now.Sub(s.capacityAt) < capacityTTL
+}
 
-// State takes note of how many requests, running or waiting, the upstream states in its answer.
+// State records how many requests, running or waiting, the upstream states in its answer.
 func (s *Send) State(requests int) { s.stated = Load{Running: requests} }
 
-// perPlace is the requests in flight in terms of an upstream's places.
-func (l Load) perPlace(u *upstream) float64 { return float64(l.Running) / float64(u.places()) }
+// perSlot is the number of requests in flight per slot of an upstream.
+func (l Load) perSlot(u *upstream) float64 { return float64(l.Running) / float64(u.slots()) }
--- a/internal/placement/pool/homes.go
+++ b/internal/placement/pool/homes.go
@@ -2,42 +2,42 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// homes.go ranks upstreams by how near they are to an adapter's home. All instances rank them alike without a
-// word between them, by rendezvous hashing, so that an adapter is mostly loaded where it was before.
+// homes.go ranks the upstreams for each adapter by rendezvous hashing. All instances get the same ranking without
+// communication, so that an adapter is mostly loaded where it was before.
 
-// homesKept bounds the rank: past some upstreams one is as good as another.
-const homesKept = 4
+// rankedHomes bounds the ranking: after the first few upstreams the rank makes no difference.
+const rankedHomes = 4
 
-// homes are the upstreams that are nearest to an adapter's home, nearest first.
-type homes [homesKept]home
+// homes are the upstreams that rank highest for an adapter, highest first.
+type homes [rankedHomes]home
 
 type home struct {
 	upstream *upstream
 	weight   uint64
 }
 
-// homes finds the upstreams that are nearest to the home of a query's adapter. Each choice in a fleet of hundreds
-// of upstreams does so, hence one hash for each of them and no list of them all.
-func (p *Pool) homes(query Query) (nearest homes) {
+// homes returns the upstreams that rank highest for the adapter of a query. Each choice in a fleet of hundreds of
+// upstreams calls it, hence it computes one hash for each upstream and builds no list of all of them.
+func (p *Pool) homes(query Query) (highest homes) {
 	if query.Adapter.Name == "" {
-		return nearest
+		return highest
 	}
 	var adapter xxhash.Digest
 	adapter.Reset()
 	_, _ = adapter.WriteString(query.Adapter.String()) // never fails
 	_, _ = adapter.WriteString("\x00")
-	for _, u := range p.servingFor(query.Service) {
+	for _, u := range p.upstreamsOf(query.Service) {
 		if !p.IsOpen(u.declared) {
 			continue
 		}
 		weight := adapter
 		_, _ = weight.WriteString(u.declared.ID)
-		nearest.insert(home{upstream: u, weight: weight.Sum64()})
+		highest.insert(home{upstream: u, weight: weight.Sum64()})
 	}
-	return nearest
+	return highest
 }
 
-// insert keeps the nearest in order.
+// insert adds an upstream if it ranks high enough, and keeps the order.
 func (h *homes) insert(next home) {
 	for i := range h {
 		if h[i].upstream == nil || next.weight > h[i].weight {
@@ -49,12 +49,12 @@
 	}
 }
 
-// nearer is how many upstreams are nearer than a given one, at most homesKept.
-func (h homes) nearer(u *upstream) int {
+// rank is the number of upstreams that rank higher than a given one, at most rankedHomes.
+func (h homes) rank(u *upstream) int {
 	for i := range h {
 		if h[i].upstream == u {
 			return i
 		}
 	}
-	return homesKept
+	return rankedHomes
 }
--- a/internal/placement/pool/idle_upstreams_test.go
+++ b/internal/placement/pool/idle_upstreams_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestIdleUpstreamsAreNotLookedAt guards against reports that cost as much as there are upstreams, which start a large
-// fleet too slowly to serve.
+// TestIdleUpstreamsAreNotLookedAt guards against reports whose cost grows with the number of upstreams. With them a
+// large fleet starts too slowly to serve.
 func TestIdleUpstreamsAreNotLookedAt(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -26,21 +26,21 @@
 	declareMany(p, now, 1000)
 	upstream, _ := p.Upstream("u7")
 	send := p.Begin(now, pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
-	looked := 0
+	visited := 0
 	all := func(string) bool {
-		looked++
+		visited++
 		return true
 	}
 	is.Equal(len(p.Report(all)), 1)
 	is.True(p.HasOwn("u7"))
 	is.True(!p.HasOwn("u8"))
-	is.Equal(looked, 2) // once to note what is reported, once to report it
+	is.Equal(visited, 2) // once to record what is reported, once to report it
 	p.Finish(now, send, pool.EndServed)
 	is.Equal(len(p.Report(all)), 0)
 	is.True(!p.HasOwn("u7"))
-	looked = 0
+	visited = 0
 	is.Equal(len(p.Report(all)), 0)
-	is.Equal(looked, 0)
+	is.Equal(visited, 0)
 }
 
 // TestNamesAreListedAfterChangesOnly guards against listing all upstreams of a large service several times a second.
@@ -51,7 +51,7 @@
 	declareMany(p, now, 3)
 	names, changes := p.NamesSince(0)
 	is.Equal(names, map[string]bool{"u0": true, "u1": true, "u2": true})
-	declareMany(p, now, 3) // the same again
+	declareMany(p, now, 3) // no change
 	names, changes = p.NamesSince(changes)
 	is.Equal(len(names), 0)
 	p.Forget("u1")
--- a/internal/placement/pool/load_cost.go
+++ b/internal/placement/pool/load_cost.go
@@ -6,49 +6,52 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// load_cost.go weighs the load of an adapter that an upstream lacks against the wait where it is loaded.
+// load_cost.go compares the cost of loading an adapter at an upstream that lacks it with the wait at upstreams
+// where it is loaded.
 
 const (
-	// evicted is what the next request for the evicted adapter pays, in reloads.
-	evicted = 1
-	// fetched is what an adapter that has to come from the weight store costs besides the wait, in loads, at an upstream
-	// all of whose places are in use: it takes one that others wait for, or that the next request would have used.
-	fetched = 1
-	// stray is added for each upstream that is nearer to the adapter's home, in loads: where it is always
-	// loaded at the same few upstreams, these have a copy when it is wanted again.
-	stray = 0.2
-	// preparing is for each request of this instance that already waits for an adapter there, and that the
-	// holder's last report may not count yet, in loads: an upstream loads some adapters at once.
-	preparing = 0.25
-	// inTransit is what is left, on average, of a load in transit.
-	inTransit = 0.5
+	// evictionCost is the cost for the next request for the evicted adapter, in reloads.
+	evictionCost = 1
+	// fetchCost is the cost of an adapter that has to be fetched from the weight store, besides the wait, in loads,
+	// at an upstream all of whose adapter slots are in use: it takes a slot that others wait for, or that the next
+	// request would have used.
+	fetchCost = 1
+	// rankCost is added for each upstream that ranks higher for the adapter, in loads. If an adapter is always
+	// loaded at the same few upstreams, these have a copy when it is requested again.
+	rankCost = 0.2
+	// pendingLoadCost is added for each request of this instance that already waits for an adapter there, and that
+	// the holder's last report may not count yet, in loads. An upstream loads some adapters concurrently.
+	pendingLoadCost = 0.25
+	// remainingLoad is the average remaining fraction of a load in transit.
+	remainingLoad = 0.5
 )
 
-// loading is how long a request waits until its adapter is there, and what having it loaded costs others.
-type loading struct {
+// loadDelay is how long a request waits until its adapter is loaded, and the cost of the load to other requests.
+type loadDelay struct {
 	wait   time.Duration
 	charge time.Duration
 }
 
-// loadCost is what it takes until the adapter is there.
-func (p *Pool) loadCost(u *upstream, query Query, homes homes, choice *Choice) (cost loading) {
+// loadCost returns the wait for the adapter of a query and the cost of loading it to others, and completes the
+// choice.
+func (p *Pool) loadCost(u *upstream, query Query, homes homes, choice *Choice) (cost loadDelay) {
 	loads := p.loadTimes(u)
 	if known, found := u.resident[query.Adapter]; found && known.Version >= query.Version {
 		if known.InTransit {
 			choice.Loaded = false
-			cost.wait = times(inTransit, loads.full)
+			cost.wait = scale(remainingLoad, loads.full)
 		}
 		return cost
 	}
 	choice.Loaded = false
-	choice.Wait = u.wait
-	cost.wait = u.wait + times(preparing*float64(u.preparing), loads.full)
-	cost.charge = times(evicted, loads.reload)
+	choice.Wait = u.slotWait
+	cost.wait = u.slotWait + scale(pendingLoadCost*float64(u.preparing), loads.full)
+	cost.charge = scale(evictionCost, loads.reload)
 	if u.recent.has(query.Adapter, query.Version) {
 		cost.wait += loads.reload
 	} else {
 		cost.wait += loads.full
-		cost.charge += times(fetched*p.scarcity(u)+stray*float64(homes.nearer(u)), loads.full)
+		cost.charge += scale(fetchCost*p.scarcity(u)+rankCost*float64(homes.rank(u)), loads.full)
 	}
 	if _, found := u.resident[traffic.Adapter{Model: query.Adapter.Model}]; !found {
 		cost.wait += p.modelLoadTime(query)
@@ -56,31 +59,31 @@
 	return cost
 }
 
-// scarcity is the part of an upstream's places for adapters that are in use, by its holder's last report.
+// scarcity is the fraction of an upstream's adapter slots that are in use, by its holder's last report.
 func (p *Pool) scarcity(u *upstream) float64 {
-	places := p.engines[u.declared.Service].AdapterPlaces
-	if places <= 0 {
+	slots := p.engines[u.declared.Service].AdapterPlaces
+	if slots <= 0 {
 		return 1
 	}
-	return 1 - min(max(float64(u.idle)/float64(places), 0), 1)
+	return 1 - min(max(float64(u.idleSlots)/float64(slots), 0), 1)
 }
 
 const (
-	// lateFrom and lateTo are the times until the first event, in terms of what is left of the objective, from which on
-	// a request may be late and from which on it surely is: forecasts are off by some tenths.
+	// lateFrom and lateTo are times until the first event, as fractions of what is left of the objective. From
+	// lateFrom on a request may be late, and from lateTo on it certainly is. Forecasts are off by some tenths.
 	lateFrom = 0.45
 	lateTo   = 1.15
 )
 
-// lateness is what it costs a caller that the first event comes after some time: its objective, as likely as that makes
-// it late.
+// lateness is the cost to a caller of a first event after the given time: its objective, multiplied by the
+// likelihood of being late.
 //
-// Made for popular adapters. By time alone a fetch to an idle engine is dearer than the queue of the one that has the
-// adapter, until that queue is longer than callers can wait.
+// It is needed for popular adapters. By time alone a fetch to an idle engine costs more than the queue of the
+// engine that has the adapter, until that queue is longer than callers can wait.
 func (q Query) lateness(after time.Duration) time.Duration {
 	if q.OnTime <= 0 {
 		return 0
 	}
 	part := (float64(after)/float64(q.OnTime) - lateFrom) / (lateTo - lateFrom)
-	return times(min(max(part, 0), 1), q.Objective)
+	return scale(min(max(part, 0), 1), q.Objective)
 }
--- a/internal/placement/pool/load_sums_test.go
+++ b/internal/placement/pool/load_sums_test.go
@@ -11,12 +11,12 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// plainSums adds up, one by one, what a pool keeps as running totals.
+// plainSums recomputes from scratch what a pool keeps as running totals.
 type plainSums struct {
-	pool  *pool.Pool
-	now   time.Time
-	sends map[*pool.Send]*sent
-	told  map[string]told
+	pool    *pool.Pool
+	now     time.Time
+	sends   map[*pool.Send]*sent
+	reports map[string]report
 }
 
 type sent struct {
@@ -24,7 +24,7 @@
 	load     pool.Load
 }
 
-type told struct {
+type report struct {
 	at    time.Time
 	loads map[string]pool.Load
 }
@@ -35,14 +35,14 @@
 	to.Memory += load.Memory
 }
 
-// expected is what all instances have under way at an upstream.
+// expected is what all instances have in flight at an upstream.
 func (s *plainSums) expected(upstream string) (total pool.Load) {
 	for _, one := range s.sends {
 		if one.upstream == upstream {
 			add(&total, one.load)
 		}
 	}
-	for _, peer := range s.told {
+	for _, peer := range s.reports {
 		if s.now.Sub(peer.at) <= s.pool.Settings.PeerLoadFor {
 			add(&total, peer.loads[upstream])
 		}
@@ -62,7 +62,7 @@
 	case 0:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(rt, "millis")) * time.Millisecond)
 	case 1:
-		s.tell(rt, peer)
+		s.report(rt, peer)
 	case 2:
 		s.send()
 	case 3, 4:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *plainSums) tell(rt *rapid.T, peer string) {
+func (s *plainSums) report(rt *rapid.T, peer string) {
 	loads := make(map[string]pool.Load)
 	for _, upstream := range sumUpstreams {
 		if running := rapid.IntRange(0, 3).Draw(rt, "running"); running > 0 {
@@ -82,7 +82,7 @@
 		}
 	}
 	s.pool.LearnLoads(s.now, peer, loads)
-	s.told[peer] = told{at: s.now, loads: loads}
+	s.reports[peer] = report{at: s.now, loads: loads}
 }
 
 func (s *plainSums) send() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// end has a request answered, or ended with or without an answer.
+// end has a request answered, or finished with or without an answer.
 func (s *plainSums) end(rt *rapid.T) {
 	for send, one := range s.sends {
 		if rapid.Bool().Draw(rt, "answered") {
@@ -117,20 +117,21 @@
 	s.pool.Forget(upstream)
 	for send, one := range s.sends {
 		if one.upstream == upstream {
-			delete(s.sends, send) // one that is declared again has forgotten them
+			delete(s.sends, send) // an upstream that is declared again starts without them
 			s.pool.Finish(s.now, send, pool.EndOther)
 		}
 	}
 }
 
-// The pool keeps totals, so that a choice among hundreds of upstreams does not add up what dozens of instances
-// told of each. If one of them were taken away twice, or never, as instances fall silent, upstreams go and come
-// and requests end, an upstream would look idle or full for ever, and get all requests or none.
+// Guards against running totals that drift. The pool keeps totals, so that a choice among hundreds of upstreams
+// does not add up the reports of dozens of instances on each. If a load is subtracted twice or never, as instances
+// fall silent, upstreams are removed and declared again and requests end, an upstream looks idle or full forever,
+// and gets all requests or none.
 func TestTotalsAreWhatWasTold(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &plainSums{
 			pool: newPool(sumUpstreams...), now: time.Now(),
-			sends: make(map[*pool.Send]*sent), told: make(map[string]told),
+			sends: make(map[*pool.Send]*sent), reports: make(map[string]report),
 		}
 		for range 60 {
 			s.step(rt)
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -2,109 +2,108 @@
 
 import "time"
 
-// overload.go decides which requests are refused because a service has more to do than fits, and when their callers
-// should come back.
+// overload.go decides which requests are refused when a service is overloaded, and when their callers should retry.
 
 const (
-	// mostQueued is the part of a request's objective that may pass in the queue of an engine before a request that
-	// would be late is refused. One that would be late in a short queue too, for its own length, is refused in twice that.
-	mostQueued = 0.5
-	// shortQueue is the part of the objective up to which a queue counts as short, and to which it should have shrunk
-	// when a refused caller comes back.
-	shortQueue = 0.3
-	// leastRetryAfter and mostRetryAfter bound when a refused caller is asked to come back.
-	leastRetryAfter = 100 * time.Millisecond
-	mostRetryAfter  = 3 * time.Second
+	// maxQueueFraction is the fraction of a request's objective that may pass in the queue of an engine before a
+	// request that would be late is refused. A request that would be late in a short queue too, because of its own
+	// length, is refused at twice that.
+	maxQueueFraction = 0.5
+	// shortQueueFraction is the fraction of the objective up to which a queue counts as short, and to which it
+	// should have shrunk when a refused caller retries.
+	shortQueueFraction = 0.3
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refused caller.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
 // Patience is how long from now a request can wait for its first event or answer.
 type Patience struct {
-	// OnTime until it is late.
+	// OnTime is the time until it is late.
 	OnTime time.Duration
-	// Left until nobody waits for it any more.
+	// Left is the time until nobody waits for it any more.
 	Left time.Duration
-	// Objective is how long it could have waited from its beginning and be on time; 0 if it is never late.
+	// Objective is how long it could have waited from its start and still be on time; 0 if it is never late.
 	Objective time.Duration
 }
 
-// Refuse tells whether a request had better be refused at once than sent where it is expected to be answered first,
-// and when its caller should come back.
+// Refuse reports whether a request should be refused at once instead of sent to the chosen upstream, and when its
+// caller should retry.
 //
-// Made for more requests than fit. Sent to an engine whatever waits there, each request adds to its
-// queue, and soon all are answered late, or when their callers are gone, though the engines are busy all
-// the while. As long as those who would be late on account of the queue are refused, it stays as long as it may
-// be for those who come to be on time, and the engines are as busy. A burst that is over before long is served, late
-// in part: nobody comes after it who would be late on its account, and a late answer is better than none. Requests
-// that are late by themselves, such as the longest prompts, are served while the queue is short; otherwise they never
-// would be.
+// This is load shedding. If each request is sent to an engine whatever waits there, the queues grow, and soon all
+// requests are answered late, or after their callers are gone, although the engines are busy all the time. If
+// requests that would be late because of the queue are refused, the queue stays as long as it may be for new
+// requests to be on time, and the engines are as busy. A short burst is served, in part late: no later request
+// would be late because of it, and a late answer is better than none. Requests that are late by themselves, such as
+// the longest prompts, are served while the queue is short; otherwise they would never be served.
 func (p *Pool) Refuse(
 	now time.Time, query Query, choice Choice, patience Patience,
 ) (retryAfter time.Duration, refused bool) {
 	eta := choice.Expected + choice.Wait
 	queued := choice.Expected - choice.Idle
 	hopeless := eta > patience.Left
-	most := times(mostQueued, patience.Objective)
-	if choice.Idle > patience.OnTime-most {
-		most = patience.Objective
+	maxQueued := scale(maxQueueFraction, patience.Objective)
+	if choice.Idle > patience.OnTime-maxQueued {
+		maxQueued = patience.Objective
 	}
-	late := patience.Objective > 0 && eta > patience.OnTime && queued > most
-	short := queued <= times(shortQueue, patience.Objective)
-	standing := p.pace(query.Service).noteQueue(now, late, short) > patience.Objective
+	late := patience.Objective > 0 && eta > patience.OnTime && queued > maxQueued
+	short := queued <= scale(shortQueueFraction, patience.Objective)
+	standing := p.statsOf(query.Service).recordQueue(now, late, short) > patience.Objective
 	if !hopeless && !(late && standing) {
 		return 0, false
 	}
-	wait := queued + choice.Wait - times(shortQueue, patience.Objective)
+	wait := queued + choice.Wait - scale(shortQueueFraction, patience.Objective)
 	return p.scheduleRetry(now, query, wait), true
 }
 
-// noteQueue takes note of whether a request is late on account of the queue, and tells for how long the queue has been
-// standing since one was. A request that finds a short queue shows that the service is not full, but at most the
-// upstreams that have some adapter.
-func (p *pace) noteQueue(now time.Time, late, short bool) time.Duration {
+// recordQueue records whether a request is late because of the queue, and returns how long the queue has been
+// standing: the time since the first late request after which none has found a short queue. A request that finds a
+// short queue shows that the service is not full; at most those of its upstreams are that have some adapter.
+func (s *serviceStats) recordQueue(now time.Time, late, short bool) time.Duration {
 	switch {
 	case short:
-		p.lateSince = time.Time{}
-	case late && p.lateSince.IsZero():
-		p.lateSince = now
+		s.standingSince = time.Time{}
+	case late && s.standingSince.IsZero():
+		s.standingSince = now
 	}
-	if p.lateSince.IsZero() {
+	if s.standingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(p.lateSince)
+	return now.Sub(s.standingSince)
 }
 
-// occupies is how long a request keeps an upstream from others: an engine while it prefills the prompt, a plain one for
-// its part of the places.
-func (p *Pool) occupies(query Query) time.Duration {
-	known := p.pace(query.Service)
+// occupiedTime is how long a request keeps an upstream from other requests: an engine during the prefill of the
+// prompt, a plain upstream for its share of the slots.
+func (p *Pool) occupiedTime(query Query) time.Duration {
+	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
-		return known.engine.Prefill(query.Tokens)
+		return stats.engine.Prefill(query.Tokens)
 	}
-	places := 0
-	for _, u := range p.servingFor(query.Service) {
-		places = max(places, u.places())
+	slots := 0
+	for _, u := range p.upstreamsOf(query.Service) {
+		slots = max(slots, u.slots())
 	}
-	return known.service.Answer(0) / time.Duration(max(places, 1))
+	return stats.service.Answer(0) / time.Duration(max(slots, 1))
 }
 
-// RetryWhenFull is when a refused caller should come back to a service all of whose upstreams are full.
+// RetryWhenFull is the retry delay of a caller that is refused because all upstreams of a service are full.
 func (p *Pool) RetryWhenFull(now time.Time, query Query) time.Duration {
-	return p.scheduleRetry(now, query, p.occupies(query))
+	return p.scheduleRetry(now, query, p.occupiedTime(query))
 }
 
-// scheduleRetry tells a refused caller when to come back: when there will be room, after those who were refused before
-// it have had their turn. The other instances are taken to refuse as many.
+// scheduleRetry returns the retry delay of a refused caller: until there will be capacity, after the turns of those
+// that were refused before it. It assumes that the other instances refuse as many.
 func (p *Pool) scheduleRetry(now time.Time, query Query, wait time.Duration) time.Duration {
-	known := p.pace(query.Service)
-	upstreams := max(p.openIn(query.Service), 1)
-	turn := p.occupies(query) * time.Duration(max(p.Settings.Instances, 1)) / time.Duration(upstreams)
-	due := now.Add(max(wait, leastRetryAfter))
-	if due.Before(known.nextTurn) {
-		due = known.nextTurn
+	stats := p.statsOf(query.Service)
+	upstreams := max(p.countAccepting(query.Service), 1)
+	interval := p.occupiedTime(query) * time.Duration(max(p.Settings.Instances, 1)) / time.Duration(upstreams)
+	due := now.Add(max(wait, minRetryAfter))
+	if due.Before(stats.nextRetry) {
+		due = stats.nextRetry
 	}
-	if most := now.Add(mostRetryAfter); due.After(most) {
-		due = most
+	if latest := now.Add(maxRetryAfter); due.After(latest) {
+		due = latest
 	}
-	known.nextTurn = due.Add(turn)
+	stats.nextRetry = due.Add(interval)
 	return due.Sub(now)
 }
--- a/internal/placement/pool/overload_test.go
+++ b/internal/placement/pool/overload_test.go
@@ -11,15 +11,15 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// fifo is an engine that reads one prompt after the other, as fast as the guesses have it.
+// fifo simulates an engine that prefills one prompt after the other, at the speed that forecasts assume initially.
 type fifo struct {
 	free time.Time
 }
 
 const perToken = 50 * time.Microsecond
 
-// read tells when a prompt that is sent now has its first event.
-func (f *fifo) read(now time.Time, tokens int) time.Time {
+// prefill returns when a prompt that is sent now has its first event.
+func (f *fifo) prefill(now time.Time, tokens int) time.Time {
 	if f.free.Before(now) {
 		f.free = now
 	}
@@ -27,24 +27,24 @@
 	return f.free.Add(25 * time.Millisecond)
 }
 
-// burst is requests that come for some seconds at a multiple of what two engines can read.
+// burst simulates requests that arrive for some seconds at a multiple of what two engines can prefill.
 type burst struct {
 	refuse    bool
 	times     float64
 	objective time.Duration
-	// largeEvery makes each so many-th prompt too long to be on time, even at an idle engine.
+	// largeEvery makes every n-th prompt too long to be on time, even at an idle engine.
 	largeEvery int
 }
 
-// outcome counts what became of the requests.
+// outcome counts the results of the requests.
 type outcome struct {
 	asked, onTime, refused  int
 	largeAsked, largeServed int
 	retries                 []time.Duration
 }
 
-// play sends the requests of a burst. Its forecasts come from what it sees, as in an instance.
-func (b burst) play(is *is.I) (o outcome) {
+// run sends the requests of a burst. Its forecasts come from the observed answers, as in an instance.
+func (b burst) run(is *is.I) (o outcome) {
 	is.Helper()
 	p := newPool("e1", "e2")
 	resident(p, "e1", "a")
@@ -89,7 +89,7 @@
 			continue
 		}
 		send := p.Begin(now, choice, query)
-		first := engines[choice.Upstream.ID].read(now, query.Tokens)
+		first := engines[choice.Upstream.ID].prefill(now, query.Tokens)
 		due = append(due, event{at: first, send: send})
 		if large {
 			o.largeServed++
@@ -101,37 +101,40 @@
 	return o
 }
 
-// One and a half times what fits comes for a quarter of a minute. If all are sent, the queues inside the engines grow
-// past every caller's patience, and soon nobody is on time although the engines are busy all the while. With the
-// latecomers refused at once, as many are on time as the engines can serve.
+// Guards against collapse under overload. One and a half times the capacity arrives for a quarter of a minute. If
+// all requests are sent, the queues inside the engines grow longer than any caller can wait, and soon none is on
+// time although the engines are busy all the time. If late requests are refused at once, as many are on time as the
+// engines can serve.
 func TestSaturationKeepsThroughputOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		full := burst{refuse: true, times: 1, objective: time.Second}.play(is)
-		sent := burst{refuse: false, times: 1.5, objective: time.Second}.play(is)
-		refusing := burst{refuse: true, times: 1.5, objective: time.Second}.play(is)
-		is.True(sent.onTime < refusing.onTime/2)                           // nobody refused: collapse
-		is.True(float64(refusing.onTime) >= 0.95*float64(full.onTime))     // as many as fit
-		is.True(float64(full.refused) <= 0.03*float64(full.asked))         // at what fits hardly anybody is refused
+		full := burst{refuse: true, times: 1, objective: time.Second}.run(is)
+		sent := burst{refuse: false, times: 1.5, objective: time.Second}.run(is)
+		refusing := burst{refuse: true, times: 1.5, objective: time.Second}.run(is)
+		is.True(sent.onTime < refusing.onTime/2)                           // without refusals: collapse
+		is.True(float64(refusing.onTime) >= 0.95*float64(full.onTime))     // as many as at capacity
+		is.True(float64(full.refused) <= 0.03*float64(full.asked))         // at capacity hardly any request is refused
 		is.True(float64(refusing.refused) <= 0.45*float64(refusing.asked)) // a third cannot be served
 	})
 }
 
-// A tenth of the prompts of a saturated service are so long that they are late at an idle engine. Refused for that,
-// their callers would never be served, whenever they come back.
+// Guards against refusing prompts for being long. A tenth of the prompts of a saturated service are so long that
+// they are late at an idle engine. If they were refused for that, their callers would never be served, whenever
+// they retry.
 func TestLongestPromptsAreServedUnderSaturation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := burst{refuse: true, times: 1, objective: time.Second, largeEvery: 12}.play(is)
+		o := burst{refuse: true, times: 1, objective: time.Second, largeEvery: 12}.run(is)
 		is.True(o.largeServed >= o.largeAsked/2)
 	})
 }
 
-// Many callers are refused in the same second. Told to come back at the same moment they would all be refused again.
-func TestRefusedCallersComeBackAtDifferentTimes(t *testing.T) {
+// Guards against synchronised retries: many callers are refused in the same second, and would all be refused again
+// if they retried at the same moment.
+func TestRefusedCallersRetryAtDifferentTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := burst{refuse: true, times: 4, objective: time.Second}.play(is)
+		o := burst{refuse: true, times: 4, objective: time.Second}.run(is)
 		together := map[time.Duration]int{}
 		for _, at := range o.retries {
 			together[at/(20*time.Millisecond)]++
@@ -145,8 +148,8 @@
 	})
 }
 
-// Streams at a service pause for too long while prompts are read, and later they do not any more. Prompts take turns
-// as long as that helps; engines that do not need it read more without.
+// Streams at a service pause for too long during the prefill of other prompts, and later no longer do. Prompts take
+// turns as long as that helps; engines that do not need it prefill more without.
 func TestTurnsAreTakenWhereStreamsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/pool/pace.go
+++ b/internal/placement/pool/pace.go
@@ -6,114 +6,115 @@
 	"lacewingrock.example/lacewingrock/internal/placement/forecast"
 )
 
-// pace.go keeps how long the upstreams of each service take, as learnt from their answers.
+// pace.go keeps what was measured of the upstreams of each service, such as response times.
 
-// guessModel is what loading a base model takes where the configuration does not tell.
-const guessModel = time.Second
+// defaultModelLoadTime is the load time of a base model where the configuration does not state it.
+const defaultModelLoadTime = time.Second
 
-// pace is how long the upstreams of one service take.
-type pace struct {
+// serviceStats are the measurements of one service's upstreams.
+type serviceStats struct {
 	engine  forecast.Engine
 	service forecast.Service
-	// peers is what the other instances have seen of the engines.
+	// peers is the evidence of the other instances about the engines.
 	peers map[string]peerEvidence
-	// loads is what a holder told last of any of the upstreams, for those of which nothing was told.
+	// loads is the last load times that a holder reported for any of the upstreams. They apply to upstreams without
+	// a report.
 	loads loadTimes
-	// full is what an upstream had in flight, in terms of its places, when it last refused a request for want of room, at
-	// fullAt.
-	full   float64
-	fullAt time.Time
-	// nextTurn is when the next refused caller may come back.
-	nextTurn time.Time
-	// lateSince is since when the queue has been standing: a request was late on its account, and none has found a
-	// short queue since. Zero if it is not.
-	lateSince time.Time
-	// paused is the share of streams that paused for too long, among the latest; inTurn: prompts take turns.
-	paused float64
-	inTurn bool
+	// capacity is the load per slot of an upstream when it last refused a request for lack of capacity, at
+	// capacityAt.
+	capacity   float64
+	capacityAt time.Time
+	// nextRetry is when the next refused caller may retry.
+	nextRetry time.Time
+	// standingSince is the start of a standing queue: a request was late because of the queue, and none has found a
+	// short queue since. Zero if the queue is not standing.
+	standingSince time.Time
+	// pauseRate is the fraction of the latest streams that paused for too long. inTurn: prompts take turns.
+	pauseRate float64
+	inTurn    bool
 }
 
 const (
-	// pauseLearning is the weight of the newest stream in the share that paused for too long.
-	pauseLearning = 0.04
-	// turnsAbove is the share from which on prompts take turns at each engine, and turnsBelow the one up to which they
-	// do not any more. Engines whose streams do not suffer from long prompts prefill more of them without turns.
+	// pauseSampleWeight is the weight of the newest stream in pauseRate.
+	pauseSampleWeight = 0.04
+	// turnsAbove is the pause rate from which on prompts take turns at each engine, and turnsBelow the one below
+	// which they stop. Engines whose streams do not suffer from long prompts prefill more of them without turns.
 	turnsAbove = 0.08
 	turnsBelow = 0.02
 )
 
-// notePause takes note of a stream that has ended.
-func (p *pace) notePause(late bool) {
+// recordPause records whether a stream that has ended paused for too long.
+func (s *serviceStats) recordPause(late bool) {
 	sample := 0.0
 	if late {
 		sample = 1
 	}
-	p.paused += pauseLearning * (sample - p.paused)
+	s.pauseRate += pauseSampleWeight * (sample - s.pauseRate)
 	switch {
-	case p.paused > turnsAbove:
-		p.inTurn = true
-	case p.paused < turnsBelow:
-		p.inTurn = false
+	case s.pauseRate > turnsAbove:
+		s.inTurn = true
+	case s.pauseRate < turnsBelow:
+		s.inTurn = false
 	}
 }
 
-// InTurn tells whether prompts are to take turns at the engines of a service.
+// InTurn reports whether prompts take turns at the engines of a service.
 func (p *Pool) InTurn(service string) bool {
 	p.prepare()
-	return p.pace(service).inTurn
+	return p.statsOf(service).inTurn
 }
 
-// loadTimes is how long an adapter takes to load, from the weight store and where the upstream had it lately.
+// loadTimes are how long an adapter takes to load: from the weight store, and where the upstream had it recently.
 type loadTimes struct {
 	full   time.Duration
 	reload time.Duration
 }
 
-// pace gives the figures of a service.
-func (p *Pool) pace(service string) *pace {
-	known := p.paces[service]
-	if known == nil {
-		known = &pace{loads: loadTimes{full: forecast.GuessLoad, reload: forecast.GuessReload}}
-		p.paces[service] = known
+// statsOf returns the stats of a service, and creates them on the first call.
+func (p *Pool) statsOf(service string) *serviceStats {
+	stats := p.stats[service]
+	if stats == nil {
+		stats = &serviceStats{loads: loadTimes{full: forecast.GuessLoad, reload: forecast.GuessReload}}
+		p.stats[service] = stats
 	}
-	return known
+	return stats
 }
 
-// isGeneration tells whether an engine answers the request.
+// isGeneration reports whether an engine answers the request.
 func (p *Pool) isGeneration(query Query) bool {
 	_, isEngine := p.engines[query.Service]
 	return isEngine && query.Adapter.Model != ""
 }
 
-// usual is the time until the first event or the answer at an upstream of usual speed.
-func (p *Pool) usual(u *upstream, query Query, load Load) time.Duration {
-	known := p.pace(query.Service)
+// typicalTime is the time until the first event or the answer at an upstream of typical speed.
+func (p *Pool) typicalTime(u *upstream, query Query, load Load) time.Duration {
+	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
-		return known.engine.FirstEvent(query.Tokens, backlog(load))
+		return stats.engine.FirstEvent(query.Tokens, backlog(load))
 	}
-	return known.service.Answer(u.queued(load))
+	return stats.service.Answer(u.queued(load))
 }
 
-// observe takes note of how long a send took until its first event or answer.
+// observe records how long a request took until its first event or answer.
 func (p *Pool) observe(send *Send, took time.Duration) {
-	known := p.pace(send.query.Service)
+	stats := p.statsOf(send.query.Service)
 	if p.isGeneration(send.query) {
-		known.engine.Observe(send.query.Tokens, backlog(send.found), took)
+		stats.engine.Observe(send.query.Tokens, backlog(send.found), took)
 		return
 	}
-	known.service.Observe(send.upstream.queued(send.found), took)
+	stats.service.Observe(send.upstream.queued(send.found), took)
 }
 
 func backlog(load Load) forecast.Backlog {
 	return forecast.Backlog{Prefill: load.Prompt + load.Awaiting, Running: load.Running}
 }
 
-// places is how many calls an upstream serves at once.
-func (u *upstream) places() int { return max(u.declared.Places, 1) }
+// slots is how many calls an upstream serves concurrently.
+func (u *upstream) slots() int { return max(u.declared.Places, 1) }
 
-// queued is the calls that wait for a place before one more, in terms of the upstream's places.
+// queued is how many calls have to end before one more gets a slot, per slot of the upstream.
 func (u *upstream) queued(load Load) float64 {
-	return float64(max(load.Running+1-u.places(), 0)) / float64(u.places())
+	return float64(max(load.Running+1-u.slots(), 0)) / float64(u.slots())
 }
 
 // loadTimes is how long loads take at an upstream.
@@ -121,27 +122,27 @@
 	if u.loads != (loadTimes{}) {
 		return u.loads
 	}
-	return p.pace(u.declared.Service).loads
+	return p.statsOf(u.declared.Service).loads
 }
 
-// LoadTimes is how long an adapter takes to load at the upstreams of a service, from the weight store and where it
-// was loaded lately.
+// LoadTimes are how long an adapter takes to load at the upstreams of a service: from the weight store, and where
+// it was loaded recently.
 func (p *Pool) LoadTimes(service string) (full, reload time.Duration) {
 	p.prepare()
-	loads := p.pace(service).loads
+	loads := p.statsOf(service).loads
 	return loads.full, loads.reload
 }
 
-// modelLoadTime is what loading the base model of a request takes.
+// modelLoadTime is the load time of the base model of a request.
 func (p *Pool) modelLoadTime(query Query) time.Duration {
 	for _, model := range p.engines[query.Service].Models {
 		if model.Name == query.Adapter.Model && model.LoadTime > 0 {
 			return model.LoadTime
 		}
 	}
-	return guessModel
+	return defaultModelLoadTime
 }
 
-func times(factor float64, duration time.Duration) time.Duration {
+func scale(factor float64, duration time.Duration) time.Duration {
 	return time.Duration(factor * float64(duration))
 }
--- a/internal/placement/pool/plain_fleet_test.go
+++ b/internal/placement/pool/plain_fleet_test.go
@@ -14,32 +14,32 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// plain_fleet_test.go plays a plain service with a few upstreams to which many instances send.
+// plain_fleet_test.go simulates a plain service with a few upstreams to which many instances send.
 
 const (
-	plainPlaces    = 6
-	plainQueue     = 24
-	plainWork      = 60 * time.Millisecond
-	plainObjective = 300 * time.Millisecond
-	plainDeadline  = 3 * time.Second
-	mostAskedFor   = 3
-	// clump is how many calls come together on average.
-	clump = 12
+	plainSlots       = 6
+	plainQueue       = 24
+	plainWork        = 60 * time.Millisecond
+	plainObjective   = 300 * time.Millisecond
+	plainDeadline    = 3 * time.Second
+	maxHolderQueries = 3
+	// clumpSize is how many calls arrive together on average.
+	clumpSize = 12
 )
 
-// plainUpstream serves some calls at once, queues some more in the order of arrival, and refuses the others.
+// plainUpstream serves some calls concurrently, queues some more in order of arrival, and refuses the others.
 type plainUpstream struct {
 	ends []time.Time
 }
 
-// take gives when a call that arrives now is answered, or refuses it.
-func (u *plainUpstream) take(now time.Time, work time.Duration) (answered time.Time, ok bool) {
+// accept returns when a call that arrives now is answered, or refuses it.
+func (u *plainUpstream) accept(now time.Time, work time.Duration) (answered time.Time, ok bool) {
 	u.ends = slices.DeleteFunc(u.ends, func(end time.Time) bool { return !end.After(now) })
-	if len(u.ends) >= plainPlaces+plainQueue {
+	if len(u.ends) >= plainSlots+plainQueue {
 		return answered, false
 	}
 	begins := now
-	if waiting := len(u.ends) - plainPlaces; waiting >= 0 {
+	if waiting := len(u.ends) - plainSlots; waiting >= 0 {
 		slices.SortFunc(u.ends, time.Time.Compare)
 		begins = u.ends[waiting]
 	}
@@ -52,13 +52,14 @@
 type plainFleet struct {
 	instances []*pool.Pool
 	upstreams map[string]*plainUpstream
-	// inFlight is what the holder of each upstream knows to be in flight there, in all and by instance.
+	// inFlight is what the holder of each upstream counts as in flight there, in total; own is the same by
+	// instance.
 	inFlight map[string]int
 	own      []map[string]int
 	due      []plainSend
 	random   *rand.Rand
 
-	asked, onTime, served, refused, arrivals, turnedAway int
+	asked, onTime, served, refused, arrivals, rejected int
 }
 
 type plainSend struct {
@@ -88,16 +89,16 @@
 	return f
 }
 
-// dataCentre spreads instances and upstreams over three data centres.
+// dataCentre distributes instances and upstreams over three data centres.
 func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%3) }
 
-// play has calls arrive for some seconds at a multiple of what the upstreams can serve.
-func (f *plainFleet) play(load float64, length time.Duration) {
-	gap := float64(plainWork) / plainPlaces / float64(len(f.upstreams)) / load
+// run sends calls for some seconds at a multiple of what the upstreams can serve.
+func (f *plainFleet) run(load float64, length time.Duration) {
+	gap := float64(plainWork) / plainSlots / float64(len(f.upstreams)) / load
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		time.Sleep(time.Duration(clump * gap * f.random.ExpFloat64()))
+		time.Sleep(time.Duration(clumpSize * gap * f.random.ExpFloat64()))
 		f.finish(time.Now())
-		for range f.random.IntN(2*clump) + 1 {
+		for range f.random.IntN(2*clumpSize) + 1 {
 			work := time.Duration(float64(plainWork) * (0.5 + f.random.Float64()))
 			f.call(time.Now(), f.random.IntN(len(f.instances)), work)
 		}
@@ -117,7 +118,7 @@
 	})
 }
 
-// call places one call at an instance, asking holders as an instance does.
+// call places one call at an instance, with requests to the holders as in an instance.
 func (f *plainFleet) call(now time.Time, instance int, work time.Duration) {
 	p := f.instances[instance]
 	query := plain()
@@ -134,9 +135,9 @@
 		id := choice.Upstream.ID
 		send := p.Begin(now, choice, query)
 		f.arrivals++
-		answered, ok := f.upstreams[id].take(now, work)
+		answered, ok := f.upstreams[id].accept(now, work)
 		if !ok {
-			f.turnedAway++
+			f.rejected++
 			send.State(f.inFlight[id])
 			p.Finish(now, send, pool.EndRefused)
 			query.Exclude = append(query.Exclude, id)
@@ -157,7 +158,7 @@
 func (f *plainFleet) choose(now time.Time, instance int, query pool.Query) (choice pool.Choice, err error) {
 	p := f.instances[instance]
 	var asked []string
-	for len(asked) < mostAskedFor {
+	for len(asked) < maxHolderQueries {
 		choice, err = p.Choose(now, query)
 		if err != nil || !choice.Uncertain {
 			return choice, err
@@ -170,41 +171,41 @@
 	return p.Choose(now, query)
 }
 
-// Guards against instances that each see a few calls a second and fill the queues of some upstreams while others are
-// idle: callers are late or turned away though the service has room for all.
+// Guards against instances that each receive a few calls a second and fill the queues of some upstreams while
+// others are idle: callers are late or refused although the service has capacity for all.
 func TestManyInstancesShareFewPlainUpstreams(t *testing.T) {
 	for _, instances := range []int{7, 67, 200} {
 		t.Run(fmt.Sprintf("instances=%d", instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newPlainFleet(instances, 4)
-				f.play(0.7, 20*time.Second)
-				is.True(f.turnedAway*100 < f.arrivals)             // hardly any call meets a full queue
+				f.run(0.7, 20*time.Second)
+				is.True(f.rejected*100 < f.arrivals)               // hardly any call arrives at a full queue
 				is.True(float64(f.onTime) > 0.95*float64(f.asked)) // nearly all are on time
 			})
 		})
 	}
 }
 
-// Guards against callers that are all late, or turned away by full queues one after the other, while more calls come than
-// the upstreams can serve: with those refused at once who would be late, as many are on time as fit.
+// Guards against callers that are all late, or refused by one full queue after the other, under overload. If the
+// requests that would be late are refused at once, as many are on time as the upstreams can serve.
 func TestOverloadedPlainServiceStaysOnTime(t *testing.T) {
 	for _, instances := range []int{7, 67} {
 		t.Run(fmt.Sprintf("instances=%d", instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newPlainFleet(instances, 4)
-				f.play(1.5, 30*time.Second)
-				fit := 30 * float64(len(f.upstreams)*plainPlaces) / plainWork.Seconds()
+				f.run(1.5, 30*time.Second)
+				fit := 30 * float64(len(f.upstreams)*plainSlots) / plainWork.Seconds()
 				is.True(float64(f.onTime) >= 0.9*fit)
-				is.True(f.turnedAway*50 < f.arrivals)
+				is.True(f.rejected*50 < f.arrivals)
 			})
 		})
 	}
 }
 
-// Guards against a queue that counts as full because the time of a request was over in it: the others would be refused
-// while places are free.
+// Guards against a queue that counts as full because a request timed out in it: other requests would be refused
+// while slots are free.
 func TestLateRefusalDoesNotMeanFull(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -230,8 +231,8 @@
 	}
 }
 
-// Guards against a bound of a queue that is taken from what stood before it when it refused: upstreams count what comes to
-// a full queue with it, and the queue of callers would be let grow to that.
+// Guards against a capacity estimate that includes refused requests. Upstreams count the requests that arrive at a
+// full queue in the load that they state, and the queue of callers would be allowed to grow to that.
 func TestLeastLoadThatWasRefusedIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -251,8 +252,8 @@
 	})
 }
 
-// Guards against places that stay empty at upstreams with hardly any queue, for headroom.
-func TestHeadroomLeavesNoPlaceEmpty(t *testing.T) {
+// Guards against headroom that leaves slots empty at upstreams with hardly any queue.
+func TestHeadroomLeavesNoSlotEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("s1")
@@ -269,7 +270,8 @@
 	})
 }
 
-// Guards against calls of a route without an objective that are all refused while a queue stands: they are never late.
+// Guards against refusing all calls of a route without an objective while a queue is standing: such calls are never
+// late.
 func TestCallWithoutObjectiveIsNotRefusedForTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/pool/pool_test.go
+++ b/internal/placement/pool/pool_test.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-// declare adds an upstream: names that begin with s are plain services.
+// declare adds an upstream. Names that begin with s are plain services.
 func declare(p *pool.Pool, name string, change func(*traffic.Upstream)) {
 	u := traffic.Upstream{ID: name, Service: engines, Address: "10.0.0.1:1", DataCentre: "here", Places: 64, Born: 1}
 	if name[0] == 's' {
@@ -59,7 +59,7 @@
 
 func plain() pool.Query { return pool.Query{Service: services} }
 
-// place chooses for a request and counts it as under way.
+// place chooses an upstream for a request and counts it as in flight.
 func place(is *is.I, p *pool.Pool, query pool.Query) (pool.Choice, *pool.Send) {
 	is.Helper()
 	choice, err := p.Choose(time.Now(), query)
@@ -67,7 +67,8 @@
 	return choice, p.Begin(time.Now(), choice, query)
 }
 
-// An adapter is loaded at one of three upstreams. Anywhere else the request would wait for a load.
+// Guards against a needless load: an adapter is loaded at one of three upstreams, and at any other the request
+// would wait for a load.
 func TestLoadedAdapterIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,8 +85,8 @@
 	})
 }
 
-// One adapter gets a flood of requests. Behind the one upstream that has it they would be late, though
-// others are idle; past some queue a second copy is cheaper.
+// Guards against late answers for one adapter with a flood of requests. They would queue at the one upstream that
+// has it although others are idle; from some queue length on, a second copy costs less.
 func TestHotAdapterSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,8 +105,9 @@
 	})
 }
 
-// Cold adapters come once in a while, from any instance. If each choice went wherever it is quiet, no
-// upstream would have a copy when the adapter comes again.
+// Guards against loading rarely used adapters at a new upstream each time. Their requests arrive at any instance.
+// If each choice went to the least loaded upstream, no upstream would have a copy when the adapter is requested
+// again.
 func TestColdAdapterHasAHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,7 +115,7 @@
 		homes := map[string]bool{}
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			first := ""
-			for range 3 { // three instances that know nothing of each other
+			for range 3 { // three instances that do not communicate
 				p := newPool(names...)
 				for _, upstream := range names {
 					resident(p, upstream)
@@ -126,12 +128,12 @@
 			}
 			homes[first] = true
 		}
-		is.True(len(homes) >= 3) // and the homes are spread
+		is.True(len(homes) >= 3) // the homes are distributed
 	})
 }
 
-// One of three upstreams turns slow while its health check is good. Requests that go on to it are late;
-// with none at all its recovery would never be seen.
+// One of three upstreams becomes slow while its health check passes. Requests that continue to go there are late;
+// without any, its recovery would never be noticed.
 func TestSlowUpstreamGetsLittleUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -161,8 +163,8 @@
 	})
 }
 
-// An upstream fails half of its requests and passes its health check. A caller whose request may not be
-// repeated loses it there.
+// Guards against an upstream that fails half of its requests and passes its health check. A request that may not be
+// repeated is lost there.
 func TestFailingUpstreamIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,9 +185,9 @@
 	})
 }
 
-// An upstream has crashed and its entry is still there. Each request sent to it costs a connection and a
-// retry; it is tried again shortly, as it may only have restarted.
-func TestUnreachableUpstreamIsLeftOutForAWhile(t *testing.T) {
+// An upstream has crashed and its entry still exists. Each request sent to it costs a connection and a retry. It is
+// tried again shortly after, as it may only have restarted.
+func TestUnreachableUpstreamIsSkippedDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("s1")
@@ -199,8 +201,8 @@
 	})
 }
 
-// An upstream is leaving, and another's address now belongs to a new incarnation. The first gets nothing
-// new; what was known of the old incarnation does not hold for the new.
+// One upstream is draining, and another's address now belongs to a new incarnation. The first gets no new requests,
+// and the state of the old incarnation does not apply to the new one.
 func TestLeavingAndRestartedUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -217,8 +219,8 @@
 	})
 }
 
-// A request waits for an adapter at an upstream, which begins to leave meanwhile. Sent there after the wait,
-// the request could be cut when the upstream goes.
+// Guards against an upstream that starts to drain while a request waits for an adapter there. Sent there after the
+// wait, the request could be cut off when the upstream stops.
 func TestChoiceIsCheckedWhenItIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -235,8 +237,9 @@
 	})
 }
 
-// A burst of calls meets one upstream that takes so many connections from all instances. Past that it resets
-// them, and calls that may not be repeated are lost; the rest is refused before it is sent.
+// Guards against too many connections in a burst of calls. An upstream limits the connections from all instances,
+// and resets those above the limit; calls that may not be repeated would be lost. They are refused before they are
+// sent.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -253,8 +256,8 @@
 	})
 }
 
-// A holder that was replaced wakes up and tells what it believes. Its successor has evicted the adapter
-// since, and requests sent on the old word would be refused.
+// Guards against a replaced holder that resumes and reports outdated residents. Its successor has evicted the
+// adapter since, and requests sent because of the old report would be refused.
 func TestEarlierHoldersWordIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -266,8 +269,8 @@
 	})
 }
 
-// A newer version of an adapter is required. An upstream that still has the older one would answer from
-// the wrong weights.
+// A newer version of an adapter is required. An upstream that still has the older one would answer with the wrong
+// weights.
 func TestOlderVersionDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -285,8 +288,8 @@
 	})
 }
 
-// Bursts hit a service from all instances at once. An instance that counts only its own requests sends
-// all of them to the upstream that the others have filled.
+// Guards against instances that count only their own requests. When bursts arrive at all instances at once, such an
+// instance sends all of its requests to the upstream that the others have filled.
 func TestLoadsOfOtherInstancesCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -306,10 +309,11 @@
 	})
 }
 
-// A fleet of eighty hears of each other's requests every two seconds. A popular adapter is loaded at two
-// upstreams; all instances saw the first one idle at their last heartbeat and send there, and callers wait while
-// the second is idle. Its holder knows better, and what it says goes before what is older.
-func TestHoldersWordGoesBeforeOldHeartbeats(t *testing.T) {
+// Guards against decisions on old heartbeats. In a fleet of eighty, instances learn of each other's requests every
+// two seconds. A popular adapter is loaded at two upstreams. All instances saw the first one idle at their last
+// heartbeat and send there, and callers wait while the second is idle. The holder's newer report takes precedence
+// over older heartbeats.
+func TestHolderReportOverridesOldHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1", "e2")
@@ -338,10 +342,10 @@
 	})
 }
 
-// Requests come in quick succession. If each of them asked the holder of the same upstream anew, the questions would
-// be most of what goes between instances; if none did, all would be sent to an upstream that was idle a quarter of a
-// second ago.
-func TestFreshWordIsNotAskedForAgain(t *testing.T) {
+// Guards against asking the holder too often or too rarely when requests arrive in quick succession. If each
+// request asked the holder of the same upstream again, the queries would be most of the traffic between instances.
+// If none did, all would be sent to an upstream that was idle a quarter of a second ago.
+func TestFreshReportIsNotRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1")
@@ -363,8 +367,8 @@
 	})
 }
 
-// Guards against news of an upstream that comes through relays after the holder's own answer, and is older: an adapter
-// that has just been loaded would look missing, and be fetched for another upstream.
+// Guards against an older report that arrives through relays after the holder's own answer: an adapter that has
+// just been loaded would look missing, and be fetched for another upstream.
 func TestOlderResidencyIsDropped(t *testing.T) {
 	is := is.New(t)
 	p := newPool("e1")
@@ -386,12 +390,13 @@
 	is.True(loaded())
 	learn(5, 300)
 	is.True(!loaded())
-	learn(6, 1, "a") // another holder counts anew
+	learn(6, 1, "a") // versions start again with another holder
 	is.True(loaded())
 }
 
-// The holder tells an asker what the others have under way; the asker counts its own requests itself.
-func TestBesideLeavesTheAskerOut(t *testing.T) {
+// The holder returns the load of the other instances to the instance that asks, which counts its own requests
+// itself.
+func TestBesideExcludesTheAsker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1")
@@ -402,8 +407,8 @@
 	})
 }
 
-// Long and short prompts come together at full load. Counting requests instead of tokens would put the
-// short ones behind the long.
+// Guards against counting requests instead of tokens: long and short prompts arrive together at full load, and the
+// short ones would queue behind the long ones.
 func TestShortPromptsAvoidLongOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -418,13 +423,13 @@
 		for i := range 5 {
 			choice, _ := place(is, p, short)
 			if choice.Upstream.ID == first.Upstream.ID {
-				t.Fatalf("short request %d went behind the long one", i)
+				t.Fatalf("short request %d was sent to the upstream with the long one", i)
 			}
 		}
 	})
 }
 
-// A request was in flight at two crashes. Beside others it would take them down with it at the third.
+// Guards against a request that was in flight at two crashes: other requests beside it would be lost at the third.
 func TestSuspectRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -444,9 +449,10 @@
 	})
 }
 
-// A rack of upstreams falls silent, with the adapters that are asked for. Their entries stay for some seconds. Each
-// instance would send requests there one after the other, and each of these waits until it is late; the holder, which
-// cannot reach them either, has said so.
+// Guards against requests to upstreams that the holder cannot reach. A rack of upstreams fails, with the adapters
+// that are requested. Their entries remain for some seconds. Each instance would send requests there one after the
+// other, and each of these would wait until it is late. The holder, which cannot reach them either, has reported
+// it.
 func TestAwayUpstreamsGetNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -459,22 +465,22 @@
 		is.Equal(choice.Upstream.ID, "e2")
 		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e2", Fence: 1, Away: true})
 		_, err = p.Choose(time.Now(), generation("a"))
-		is.Equal(err, pool.ErrNone) // refused at once: nobody could serve it
+		is.Equal(err, pool.ErrNone) // refused at once: no upstream could serve it
 		resident(p, "e1", "a")
 		choice, err = p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
-		is.Equal(choice.Upstream.ID, "e1") // back as soon as the holder says so
+		is.Equal(choice.Upstream.ID, "e1") // available again as soon as the holder reports it
 		time.Sleep(time.Second)
 		query := generation("a")
 		query.Exclude = []string{"e1"}
 		choice, err = p.Choose(time.Now(), query)
 		is.NoErr(err)
-		is.Equal(choice.Upstream.ID, "e2") // nobody has said so for long; the holder may be gone
+		is.Equal(choice.Upstream.ID, "e2") // the last report has expired; the holder may be gone
 	})
 }
 
-// Only the way from the holder to an upstream is lost. The other instances reach it and are answered there; if they
-// took the holder's word, a service that is served would look as if it were not.
+// Guards against excluding an upstream that only its holder cannot reach. The other instances reach it and get
+// answers; if the holder's report overrode these, a working service would look unavailable.
 func TestOwnAnswersGoBeforeTheHoldersWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -488,8 +494,8 @@
 	})
 }
 
-// Guards against a popular adapter whose requests all wait at the one engine that has it, until they are late, while the
-// next engine is idle: a fetch costs others something, but not as much.
+// Guards against a popular adapter whose requests all wait at the one engine that has it until they are late, while
+// the next engine is idle: a fetch has a cost to others, but a smaller one.
 func TestPopularAdapterGetsACopyBeforeItsCallersAreLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -510,8 +516,9 @@
 	})
 }
 
-// Guards against a popular adapter that is loaded at one engine while all that want it wait there, and are sent to it in
-// the same moment: each of them, and the other instances, took the engine for idle.
+// Guards against an engine that looks idle while many requests wait for their adapter there. A popular adapter is
+// loaded at one engine; all requests for it wait there, and are sent to it at the same moment, because each of
+// them, and the other instances, saw the engine as idle.
 func TestPromptsThatAwaitTheirAdapterAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -542,9 +549,10 @@
 	})
 }
 
-// Guards against two harms of one price for all fetches: with places to spare, requests queue for a popular adapter that
-// could be had next door; with none, copies of it push out adapters that are wanted the next moment.
-func TestFetchIsDearWherePlacesAreScarce(t *testing.T) {
+// Guards against two faults of one cost for all fetches. With free slots, requests would queue for a popular
+// adapter that another upstream could load. Without any, copies of it would evict adapters that are requested the
+// next moment.
+func TestFetchCostsMoreWhereSlotsAreScarce(t *testing.T) {
 	queued := func(is *is.I, idle int) (count int) {
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
--- a/internal/placement/pool/recent_adapters.go
+++ b/internal/placement/pool/recent_adapters.go
@@ -2,47 +2,48 @@
 
 import "lacewingrock.example/lacewingrock/internal/gateway/traffic"
 
-// recent_adapters.go keeps which adapters an upstream had lately. It loads these many times quicker than others,
-// so a choice asks it for each upstream that lacks the adapter.
+// recent_adapters.go tracks which adapters an upstream had recently. It loads these many times faster than others,
+// so a choice checks this for each upstream without the adapter.
 
-// mostRecent is how many adapters an upstream is taken to reload quickly. Engines keep some dozens in host memory.
-const mostRecent = 30
+// maxRecent is the number of adapters that an upstream is assumed to reload quickly. Engines keep some dozens in
+// host memory.
+const maxRecent = 30
 
-// recentAdapters are the last adapters that were resident. The zero value is empty.
+// recentAdapters are the adapters that were last resident. The zero value is empty.
 type recentAdapters struct {
-	seen map[traffic.Adapter]sighting
-	// turns counts the sightings.
-	turns int
+	seen map[traffic.Adapter]residence
+	// sequence counts the calls of add.
+	sequence int
 }
 
-// sighting is when an adapter was last resident, in turns, and in which version.
-type sighting struct {
-	turn    int
-	version int64
+// residence is when an adapter was last resident, as a sequence number, and in which version.
+type residence struct {
+	sequence int
+	version  int64
 }
 
-// add takes note of a resident adapter, in place of the one that was resident longest ago.
+// add records a resident adapter. It replaces the one that was resident least recently.
 func (r *recentAdapters) add(resident Resident) {
 	if r.seen == nil {
-		r.seen = make(map[traffic.Adapter]sighting)
+		r.seen = make(map[traffic.Adapter]residence)
 	}
-	r.turns++
-	r.seen[resident.Adapter] = sighting{turn: r.turns, version: resident.Version}
-	if len(r.seen) <= mostRecent {
+	r.sequence++
+	r.seen[resident.Adapter] = residence{sequence: r.sequence, version: resident.Version}
+	if len(r.seen) <= maxRecent {
 		return
 	}
 	var oldest traffic.Adapter
-	first := r.turns
+	lowest := r.sequence
 	for adapter, known := range r.seen {
-		if known.turn < first {
+		if known.sequence < lowest {
 			oldest = adapter
-			first = known.turn
+			lowest = known.sequence
 		}
 	}
 	delete(r.seen, oldest)
 }
 
-// has tells whether the upstream is taken to have a copy of an adapter, in a version that will do.
+// has reports whether the upstream is assumed to have a copy of an adapter, in a sufficient version.
 func (r *recentAdapters) has(adapter traffic.Adapter, version int64) bool {
 	known, found := r.seen[adapter]
 	return found && known.version >= version
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -7,80 +7,81 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// upstream.go is what the pool knows of one upstream, and how each send changes it.
+// upstream.go keeps the state of one upstream, and updates it with the result of each request.
 
 const (
-	// failureHalfLife is the time in which the evidence of failures counts half. Upstreams that fail for
-	// a reason of their own are back after some seconds, and are to be noticed then.
+	// failureHalfLife is the half-life of the evidence of failures. Upstreams that fail for a reason of their own
+	// recover after some seconds, and this has to be noticed then.
 	failureHalfLife = 2 * time.Second
 	// slownessHalfLife is the same for slowness.
 	slownessHalfLife = 2 * time.Second
-	// unmeasuredAfter and unmeasuredFactor make an upstream that was long not measured look quicker than
-	// the others, so that it is tried: at low load nothing else would show that it has recovered.
+	// unmeasuredAfter and unmeasuredFactor make an upstream that was not measured for long look faster than the
+	// others, so that it is tried: at low load nothing else would show that it has recovered.
 	unmeasuredAfter  = 6 * time.Second
 	unmeasuredFactor = 0.6
-	// learning is the weight of the newest of the samples that measure slowness.
-	learning = 0.25
-	// shortestBan and longestBan bound how long an upstream that cannot be reached gets nothing. The
-	// first is about a restart of its process; the last is how late its return may be noticed.
-	shortestBan = 300 * time.Millisecond
-	longestBan  = 1500 * time.Millisecond
+	// slownessSampleWeight is the weight of the newest sample of slowness.
+	slownessSampleWeight = 0.25
+	// minBackoff and maxBackoff bound the backoff of an upstream that cannot be reached. The first is about the
+	// time of a process restart; the second is how late its return may be noticed.
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 1500 * time.Millisecond
 )
 
 type upstream struct {
-	declared traffic.Upstream
-	fence    int64
-	version  int64
-	resident map[traffic.Adapter]Resident
-	recent   recentAdapters
-	idle     int
-	wait     time.Duration
-	// held is what the holder said last to be under way there beside this instance's own.
-	held   Load
-	heldAt time.Time
-	// reported is what this instance had in flight there when it last reported it to the holder.
+	declared  traffic.Upstream
+	fence     int64
+	version   int64
+	resident  map[traffic.Adapter]Resident
+	recent    recentAdapters
+	idleSlots int
+	slotWait  time.Duration
+	// holderLoad is the load that the holder last reported, without this instance's own.
+	holderLoad   Load
+	holderLoadAt time.Time
+	// reported is what this instance had in flight there when it last reported to the holder.
 	reported Load
-	// awaitingTurn is the tokens of the prompts that wait for their turn, where this instance holds the upstream.
+	// awaitingTurn is the tokens of the prompts that wait for their turn, if this instance holds the upstream.
 	awaitingTurn int
-	// loads is how long loads take there, if its holder has told.
+	// loads are the load times there, if its holder has reported them.
 	loads loadTimes
 	// preparing is how many requests of this instance wait for adapters there.
 	preparing int
 
 	sends map[*Send]bool
-	// own is what the sends add up to, beside what the other instances told; both but for the adapters in use.
-	own    Load
-	beside Load
-	// failures and successes are decaying counts of ends.
+	// own is the sum of the sends, and peerLoad that of the other instances' loads; both without the adapters in
+	// use.
+	own      Load
+	peerLoad Load
+	// failures and successes are decaying counts of request results.
 	failures  float64
 	successes float64
 	counted   time.Time
-	// slow is how many times longer than expected answers take.
+	// slow is the ratio of actual to expected answer times.
 	slow     float64
 	measured time.Time
-	// awayUntil is how long the holder's word counts that it does not reach the upstream; servedAt is when this
-	// instance last had an answer from there.
-	awayUntil time.Time
-	servedAt  time.Time
-	cold      cold
-	// bannedUntil is when an upstream that could not be reached is tried again.
-	bannedUntil time.Time
-	ban         time.Duration
+	// unreachableUntil is how long the holder's report counts that it cannot reach the upstream. servedAt is when
+	// this instance last had an answer from there.
+	unreachableUntil time.Time
+	servedAt         time.Time
+	cold             cold
+	// retryAt is when an upstream that could not be reached is tried again.
+	retryAt time.Time
+	backoff time.Duration
 }
 
-// Send is a request under way at an upstream.
+// Send is a request in flight at an upstream.
 type Send struct {
 	pool     *Pool
 	upstream *upstream
 	query    Query
 	began    time.Time
-	// found is what was under way at the upstream before, usual the time that its first event then takes at an
-	// upstream of usual speed.
-	found Load
-	usual time.Duration
-	// certain: what was found is from a fresh report of the holder.
-	certain bool
-	// stated is what was in flight there according to the upstream's answer, zero if it states nothing.
+	// found is the load of the upstream before the request, and typical the time until its first event at that load
+	// at an upstream of typical speed.
+	found   Load
+	typical time.Duration
+	// isFresh: found is from a recent report of the holder.
+	isFresh bool
+	// stated is the load that the upstream stated in its answer, zero if it stated none.
 	stated   Load
 	answered bool
 }
@@ -95,13 +96,13 @@
 	}
 }
 
-// Begin counts a request as under way.
+// Begin counts a request as in flight.
 func (p *Pool) Begin(now time.Time, choice Choice, query Query) *Send {
 	send := &Send{pool: p, query: query, began: now, upstream: p.upstreams[choice.Upstream.ID]}
 	if u := send.upstream; u != nil {
 		send.found = p.load(now, u)
-		send.certain = !p.isUncertain(now, u)
-		send.usual = p.usual(u, query, send.found)
+		send.isFresh = !p.isLoadStale(now, u)
+		send.typical = p.typicalTime(u, query, send.found)
 		u.sends[send] = true
 		u.own = u.own.plus(send.load())
 		p.activate(u)
@@ -109,7 +110,7 @@
 	return send
 }
 
-// load is what the send adds to its upstream's. Its prompt counts until the first event.
+// load is what the request adds to the load of its upstream. Its prompt counts until the first event.
 func (s *Send) load() Load {
 	load := Load{Running: 1, Memory: s.query.Tokens + s.query.Output}
 	if !s.answered {
@@ -118,7 +119,7 @@
 	return load
 }
 
-// Answered takes note of the first event, or of the whole answer, and tells whether it is the first.
+// Answered records the first event or the whole answer, and reports whether it is the first call.
 func (s *Send) Answered(now time.Time) (first bool) {
 	u := s.upstream
 	if s.answered || u == nil {
@@ -131,40 +132,40 @@
 	}
 	took := now.Sub(s.began)
 	s.pool.observe(s, took)
-	if s.usual <= 0 {
+	if s.typical <= 0 {
 		return true
 	}
-	sample := float64(took) / float64(s.usual)
+	sample := float64(took) / float64(s.typical)
 	slow := u.slowness(now)
-	u.slow = slow + learning*(min(sample, slowest)-slow)
+	u.slow = slow + slownessSampleWeight*(min(sample, maxSample)-slow)
 	u.measured = now
 	return true
 }
 
-// slowest bounds one sample, so that a single stall does not count as an upstream that is hopeless.
-const slowest = 20
+// maxSample limits one sample, so that a single stall does not make an upstream countResult as unusable.
+const maxSample = 20
 
-// Paused takes note of whether a stream that has ended paused for too long.
-func (s *Send) Paused(late bool) { s.pool.pace(s.query.Service).notePause(late) }
+// Paused records whether a stream that has ended paused for too long.
+func (s *Send) Paused(late bool) { s.pool.statsOf(s.query.Service).recordPause(late) }
 
-// End tells how a request ended.
+// End is the result of a request.
 type End string
 
-// The ends.
+// Results of a request.
 const (
 	// EndServed: a complete answer.
 	EndServed End = "served"
-	// EndFailed: an answer that is a failure of the upstream, or is broken.
+	// EndFailed: the answer is a failure of the upstream, or is incomplete.
 	EndFailed End = "failed"
 	// EndUnreachable: no connection, or it broke without an answer.
 	EndUnreachable End = "unreachable"
-	// EndRefused: the upstream did not run it, for want of room.
+	// EndRefused: the upstream did not run it, for lack of capacity.
 	EndRefused End = "refused"
-	// EndOther: says nothing about the upstream.
+	// EndOther: the result says nothing about the upstream.
 	EndOther End = "other"
 )
 
-// Finish takes note of how a request ended.
+// Finish records how a request ended.
 func (p *Pool) Finish(now time.Time, send *Send, end End) {
 	u := send.upstream
 	if u == nil {
@@ -177,30 +178,31 @@
 	switch end {
 	case EndServed:
 		u.servedAt = now
-		u.count(now, 0)
-		u.ban = 0
+		u.countResult(now, 0)
+		u.backoff = 0
 	case EndFailed:
-		u.count(now, 1)
+		u.countResult(now, 1)
 	case EndRefused:
-		u.count(now, refusalWeight)
-		p.noteRefusal(now, send)
+		u.countResult(now, refusalWeight)
+		p.recordRefusal(now, send)
 	case EndUnreachable:
-		u.count(now, 1)
-		u.ban = min(max(2*u.ban, shortestBan), longestBan)
-		u.bannedUntil = now.Add(u.ban)
+		u.countResult(now, 1)
+		u.backoff = min(max(2*u.backoff, minBackoff), maxBackoff)
+		u.retryAt = now.Add(u.backoff)
 	case EndOther:
 	}
 }
 
-// Crashed takes note that nothing listens at an upstream any more.
+// Crashed records that nothing listens at an upstream any more.
 func (p *Pool) Crashed(now time.Time, id string) {
 	if u := p.upstreams[id]; u != nil {
-		u.ban = min(max(2*u.ban, shortestBan), longestBan)
-		u.bannedUntil = now.Add(u.ban)
+		u.backoff = min(max(2*u.backoff, minBackoff), maxBackoff)
+		u.retryAt = now.Add(u.backoff)
 	}
 }
 
-// refusalWeight: a refusal for want of room tells less than a failure; the load has to be compared too.
+// refusalWeight is the weight of a refusal for lack of capacity. It says less than a failure; the load has to be
+// considered too.
 const refusalWeight = 0.5
 
 // Preparation is a request of this instance that waits for an adapter at an upstream.
@@ -209,11 +211,11 @@
 	tokens   int
 }
 
-// Prepare counts a request as waiting for an adapter at an upstream, and its prompt as one that is sent there as soon as
-// the adapter is loaded, until Done.
+// Prepare counts a request as waiting for an adapter at an upstream, and its prompt as one that is sent there as
+// soon as the adapter is loaded, until Done.
 //
-// Made for popular adapters. All that wait for one are sent in the moment in which it is loaded, to an engine that looked
-// idle to each of them, and to those that chose it meanwhile.
+// It is needed for popular adapters. All requests that wait for one are sent at the moment when it is loaded.
+// Without the countResult the engine looks idle to each of them, and to those that choose it meanwhile.
 func (p *Pool) Prepare(id string, tokens int) Preparation {
 	u := p.upstreams[id]
 	if u != nil {
@@ -224,7 +226,7 @@
 	return Preparation{upstream: u, tokens: tokens}
 }
 
-// Done takes it that the request does not wait any more.
+// Done ends the wait of the request.
 func (w Preparation) Done() {
 	if w.upstream != nil {
 		w.upstream.preparing--
@@ -232,14 +234,14 @@
 	}
 }
 
-// Missing takes note that an upstream lacks an adapter that was believed to be there.
+// Missing records that an upstream lacks an adapter that was assumed to be loaded.
 func (p *Pool) Missing(id string, adapter traffic.Adapter) {
 	if u := p.upstreams[id]; u != nil {
 		delete(u.resident, adapter)
 	}
 }
 
-// Prepared takes note that the holder has just seen an adapter to be there.
+// Prepared records that the holder has just seen an adapter loaded.
 func (p *Pool) Prepared(id string, adapter traffic.Adapter, version int64) {
 	if u := p.upstreams[id]; u != nil {
 		u.resident[adapter] = Resident{Adapter: adapter, Version: version}
@@ -251,7 +253,7 @@
 
 func (u *upstream) setResident(list []Resident) {
 	if u.hasExactly(list) {
-		return // the usual case: holders repeat the whole list
+		return // the common case: holders repeat the whole list
 	}
 	u.resident = make(map[traffic.Adapter]Resident, len(list))
 	for _, resident := range list {
@@ -283,7 +285,7 @@
 	return adapters
 }
 
-func (u *upstream) count(now time.Time, failure float64) {
+func (u *upstream) countResult(now time.Time, failure float64) {
 	u.decay(now)
 	u.failures += failure
 	u.successes += 1 - failure
@@ -296,23 +298,23 @@
 	u.counted = now
 }
 
-// failing is the share of sends that fail, from 0 to 1. The prior of priorSuccesses keeps one failure
-// from counting as an upstream that always fails.
-func (u *upstream) failing(now time.Time) float64 {
+// failureRate is the fraction of requests that fail, from 0 to 1. priorSuccesses keeps one failure from making an
+// upstream countResult as always failureRate.
+func (u *upstream) failureRate(now time.Time) float64 {
 	u.decay(now)
 	return u.failures / (u.failures + u.successes + priorSuccesses)
 }
 
 const priorSuccesses = 2
 
-// slowness is how many times longer than usual answers take, as far as that was seen lately.
+// slowness is the ratio of actual to typical answer times. It decays to 1 without recent samples.
 func (u *upstream) slowness(now time.Time) float64 {
 	return 1 + (u.slow-1)*math.Exp2(-now.Sub(u.measured).Seconds()/slownessHalfLife.Seconds())
 }
 
-// exploration is by how much an upstream is to be preferred for not having been measured lately, so that a recovery
-// is tried.
-func (u *upstream) exploration(now time.Time) float64 {
+// explorationFactor is the factor by which an upstream without recent measurements is preferred, so that a recovery is
+// noticed.
+func (u *upstream) explorationFactor(now time.Time) float64 {
 	part := min(1, now.Sub(u.measured).Seconds()/unmeasuredAfter.Seconds())
 	return 1 - (1-unmeasuredFactor)*part
 }
