--- a/internal/placement/pool/full.go
+++ b/internal/placement/pool/capacity.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// full.go estimates the capacity of a service's upstreams from the requests that they refuse.
+// capacity.go estimates the capacity of a service's upstreams from the requests that they refuse.
 
 // capacityTTL is how long a capacity estimate counts after the refusal that gave it.
 const capacityTTL = time.Minute
--- a/internal/placement/pool/pace.go
+++ b/internal/placement/pool/service_stats.go
@@ -6,7 +6,7 @@
 	"lacewingrock.example/lacewingrock/internal/placement/forecast"
 )
 
-// pace.go keeps what was measured of the upstreams of each service, such as response times.
+// service_stats.go keeps what was measured of the upstreams of each service, such as response times.
 
 // defaultModelLoadTime is the load time of a base model where the configuration does not state it.
 const defaultModelLoadTime = time.Second
