--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -124,7 +124,7 @@
 		Advice: &pipeline.Advice{
 			Router:   &route.Router{Settings: policy.Route},
 			Suspects: &suspect.Register{Settings: policy.Suspect},
-			Retries:  retry.New(policy.RetryRatio, policy.RetryMost),
+			Retries:  retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 			Shares:   &share.Tracker{},
 		},
 		Patience: d.Settings.Limits.Patience,
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -142,7 +142,7 @@
 	h.notifyWaiters()
 	h.mutex.Unlock()
 	if outcome == residence.OtherUpstream {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.Crashed(time.Now(), h.upstream.ID) })
+		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
 	}
 	h.updateOwnPool()
 }
@@ -152,7 +152,7 @@
 	now := time.Now()
 	residency, known := h.residency(now)
 	if known {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.LearnResidency(now, residency) })
+		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordResidency(now, residency) })
 	}
 }
 
@@ -326,10 +326,10 @@
 		return residency, false
 	}
 	residency = pool.Residency{
-		Upstream: h.upstream.ID, Fence: h.fence, Version: now.Sub(h.node.startedAt).Microseconds(), Away: h.unreachable,
+		Upstream: h.upstream.ID, Fence: h.fence, Version: now.Sub(h.node.startedAt).Microseconds(), Unreachable: h.unreachable,
 	}
-	residency.Loaded, residency.Idle = h.planner.Residents(now)
-	residency.Wait = h.planner.Wait(now, traffic.Adapter{})
+	residency.Loaded, residency.FreeSlots = h.planner.Residents(now)
+	residency.SlotWait = h.planner.Wait(now, traffic.Adapter{})
 	if load, reload, seen := h.planner.LoadTimes(); seen {
 		residency.LoadTime = load
 		residency.ReloadTime = reload
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -166,7 +166,7 @@
 
 // isOpen reports whether an upstream takes new requests.
 func (n *Node) isOpen(upstream traffic.Upstream) (open bool) {
-	n.advice.With(func(a *serve.Advice) { open = a.Pool.IsOpen(upstream) })
+	n.advice.With(func(a *serve.Advice) { open = a.Pool.AcceptsRequests(upstream) })
 	return open
 }
 
--- a/internal/entry/node/prefill_queue.go
+++ b/internal/entry/node/prefill_queue.go
@@ -67,7 +67,7 @@
 	h.node.advice.With(func(a *serve.Advice) { load = a.Pool.Sent(now, h.upstream.ID) })
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if load.Prompt == 0 {
+	if load.PromptTokens == 0 {
 		h.prefillQueue.Idle(now)
 	}
 	nextTry, taken = h.prefillQueue.Take(now, prompt, load.Running > 0)
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -115,10 +115,10 @@
 	now := time.Now()
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range held.Residencies {
-			a.Pool.LearnResidency(now, residency)
+			a.Pool.RecordResidency(now, residency)
 		}
 		for id, load := range held.Held {
-			a.Pool.LearnHeld(now, id, load)
+			a.Pool.RecordHolderLoad(now, id, load)
 		}
 	})
 }
@@ -129,9 +129,9 @@
 	n.overlay.recordContact(report.Instance, now)
 	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Held: make(map[string]pool.Load)}
 	n.advice.With(func(a *serve.Advice) {
-		a.Pool.LearnReport(now, report.Instance, report.Loads)
+		a.Pool.RecordPeerReport(now, report.Instance, report.Loads)
 		for _, residency := range held.Residencies {
-			held.Held[residency.Upstream] = a.Pool.Beside(now, residency.Upstream, report.Instance)
+			held.Held[residency.Upstream] = a.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
 		}
 	})
 	n.heldUpstreams.wakeWaiting()
@@ -150,7 +150,7 @@
 	holders := n.view.liveHolders()
 	var loads map[string]pool.Load
 	n.advice.With(func(a *serve.Advice) {
-		loads = a.Pool.Own(func(upstream string) bool { return holders[upstream] != "" })
+		loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] != "" })
 	})
 	for upstream := range loads {
 		if holder := holders[upstream]; holder != n.self.Name {
@@ -169,7 +169,7 @@
 		return
 	}
 	inFlight := false
-	n.advice.With(func(a *serve.Advice) { inFlight = a.Pool.HasOwn(upstream) })
+	n.advice.With(func(a *serve.Advice) { inFlight = a.Pool.HasOwnLoad(upstream) })
 	if inFlight {
 		n.scheduleReport(holder.Instance)
 	}
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -24,8 +24,8 @@
 	n.advice.With(func(a *serve.Advice) {
 		a.Retries.Bound(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
-		a.Pool.Settings.HeardEvery = interval
-		a.Pool.Settings.HeldFor = loadsFor
-		a.Pool.Settings.PeerLoadFor = max(loadsFor, pool.DefaultSettings().PeerLoadFor)
+		a.Pool.Settings.HeartbeatInterval = interval
+		a.Pool.Settings.HolderLoadTTL = loadsFor
+		a.Pool.Settings.PeerLoadTTL = max(loadsFor, pool.DefaultSettings().PeerLoadTTL)
 	})
 }
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -117,7 +117,7 @@
 		state.Spent = a.Ledger.Own()
 		state.Suspects = a.Suspects.Own(now)
 		state.Evidence = a.Pool.Evidence()
-		state.Loads = a.Pool.Own(func(upstream string) bool { return holders[upstream] == "" })
+		state.Loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
 	})
 	return state
 }
@@ -136,7 +136,7 @@
 // fingerprint changes with the models loaded at upstreams, regardless of the order in which they are listed.
 func fingerprint(residencies []pool.Residency) (sum uint64) {
 	for _, residency := range residencies {
-		sum += xxhash.Sum64String(fmt.Sprint(residency.Upstream, residency.Fence, residency.Away))
+		sum += xxhash.Sum64String(fmt.Sprint(residency.Upstream, residency.Fence, residency.Unreachable))
 		for _, resident := range residency.Loaded {
 			sum += xxhash.Sum64String(fmt.Sprint(residency.Upstream, resident))
 		}
@@ -175,8 +175,8 @@
 			a.Ledger.Hear(now, record.Instance, state.Incarnation, state.Spent)
 		}
 		a.Suspects.Merge(now, record.Instance, state.Suspects)
-		a.Pool.LearnLoads(now, record.Instance, state.Loads)
-		a.Pool.LearnEvidence(now, record.Instance, state.Evidence)
+		a.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
+		a.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
 	})
 	if len(state.Loads) > 0 {
 		n.heldUpstreams.wakeWaiting()
@@ -206,10 +206,10 @@
 	}
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range held.Residencies {
-			a.Pool.LearnResidency(now, residency)
+			a.Pool.RecordResidency(now, residency)
 		}
 		for id, load := range held.Held {
-			a.Pool.LearnTotal(at, id, load)
+			a.Pool.RecordHolderTotal(at, id, load)
 		}
 	})
 	return nil
--- a/internal/entry/node/upstream_entries.go
+++ b/internal/entry/node/upstream_entries.go
@@ -66,7 +66,7 @@
 }
 
 func (n *Node) removeUpstream(id, why string, revision int64) {
-	n.advice.With(func(a *serve.Advice) { a.Pool.Forget(id) })
+	n.advice.With(func(a *serve.Advice) { a.Pool.Remove(id) })
 	n.Log.Info().Str("Upstream", id).Str("Why", why).Int64("Revision", revision).Msg("UpstreamGone")
 }
 
--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -229,9 +229,9 @@
 	wire := &meshpb.Load{
 		Upstream:       upstream,
 		Running:        int32(load.Running),
-		PromptTokens:   int64(load.Prompt),
-		MemoryTokens:   int64(load.Memory),
-		AwaitingTokens: int64(load.Awaiting),
+		PromptTokens:   int64(load.PromptTokens),
+		MemoryTokens:   int64(load.MemoryTokens),
+		AwaitingTokens: int64(load.AwaitingTokens),
 	}
 	for _, adapter := range load.InUse {
 		wire.InUse = append(wire.InUse, adapterToWire(adapter))
@@ -241,10 +241,10 @@
 
 func loadFromWire(wire *meshpb.Load) pool.Load {
 	load := pool.Load{
-		Running:  int(wire.GetRunning()),
-		Prompt:   int(wire.GetPromptTokens()),
-		Memory:   int(wire.GetMemoryTokens()),
-		Awaiting: int(wire.GetAwaitingTokens()),
+		Running:        int(wire.GetRunning()),
+		PromptTokens:   int(wire.GetPromptTokens()),
+		MemoryTokens:   int(wire.GetMemoryTokens()),
+		AwaitingTokens: int(wire.GetAwaitingTokens()),
 	}
 	for _, adapter := range wire.GetInUse() {
 		load.InUse = append(load.InUse, adapterFromWire(adapter))
@@ -257,9 +257,9 @@
 		Upstream:   r.Upstream,
 		Fence:      r.Fence,
 		Version:    r.Version,
-		Idle:       int32(r.Idle),
-		WaitMillis: r.Wait.Milliseconds(),
-		Away:       r.Away,
+		Idle:       int32(r.FreeSlots),
+		WaitMillis: r.SlotWait.Milliseconds(),
+		Away:       r.Unreachable,
 		LoadMicros: r.LoadTime.Microseconds(), ReloadMicros: r.ReloadTime.Microseconds(),
 	}
 	for _, resident := range r.Loaded {
@@ -274,13 +274,13 @@
 
 func residencyFromWire(wire *meshpb.Residency) pool.Residency {
 	r := pool.Residency{
-		Upstream: wire.GetUpstream(),
-		Fence:    wire.GetFence(),
-		Version:  wire.GetVersion(),
-		Idle:     int(wire.GetIdle()),
-		Wait:     millis(wire.GetWaitMillis()),
-		Away:     wire.GetAway(),
-		LoadTime: micros(wire.GetLoadMicros()), ReloadTime: micros(wire.GetReloadMicros()),
+		Upstream:    wire.GetUpstream(),
+		Fence:       wire.GetFence(),
+		Version:     wire.GetVersion(),
+		FreeSlots:   int(wire.GetIdle()),
+		SlotWait:    millis(wire.GetWaitMillis()),
+		Unreachable: wire.GetAway(),
+		LoadTime:    micros(wire.GetLoadMicros()), ReloadTime: micros(wire.GetReloadMicros()),
 	}
 	for _, resident := range wire.GetLoaded() {
 		r.Loaded = append(r.Loaded, pool.Resident{
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -107,7 +107,7 @@
 	state := mesh.State{
 		Incarnation: "x", Address: "10.0.0.1:1", StoreUnreachable: true,
 		Spent:    quota.Spent{"w": 12.5},
-		Loads:    map[string]pool.Load{"u": {Running: 3, Prompt: 4000, Memory: 9000, InUse: []traffic.Adapter{a}}},
+		Loads:    map[string]pool.Load{"u": {Running: 3, PromptTokens: 4000, MemoryTokens: 9000, InUse: []traffic.Adapter{a}}},
 		Suspects: []suspect.Count{{Fingerprint: "f", Crashes: 2, Cleared: 1}},
 		Evidence: map[string]forecast.Evidence{"s": engine.Own()},
 	}
@@ -125,12 +125,12 @@
 	peer, peers, address := serveEcho(t)
 	a := traffic.Adapter{Model: "m", Name: "a"}
 	report := mesh.LoadReport{Instance: "i", Loads: map[string]pool.Load{
-		"u": {Running: 3, Prompt: 4000, Memory: 9000, InUse: []traffic.Adapter{a}},
+		"u": {Running: 3, PromptTokens: 4000, MemoryTokens: 9000, InUse: []traffic.Adapter{a}},
 	}}
 	peer.held = mesh.HeldReport{
-		Held: map[string]pool.Load{"u": {Running: 5, Prompt: 100, Memory: 700}},
+		Held: map[string]pool.Load{"u": {Running: 5, PromptTokens: 100, MemoryTokens: 700}},
 		Residencies: []pool.Residency{{
-			Upstream: "u", Fence: 4, Version: 17, Idle: 2, Wait: 300 * time.Millisecond, Away: true,
+			Upstream: "u", Fence: 4, Version: 17, FreeSlots: 2, SlotWait: 300 * time.Millisecond, Unreachable: true,
 			Loaded: []pool.Resident{{Adapter: a, Version: 2, InTransit: true}},
 		}},
 	}
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -74,7 +74,7 @@
 		ended, last = j.send(ctx, choice, query)
 		j.step("sent").Str("Upstream", choice.Upstream.ID).Str("Outcome", string(ended)).Err(last).
 			Int("Tokens", query.Tokens).Int("Running", choice.Running).Int("Waiting", choice.Waiting).Bool("Loaded", choice.Loaded).
-			Float64("Slow", choice.Slow).Float64("Failing", choice.Failing).
+			Float64("Slow", choice.Slowdown).Float64("Failing", choice.FailureRate).
 			Int64("ExpectedMillis", choice.Expected.Milliseconds()).Msg("Decision")
 		switch ended {
 		case resultServed:
@@ -123,7 +123,7 @@
 	j.upstream = choice.Upstream.ID
 	j.sends++
 	now := time.Now()
-	var sending *pool.Send
+	var sending *pool.Attempt
 	h.Advice.With(func(a *Advice) { sending = a.Pool.Begin(now, choice, query) })
 	h.Fleet.NotifyHolder(choice.Upstream.ID)
 	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
@@ -146,7 +146,7 @@
 
 // finish tells the deciding packages how a send ended.
 func (j *job) finish(
-	ctx context.Context, upstream traffic.Upstream, query pool.Query, sending *pool.Send, ended result, err error,
+	ctx context.Context, upstream traffic.Upstream, query pool.Query, sending *pool.Attempt, ended result, err error,
 ) {
 	end := pool.EndOther
 	switch {
@@ -169,7 +169,7 @@
 		now := time.Now()
 		a.Pool.Finish(now, sending, end)
 		if ended == resultMissing {
-			a.Pool.Missing(upstream.ID, query.Adapter)
+			a.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
 		}
 		if ended == resultServed {
 			a.Suspects.Completed(now, j.fingerprint)
@@ -179,7 +179,7 @@
 
 // exchange sends the call and relays the answer.
 func (j *job) exchange(
-	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, sending *pool.Send,
+	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, sending *pool.Attempt,
 ) (result, error) {
 	send := call.Send{
 		Upstream:  choice.Upstream.ID,
@@ -207,7 +207,7 @@
 		return resultMissing, errors.New("upstream lacks the model or version, or another has its address")
 	case answer.Reply.NotRun:
 		load := answer.Reply.Load
-		j.handler.Advice.With(func(*Advice) { sending.State(load.Running + load.Waiting) })
+		j.handler.Advice.With(func(*Advice) { sending.RecordStatedLoad(load.Running + load.Waiting) })
 		return resultNotRun, errors.Errorf("upstream refused with status %d, %d running and %d waiting of %d places",
 			answer.Status, load.Running, load.Waiting, load.Places)
 	}
--- a/internal/gateway/serve/placing.go
+++ b/internal/gateway/serve/placing.go
@@ -25,7 +25,7 @@
 	var asked []string
 	for len(asked) < mostAsked {
 		choice, query, err = j.choose(nil)
-		known := !choice.Uncertain || slices.Contains(asked, choice.Upstream.ID)
+		known := !choice.LoadStale || slices.Contains(asked, choice.Upstream.ID)
 		if err != nil || known {
 			return choice, query, err
 		}
@@ -40,13 +40,13 @@
 func (j *job) choose(among []string) (choice pool.Choice, query pool.Query, err error) {
 	newest, required := j.handler.Fleet.Newest(j.call.Work.Adapter)
 	query = pool.Query{
-		Service: j.service,
-		Adapter: j.call.Work.Adapter,
-		Tokens:  j.call.Work.PromptTokens,
-		Output:  j.call.Work.OutputTokens,
-		Exclude: j.tried,
-		Among:   among,
-		Alone:   j.alone,
+		Service:    j.service,
+		Adapter:    j.call.Work.Adapter,
+		Tokens:     j.call.Work.PromptTokens,
+		Output:     j.call.Work.OutputTokens,
+		Exclude:    j.tried,
+		Candidates: among,
+		Alone:      j.alone,
 
 		OnTime:    time.Until(j.began.Add(j.route.Objective)),
 		Objective: j.route.Objective,
@@ -60,9 +60,9 @@
 
 // refuseInOverload refuses a request that would be late on account of what waits before it.
 func (j *job) refuseInOverload(choice pool.Choice, query pool.Query) error {
-	patience := pool.Patience{
+	patience := pool.TimeBudget{
 		OnTime:    time.Until(j.began.Add(j.route.Objective)),
-		Left:      time.Until(j.deadline),
+		Remaining: time.Until(j.deadline),
 		Objective: j.route.Objective,
 	}
 	var retryAfter time.Duration
@@ -74,14 +74,14 @@
 		return nil
 	}
 	j.step("refused").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).Int("Waiting", choice.Waiting).
-		Int64("ExpectedMillis", choice.Expected.Milliseconds()).Int64("IdleMillis", choice.Idle.Milliseconds()).
-		Int64("WaitMillis", choice.Wait.Milliseconds()).Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
+		Int64("ExpectedMillis", choice.Expected.Milliseconds()).Int64("IdleMillis", choice.ExpectedIdle.Milliseconds()).
+		Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
 	return refusal.New(refusal.Busy, "the service has more to do than fits").WithRetryAfter(retryAfter)
 }
 
 // ready has the adapter loaded at the chosen upstream, and waits for the prompt's turn where prompts take turns.
 func (j *job) ready(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
-	j.handler.Advice.With(func(a *Advice) { j.inTurn = query.Adapter.Model != "" && a.Pool.InTurn(query.Service) })
+	j.handler.Advice.With(func(a *Advice) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
 	tokens := 0
 	if j.inTurn {
 		tokens = query.Tokens
@@ -105,7 +105,7 @@
 	j.endPreparing(*choice, waiting)
 	loaded, ok := prepared.(mesh.Loaded)
 	j.step("prepared").Str("Upstream", choice.Upstream.ID).Str("Adapter", query.Adapter.String()).
-		Bool("Loaded", ok).Int64("WaitMillis", choice.Wait.Milliseconds()).Int64("TookMillis", time.Since(began).Milliseconds()).Msg("Decision")
+		Bool("Loaded", ok).Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("TookMillis", time.Since(began).Milliseconds()).Msg("Decision")
 	if busy, refused := prepared.(mesh.Busy); refused {
 		j.noteBusy(*choice, busy)
 	}
@@ -116,9 +116,9 @@
 	takes := false
 	j.handler.Advice.With(func(a *Advice) {
 		if ok && query.Adapter.Model != "" {
-			a.Pool.Prepared(choice.Upstream.ID, query.Adapter, loaded.Version)
+			a.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
 		}
-		takes = a.Pool.Takes(choice.Upstream)
+		takes = a.Pool.IsChoiceValid(choice.Upstream)
 	})
 	return takes
 }
@@ -154,9 +154,9 @@
 	j.handler.Advice.With(func(a *Advice) {
 		switch {
 		case choice.Cold:
-			a.Pool.RefusedCold(time.Now(), choice.Upstream.ID, busy.RetryAfter)
+			a.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
 		case !choice.Loaded:
-			a.Pool.LearnWait(choice.Upstream.ID, busy.RetryAfter)
+			a.Pool.RecordSlotWait(choice.Upstream.ID, busy.RetryAfter)
 		}
 	})
 }
@@ -165,7 +165,7 @@
 // its own length can wait as long as others may be queued for.
 func (j *job) onTimeFor(choice pool.Choice) time.Duration {
 	elapsed := time.Since(j.began)
-	return max(j.route.Objective-choice.Idle, j.route.Objective/2) - elapsed
+	return max(j.route.Objective-choice.ExpectedIdle, j.route.Objective/2) - elapsed
 }
 
 // patienceFor is how long the holder may take to answer. It may be frozen; where the adapter is loaded, the request can
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -49,7 +49,7 @@
 			choice := pool.Choice{Upstream: upstream, Loaded: c.loaded}
 			sending := advice.Pool.Begin(time.Now(), choice, query)
 			for range 50 {
-				sending.Paused(true)
+				sending.RecordPause(true)
 			}
 			leave := func() {
 				if c.leaving {
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -33,7 +33,7 @@
 type relay struct {
 	job     *job
 	answer  *forward.Answer
-	sending *pool.Send
+	sending *pool.Attempt
 	silent  *time.Timer
 	// wroteAt is when the last events of the stream went out.
 	wroteAt time.Time
@@ -129,7 +129,7 @@
 		return
 	}
 	late := r.job.longestPause > r.job.route.LongestPause
-	r.job.handler.Advice.With(func(*Advice) { r.sending.Paused(late) })
+	r.job.handler.Advice.With(func(*Advice) { r.sending.RecordPause(late) })
 }
 
 // stream passes on events as they arrive. Only whole events go out: the rest of one that broke off comes
@@ -212,7 +212,7 @@
 		r.job.firstByte = now
 	}
 	first := false
-	r.job.handler.Advice.With(func(*Advice) { first = r.sending.Answered(now) })
+	r.job.handler.Advice.With(func(*Advice) { first = r.sending.RecordAnswer(now) })
 	if first && r.job.inTurn {
 		r.job.handler.Fleet.NotifyHolder(r.job.upstream)
 	}
--- a/internal/measure/policy/entry.go
+++ b/internal/measure/policy/entry.go
@@ -67,7 +67,7 @@
 		sim:      s,
 		name:     fmt.Sprintf("i%d", number),
 		router:   &route.Router{Settings: policy.Route},
-		budget:   retry.New(policy.RetryRatio, policy.RetryMost),
+		budget:   retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 		suspects: &suspect.Register{Settings: policy.Suspect},
 		rates:    newBuckets(s.load, 1.0/instances),
 		heard:    make([]route.Summary, len(declared)),
--- a/internal/placement/deployment/policy.go
+++ b/internal/placement/deployment/policy.go
@@ -21,20 +21,20 @@
 	Suspect suspect.Settings
 	// RetryRatio is the ratio of retries to first attempts that an instance may make.
 	RetryRatio float64
-	// RetryMost is the maximum number of unused retries that are saved up.
-	RetryMost float64
+	// MaxSavedRetries is the maximum number of unused retries that are saved up.
+	MaxSavedRetries float64
 }
 
 // Default is the policy of a deployment that configures none.
 func Default() Policy {
 	return Policy{
-		Name:       "default",
-		Holder:     holder.DefaultSettings(),
-		Route:      route.DefaultSettings(),
-		Broker:     broker.DefaultSettings(),
-		Suspect:    suspect.DefaultSettings(),
-		RetryRatio: retry.DefaultRatio,
-		RetryMost:  retry.DefaultMost,
+		Name:            "default",
+		Holder:          holder.DefaultSettings(),
+		Route:           route.DefaultSettings(),
+		Broker:          broker.DefaultSettings(),
+		Suspect:         suspect.DefaultSettings(),
+		RetryRatio:      retry.DefaultRatio,
+		MaxSavedRetries: retry.DefaultMost,
 	}
 }
 
--- a/internal/placement/holder/dispatch.go
+++ b/internal/placement/holder/dispatch.go
@@ -88,9 +88,9 @@
 		return queue.Occupancy{Free: true}
 	}
 	if free {
-		return queue.Occupancy{NextPlace: untilMayAct}
+		return queue.Occupancy{NextSlot: untilMayAct}
 	}
-	return queue.Occupancy{NextPlace: untilMayAct + h.untilSlotFree(now)}
+	return queue.Occupancy{NextSlot: untilMayAct + h.untilSlotFree(now)}
 }
 
 // maxUntilSlotFree caps the estimated time until a batch slot is free. It is the estimate when an earlier holder
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -106,7 +106,7 @@
 		Upstream:   h.Upstream.Meta.Name,
 		Epoch:      h.tenure.epoch,
 		FreePlaces: max(0, h.Upstream.Batch-h.pins.len()-h.queue.Len()),
-		Backlog:    h.occupancy(now).NextPlace + h.queue.Backlog(),
+		Backlog:    h.occupancy(now).NextSlot + h.queue.Backlog(),
 		Resident:   h.residency.list(),
 		Healthy:    h.acceptsWork(),
 		Coldest:    h.coldest(now),
@@ -124,10 +124,10 @@
 		return
 	}
 	h.queue = &queue.Queue{
-		Places:          h.Upstream.Batch,
-		LongestBacklog:  h.Settings.LongestBacklog,
-		Longest:         h.Settings.LongestQueue,
-		FirstInFirstOut: h.Settings.FirstInFirstOut,
+		Slots:      h.Upstream.Batch,
+		MaxBacklog: h.Settings.LongestBacklog,
+		MaxLength:  h.Settings.LongestQueue,
+		FIFO:       h.Settings.FirstInFirstOut,
 	}
 	h.waiting = newWaiting()
 	h.loads = make(map[model.Reference]*load)
@@ -147,7 +147,7 @@
 	}
 	occupancy := h.occupancy(now)
 	for _, entry := range h.queue.Expire(now, occupancy) {
-		h.refuse(entry.ID, ReasonBusy, occupancy.NextPlace+h.queue.Backlog())
+		h.refuse(entry.ID, ReasonBusy, occupancy.NextSlot+h.queue.Backlog())
 	}
 	h.dispatch(now)
 	h.advanceLoads(now)
--- a/internal/placement/pool/capacity.go
+++ b/internal/placement/pool/capacity.go
@@ -26,7 +26,7 @@
 // The known load may be some milliseconds old. While several times the capacity arrives at many instances, a good
 // part of a queue arrives in that time. An estimate from the load before that would make the upstream count as full
 // for seconds.
-func (p *Pool) recordRefusal(now time.Time, send *Send) {
+func (p *Pool) recordRefusal(now time.Time, send *Attempt) {
 	u := send.upstream
 	stats := p.statsOf(u.declared.Service)
 	immediate := now.Sub(send.began) < stats.service.Answer(0)
@@ -51,8 +51,8 @@
 	return s.capacity > 0 && now.Sub(s.capacityAt) < capacityTTL
 }
 
-// State records how many requests, running or waiting, the upstream states in its answer.
-func (s *Send) State(requests int) { s.stated = Load{Running: requests} }
+// RecordStatedLoad records how many requests, running or waiting, the upstream states in its answer.
+func (s *Attempt) RecordStatedLoad(requests int) { s.stated = Load{Running: requests} }
 
 // perSlot is the number of requests in flight per slot of an upstream.
 func (l Load) perSlot(u *upstream) float64 { return float64(l.Running) / float64(u.slots()) }
--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -51,7 +51,7 @@
 	case full != nil:
 		return *full, ErrFull
 	}
-	return Choice{}, ErrNone
+	return Choice{}, ErrNoUpstream
 }
 
 // isBetter reports whether a choice is better than another. A cold upstream is always the worse choice, however
@@ -65,13 +65,13 @@
 
 // isCandidate reports whether an upstream of the service can take the request.
 func (p *Pool) isCandidate(now time.Time, u *upstream, query Query) bool {
-	if !p.IsOpen(u.declared) || now.Before(u.retryAt) || u.isUnreachable(now) {
+	if !p.AcceptsRequests(u.declared) || now.Before(u.retryAt) || u.isUnreachable(now) {
 		return false
 	}
 	if p.isCold(now, u) && now.Before(u.cold.fullUntil) {
 		return false
 	}
-	if len(query.Among) > 0 && !slices.Contains(query.Among, u.declared.ID) {
+	if len(query.Candidates) > 0 && !slices.Contains(query.Candidates, u.declared.ID) {
 		return false
 	}
 	return !slices.Contains(query.Exclude, u.declared.ID)
@@ -117,19 +117,19 @@
 	load := p.load(now, u)
 	failureRate := u.failureRate(now)
 	slowdown := u.slowness(now)
-	choice = Choice{Upstream: u.declared, Loaded: true, Running: load.Running, Waiting: load.Prompt, Failing: failureRate, Slow: slowdown}
+	choice = Choice{Upstream: u.declared, Loaded: true, Running: load.Running, Waiting: load.PromptTokens, FailureRate: failureRate, Slowdown: slowdown}
 	choice.Cold = p.isCold(now, u)
 	engine, isEngine := p.engines[u.declared.Service]
-	choice.Uncertain = p.isLoadStale(now, u)
+	choice.LoadStale = p.isLoadStale(now, u)
 	choice.Expected = scale(slowdown, p.typicalTime(u, query, load))
-	choice.Idle = scale(slowdown, p.typicalTime(u, query, Load{}))
+	choice.ExpectedIdle = scale(slowdown, p.typicalTime(u, query, Load{}))
 	stats := p.statsOf(query.Service)
 	if isEngine && query.Adapter.Model != "" {
 		cost := p.loadCost(u, query, homes, &choice)
 		total = scale(u.explorationFactor(now), choice.Expected) + cost.wait + cost.charge
 		total += query.lateness(choice.Expected + cost.wait)
-		if engine.MemoryTokens > 0 && load.Memory+query.Tokens+query.Output > engine.MemoryTokens {
-			total += scale(slowdown, stats.engine.Prefill(load.Memory))
+		if engine.MemoryTokens > 0 && load.MemoryTokens+query.Tokens+query.Output > engine.MemoryTokens {
+			total += scale(slowdown, stats.engine.Prefill(load.MemoryTokens))
 		}
 	} else {
 		total = scale(u.explorationFactor(now), choice.Expected) + scale(float64(load.Running)/float64(u.slots()), stats.service.Answer(0))
--- a/internal/placement/pool/choose_benchmark_test.go
+++ b/internal/placement/pool/choose_benchmark_test.go
@@ -23,9 +23,9 @@
 	for i := range instances {
 		loads := make(map[string]pool.Load)
 		for j := i % 3; j < upstreams; j += 3 {
-			loads[names[j]] = pool.Load{Running: 1, Prompt: 400, Memory: 2400, InUse: []traffic.Adapter{adapter(fmt.Sprint("a", 5*j))}}
+			loads[names[j]] = pool.Load{Running: 1, PromptTokens: 400, MemoryTokens: 2400, InUse: []traffic.Adapter{adapter(fmt.Sprint("a", 5*j))}}
 		}
-		p.LearnLoads(time.Now(), fmt.Sprint("instance-", i), loads)
+		p.RecordPeerLoads(time.Now(), fmt.Sprint("instance-", i), loads)
 	}
 	return p
 }
--- a/internal/placement/pool/cold.go
+++ b/internal/placement/pool/cold.go
@@ -83,8 +83,8 @@
 	return 0, true
 }
 
-// RefusedCold records that the holder of a cold upstream admits no request until retryAfter has passed.
-func (p *Pool) RefusedCold(now time.Time, id string, retryAfter time.Duration) {
+// RecordColdRefusal records that the holder of a cold upstream admits no request until retryAfter has passed.
+func (p *Pool) RecordColdRefusal(now time.Time, id string, retryAfter time.Duration) {
 	if u := p.upstreams[id]; u != nil {
 		u.cold.fullUntil = now.Add(retryAfter)
 	}
--- a/internal/placement/pool/cold_test.go
+++ b/internal/placement/pool/cold_test.go
@@ -80,9 +80,9 @@
 		choice, err := p.Choose(time.Now(), query)
 		is.NoErr(err)
 		is.True(choice.Cold)
-		p.RefusedCold(time.Now(), "s1", 100*time.Millisecond)
+		p.RecordColdRefusal(time.Now(), "s1", 100*time.Millisecond)
 		_, err = p.Choose(time.Now(), query)
-		is.Equal(err, pool.ErrNone)
+		is.Equal(err, pool.ErrNoUpstream)
 		time.Sleep(100 * time.Millisecond)
 		_, err = p.Choose(time.Now(), query)
 		is.NoErr(err)
@@ -121,9 +121,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newColdPool()
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "s1", Fence: 1, Version: 1, Away: true})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "s1", Fence: 1, Version: 1, Unreachable: true})
 		time.Sleep(100 * time.Millisecond)
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "s1", Fence: 1, Version: 2})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "s1", Fence: 1, Version: 2})
 		query := plain()
 		query.Exclude = []string{"s2"}
 		choice, err := p.Choose(time.Now(), query)
--- a/internal/placement/pool/evacuation.go
+++ b/internal/placement/pool/evacuation.go
@@ -22,15 +22,15 @@
 	delete(p.evacuated, dataCentre)
 }
 
-// IsOpen reports whether an upstream takes new requests: it is not draining, and its data centre is not evacuated.
-func (p *Pool) IsOpen(upstream traffic.Upstream) bool {
+// AcceptsRequests reports whether an upstream takes new requests: it is not draining, and its data centre is not evacuated.
+func (p *Pool) AcceptsRequests(upstream traffic.Upstream) bool {
 	return !upstream.Draining && !p.evacuated[upstream.DataCentre]
 }
 
 // countAccepting counts the upstreams of a service that take new requests.
 func (p *Pool) countAccepting(service string) (count int) {
 	for _, u := range p.upstreamsOf(service) {
-		if p.IsOpen(u.declared) {
+		if p.AcceptsRequests(u.declared) {
 			count++
 		}
 	}
--- a/internal/placement/pool/evacuation_test.go
+++ b/internal/placement/pool/evacuation_test.go
@@ -23,10 +23,10 @@
 		choice, err := p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
 		p.SetEvacuated(time.Now(), "there", true)
-		is.True(!p.Takes(choice.Upstream)) // chosen before, sent after its adapter was loaded
+		is.True(!p.IsChoiceValid(choice.Upstream)) // chosen before, sent after its adapter was loaded
 		declare(p, "e2", there)
 		_, err = p.Choose(time.Now(), generation("a"))
-		is.Equal(err, pool.ErrNone)
+		is.Equal(err, pool.ErrNoUpstream)
 		declare(p, "e3", func(*traffic.Upstream) {})
 		choice, err = p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
@@ -46,7 +46,7 @@
 	declare(p, "e2", func(u *traffic.Upstream) { u.DataCentre = "there" })
 	accepts := func(id string) bool {
 		upstream, _ := p.Upstream(id)
-		return p.IsOpen(upstream)
+		return p.AcceptsRequests(upstream)
 	}
 	p.SetEvacuated(time.Now(), "nowhere", true)
 	p.SetEvacuated(time.Now(), "there", true)
--- a/internal/placement/pool/evidence.go
+++ b/internal/placement/pool/evidence.go
@@ -28,8 +28,8 @@
 	return seen
 }
 
-// LearnEvidence records the evidence of another instance.
-func (p *Pool) LearnEvidence(now time.Time, instance string, seen map[string]forecast.Evidence) {
+// RecordPeerEvidence records the evidence of another instance.
+func (p *Pool) RecordPeerEvidence(now time.Time, instance string, seen map[string]forecast.Evidence) {
 	p.prepare()
 	for service, evidence := range seen {
 		stats := p.statsOf(service)
--- a/internal/placement/pool/idle_upstreams_test.go
+++ b/internal/placement/pool/idle_upstreams_test.go
@@ -32,12 +32,12 @@
 		return true
 	}
 	is.Equal(len(p.Report(all)), 1)
-	is.True(p.HasOwn("u7"))
-	is.True(!p.HasOwn("u8"))
+	is.True(p.HasOwnLoad("u7"))
+	is.True(!p.HasOwnLoad("u8"))
 	is.Equal(visited, 2) // once to record what is reported, once to report it
 	p.Finish(now, send, pool.EndServed)
 	is.Equal(len(p.Report(all)), 0)
-	is.True(!p.HasOwn("u7"))
+	is.True(!p.HasOwnLoad("u7"))
 	visited = 0
 	is.Equal(len(p.Report(all)), 0)
 	is.Equal(visited, 0)
@@ -54,7 +54,7 @@
 	declareMany(p, now, 3) // no change
 	names, changes = p.NamesSince(changes)
 	is.Equal(len(names), 0)
-	p.Forget("u1")
+	p.Remove("u1")
 	names, _ = p.NamesSince(changes)
 	is.Equal(names, map[string]bool{"u0": true, "u2": true})
 }
--- a/internal/placement/pool/in_flight.go
+++ b/internal/placement/pool/in_flight.go
@@ -12,11 +12,11 @@
 // Load is what one instance has in flight at an upstream.
 type Load struct {
 	Running int
-	// Prompt is the tokens of prompts without a first event yet, Memory the tokens of all running requests.
-	Prompt int
-	Memory int
-	// Awaiting is the tokens of the prompts that will be sent there as soon as their adapter is loaded.
-	Awaiting int
+	// PromptTokens is the tokens of prompts without a first event yet, Memory the tokens of all running requests.
+	PromptTokens int
+	MemoryTokens int
+	// AwaitingTokens is the tokens of the prompts that will be sent there as soon as their adapter is loaded.
+	AwaitingTokens int
 	// InUse are the adapters of the running requests.
 	InUse []traffic.Adapter
 }
@@ -24,27 +24,27 @@
 // plus adds another load, except for the adapters in use.
 func (l Load) plus(other Load) Load {
 	l.Running += other.Running
-	l.Prompt += other.Prompt
-	l.Memory += other.Memory
-	l.Awaiting += other.Awaiting
+	l.PromptTokens += other.PromptTokens
+	l.MemoryTokens += other.MemoryTokens
+	l.AwaitingTokens += other.AwaitingTokens
 	return l
 }
 
 // minus subtracts another load, except for the adapters in use.
 func (l Load) minus(other Load) Load {
 	l.Running -= other.Running
-	l.Prompt -= other.Prompt
-	l.Memory -= other.Memory
-	l.Awaiting -= other.Awaiting
+	l.PromptTokens -= other.PromptTokens
+	l.MemoryTokens -= other.MemoryTokens
+	l.AwaitingTokens -= other.AwaitingTokens
 	return l
 }
 
 // isInFlight reports whether any request runs or waits for its adapter.
-func (l Load) isInFlight() bool { return l.Running > 0 || l.Awaiting > 0 }
+func (l Load) isInFlight() bool { return l.Running > 0 || l.AwaitingTokens > 0 }
 
 // isZero reports whether the load is zero, except for the adapters in use.
 func (l Load) isZero() bool {
-	return l.Running == 0 && l.Prompt == 0 && l.Memory == 0 && l.Awaiting == 0
+	return l.Running == 0 && l.PromptTokens == 0 && l.MemoryTokens == 0 && l.AwaitingTokens == 0
 }
 
 // source identifies the origin of another instance's loads: its state, which all instances get, or its reports to
@@ -60,13 +60,13 @@
 	loads map[string]Load
 }
 
-// LearnLoads records what another instance has in flight at upstreams without a holder, from its state.
-func (p *Pool) LearnLoads(now time.Time, instance string, loads map[string]Load) {
+// RecordPeerLoads records what another instance has in flight at upstreams without a holder, from its state.
+func (p *Pool) RecordPeerLoads(now time.Time, instance string, loads map[string]Load) {
 	p.setLoads(now, source{instance: instance}, loads)
 }
 
-// LearnReport records what another instance has in flight at the upstreams that this one holds, from its report.
-func (p *Pool) LearnReport(now time.Time, instance string, loads map[string]Load) {
+// RecordPeerReport records what another instance has in flight at the upstreams that this one holds, from its report.
+func (p *Pool) RecordPeerReport(now time.Time, instance string, loads map[string]Load) {
 	p.setLoads(now, source{instance: instance, reported: true}, loads)
 }
 
@@ -97,37 +97,37 @@
 // dropExpired removes loads that are too old.
 func (p *Pool) dropExpired(now time.Time) {
 	for from, peer := range p.peers {
-		if now.Sub(peer.at) > p.Settings.PeerLoadFor {
+		if now.Sub(peer.at) > p.Settings.PeerLoadTTL {
 			p.dropLoads(from)
 		}
 	}
 }
 
-// LearnHeld records what all instances but this one have in flight at an upstream, from its holder's answer to a
+// RecordHolderLoad records what all instances but this one have in flight at an upstream, from its holder's answer to a
 // report.
-func (p *Pool) LearnHeld(now time.Time, id string, load Load) {
+func (p *Pool) RecordHolderLoad(now time.Time, id string, load Load) {
 	if u := p.upstreams[id]; u != nil {
 		u.holderLoad = load
 		u.holderLoadAt = now
 	}
 }
 
-// LearnTotal records what all instances had in flight at an upstream at a given time, from the state of its holder.
+// RecordHolderTotal records what all instances had in flight at an upstream at a given time, from the state of its holder.
 // It subtracts what this instance has reported.
-func (p *Pool) LearnTotal(at time.Time, id string, total Load) {
+func (p *Pool) RecordHolderTotal(at time.Time, id string, total Load) {
 	u := p.upstreams[id]
 	if u == nil || u.holderLoadAt.After(at) {
 		return
 	}
 	others := total.minus(u.reported)
 	u.holderLoad = Load{
-		Running: max(others.Running, 0), Prompt: max(others.Prompt, 0), Memory: max(others.Memory, 0), Awaiting: max(others.Awaiting, 0),
+		Running: max(others.Running, 0), PromptTokens: max(others.PromptTokens, 0), MemoryTokens: max(others.MemoryTokens, 0), AwaitingTokens: max(others.AwaitingTokens, 0),
 	}
 	u.holderLoadAt = at
 }
 
-// Beside is what all instances but a given one have in flight at an upstream, for the instance that holds it.
-func (p *Pool) Beside(now time.Time, id, instance string) (total Load) {
+// TotalExcluding is what all instances but a given one have in flight at an upstream, for the instance that holds it.
+func (p *Pool) TotalExcluding(now time.Time, id, instance string) (total Load) {
 	total = p.Total(now, id)
 	for _, from := range []source{{instance: instance}, {instance: instance, reported: true}} {
 		total = total.minus(p.peers[from].loads[id])
@@ -143,7 +143,7 @@
 		return total
 	}
 	total = p.Sent(now, id)
-	total.Prompt += u.awaitingTurn
+	total.PromptTokens += u.awaitingTurn
 	return total
 }
 
@@ -174,8 +174,8 @@
 	return p.statsOf(u.declared.Service).engine.Prefill(tokens)
 }
 
-// Own is what this instance has in flight at the selected upstreams, for its heartbeats.
-func (p *Pool) Own(selected func(upstream string) bool) map[string]Load {
+// OwnLoads is what this instance has in flight at the selected upstreams, for its heartbeats.
+func (p *Pool) OwnLoads(selected func(upstream string) bool) map[string]Load {
 	loads := make(map[string]Load)
 	for u := range p.active {
 		id := u.declared.ID
@@ -187,8 +187,8 @@
 	return loads
 }
 
-// HasOwn reports whether this instance has anything in flight at an upstream.
-func (p *Pool) HasOwn(id string) bool {
+// HasOwnLoad reports whether this instance has anything in flight at an upstream.
+func (p *Pool) HasOwnLoad(id string) bool {
 	u := p.upstreams[id]
 	return u != nil && u.own.isInFlight()
 }
@@ -204,7 +204,7 @@
 			delete(p.active, u)
 		}
 	}
-	return p.Own(selected)
+	return p.OwnLoads(selected)
 }
 
 // activate adds an upstream to those where this instance has something in flight. Heartbeats and reports are sent
@@ -225,11 +225,11 @@
 
 // load is the known load of all instances at an upstream, without expired loads.
 func (p *Pool) load(now time.Time, u *upstream) (load Load) {
-	if now.Sub(u.holderLoadAt) <= p.Settings.HeldFor {
+	if now.Sub(u.holderLoadAt) <= p.Settings.HolderLoadTTL {
 		return u.own.plus(u.holderLoad)
 	}
 	load = u.own.plus(u.peerLoad)
-	load.Prompt += u.awaitingTurn
+	load.PromptTokens += u.awaitingTurn
 	return load
 }
 
--- a/internal/placement/pool/load_cost.go
+++ b/internal/placement/pool/load_cost.go
@@ -44,7 +44,7 @@
 		return cost
 	}
 	choice.Loaded = false
-	choice.Wait = u.slotWait
+	choice.SlotWait = u.slotWait
 	cost.wait = u.slotWait + scale(pendingLoadCost*float64(u.preparing), loads.full)
 	cost.charge = scale(evictionCost, loads.reload)
 	if u.recent.has(query.Adapter, query.Version) {
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -17,12 +17,12 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// Patience is how long from now a request can wait for its first event or answer.
-type Patience struct {
+// TimeBudget is how long from now a request can wait for its first event or answer.
+type TimeBudget struct {
 	// OnTime is the time until it is late.
 	OnTime time.Duration
-	// Left is the time until nobody waits for it any more.
-	Left time.Duration
+	// Remaining is the time until nobody waits for it any more.
+	Remaining time.Duration
 	// Objective is how long it could have waited from its start and still be on time; 0 if it is never late.
 	Objective time.Duration
 }
@@ -37,13 +37,13 @@
 // would be late because of it, and a late answer is better than none. Requests that are late by themselves, such as
 // the longest prompts, are served while the queue is short; otherwise they would never be served.
 func (p *Pool) Refuse(
-	now time.Time, query Query, choice Choice, patience Patience,
+	now time.Time, query Query, choice Choice, patience TimeBudget,
 ) (retryAfter time.Duration, refused bool) {
-	eta := choice.Expected + choice.Wait
-	queued := choice.Expected - choice.Idle
-	hopeless := eta > patience.Left
+	eta := choice.Expected + choice.SlotWait
+	queued := choice.Expected - choice.ExpectedIdle
+	hopeless := eta > patience.Remaining
 	maxQueued := scale(maxQueueFraction, patience.Objective)
-	if choice.Idle > patience.OnTime-maxQueued {
+	if choice.ExpectedIdle > patience.OnTime-maxQueued {
 		maxQueued = patience.Objective
 	}
 	late := patience.Objective > 0 && eta > patience.OnTime && queued > maxQueued
@@ -52,7 +52,7 @@
 	if !hopeless && !(late && standing) {
 		return 0, false
 	}
-	wait := queued + choice.Wait - scale(shortQueueFraction, patience.Objective)
+	wait := queued + choice.SlotWait - scale(shortQueueFraction, patience.Objective)
 	return p.scheduleRetry(now, query, wait), true
 }
 
--- a/internal/placement/pool/overload_test.go
+++ b/internal/placement/pool/overload_test.go
@@ -55,7 +55,7 @@
 	gap := time.Duration(float64(tokens*perToken) / 2 / b.times)
 	type event struct {
 		at   time.Time
-		send *pool.Send
+		send *pool.Attempt
 	}
 	var due []event
 	began := time.Now()
@@ -68,7 +68,7 @@
 				rest = append(rest, one)
 				continue
 			}
-			one.send.Answered(one.at)
+			one.send.RecordAnswer(one.at)
 			p.Finish(now, one.send, pool.EndServed)
 		}
 		due = rest
@@ -82,7 +82,7 @@
 		o.asked++
 		choice, err := p.Choose(now, query)
 		is.NoErr(err)
-		patience := pool.Patience{OnTime: b.objective, Left: 5 * b.objective, Objective: b.objective}
+		patience := pool.TimeBudget{OnTime: b.objective, Remaining: 5 * b.objective, Objective: b.objective}
 		if retryAfter, refused := p.Refuse(now, query, choice, patience); refused && b.refuse {
 			o.refused++
 			o.retries = append(o.retries, now.Sub(began)+retryAfter)
@@ -156,14 +156,14 @@
 		p := newPool("e1")
 		resident(p, "e1", "a")
 		_, send := place(is, p, generation("a"))
-		is.True(!p.InTurn(engines))
+		is.True(!p.PromptsTakeTurns(engines))
 		for i := range 40 {
-			send.Paused(i%5 == 0)
+			send.RecordPause(i%5 == 0)
 		}
-		is.True(p.InTurn(engines))
+		is.True(p.PromptsTakeTurns(engines))
 		for range 60 {
-			send.Paused(false)
+			send.RecordPause(false)
 		}
-		is.True(!p.InTurn(engines))
+		is.True(!p.PromptsTakeTurns(engines))
 	})
 }
--- a/internal/placement/pool/plain_fleet_test.go
+++ b/internal/placement/pool/plain_fleet_test.go
@@ -65,7 +65,7 @@
 type plainSend struct {
 	ends     time.Time
 	instance int
-	send     *pool.Send
+	send     *pool.Attempt
 	upstream string
 }
 
@@ -110,7 +110,7 @@
 		if one.ends.After(now) {
 			return false
 		}
-		one.send.Answered(one.ends)
+		one.send.RecordAnswer(one.ends)
 		f.instances[one.instance].Finish(now, one.send, pool.EndServed)
 		f.inFlight[one.upstream]--
 		f.own[one.instance][one.upstream]--
@@ -128,7 +128,7 @@
 		if err != nil {
 			break
 		}
-		patience := pool.Patience{OnTime: plainObjective, Left: plainDeadline, Objective: plainObjective}
+		patience := pool.TimeBudget{OnTime: plainObjective, Remaining: plainDeadline, Objective: plainObjective}
 		if _, refused := p.Refuse(now, query, choice, patience); refused {
 			break
 		}
@@ -138,7 +138,7 @@
 		answered, ok := f.upstreams[id].accept(now, work)
 		if !ok {
 			f.rejected++
-			send.State(f.inFlight[id])
+			send.RecordStatedLoad(f.inFlight[id])
 			p.Finish(now, send, pool.EndRefused)
 			query.Exclude = append(query.Exclude, id)
 			continue
@@ -160,11 +160,11 @@
 	var asked []string
 	for len(asked) < maxHolderQueries {
 		choice, err = p.Choose(now, query)
-		if err != nil || !choice.Uncertain {
+		if err != nil || !choice.LoadStale {
 			return choice, err
 		}
 		id := choice.Upstream.ID
-		p.LearnHeld(now, id, pool.Load{Running: f.inFlight[id] - f.own[instance][id]})
+		p.RecordHolderLoad(now, id, pool.Load{Running: f.inFlight[id] - f.own[instance][id]})
 		_ = asked
 	}
 
@@ -219,11 +219,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				p := newPool("s1")
-				p.LearnHeld(time.Now(), "s1", pool.Load{Running: 20})
+				p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 20})
 				_, send := place(is, p, plain())
 				time.Sleep(c.after)
 				p.Finish(time.Now(), send, pool.EndRefused)
-				p.LearnHeld(time.Now(), "s1", pool.Load{Running: 20})
+				p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 20})
 				_, err := p.Choose(time.Now(), plain())
 				is.Equal(err == pool.ErrFull, c.full)
 			})
@@ -238,15 +238,15 @@
 		is := is.New(t)
 		p := newPool("s1")
 		for _, stated := range []int{45, 30, 38} {
-			p.LearnHeld(time.Now(), "s1", pool.Load{Running: 10})
+			p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 10})
 			_, send := place(is, p, plain())
-			send.State(stated)
+			send.RecordStatedLoad(stated)
 			p.Finish(time.Now(), send, pool.EndRefused)
 		}
-		p.LearnHeld(time.Now(), "s1", pool.Load{Running: 23})
+		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 23})
 		_, err := p.Choose(time.Now(), plain())
 		is.NoErr(err)
-		p.LearnHeld(time.Now(), "s1", pool.Load{Running: 24}) // 30 less the headroom
+		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 24}) // 30 less the headroom
 		_, err = p.Choose(time.Now(), plain())
 		is.Equal(err, pool.ErrFull)
 	})
@@ -257,14 +257,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("s1")
-		p.LearnHeld(time.Now(), "s1", pool.Load{Running: 6})
+		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 6})
 		_, send := place(is, p, plain())
-		send.State(6)
+		send.RecordStatedLoad(6)
 		p.Finish(time.Now(), send, pool.EndRefused)
-		p.LearnHeld(time.Now(), "s1", pool.Load{Running: 5})
+		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 5})
 		_, err := p.Choose(time.Now(), plain())
 		is.NoErr(err)
-		p.LearnHeld(time.Now(), "s1", pool.Load{Running: 6})
+		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 6})
 		_, err = p.Choose(time.Now(), plain())
 		is.Equal(err, pool.ErrFull)
 	})
@@ -277,10 +277,10 @@
 		is := is.New(t)
 		p := newPool("s1")
 		for range 20 {
-			p.LearnHeld(time.Now(), "s1", pool.Load{Running: 25})
+			p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 25})
 			choice, err := p.Choose(time.Now(), plain())
 			is.NoErr(err)
-			_, refused := p.Refuse(time.Now(), plain(), choice, pool.Patience{OnTime: -time.Second, Left: 3 * time.Second})
+			_, refused := p.Refuse(time.Now(), plain(), choice, pool.TimeBudget{OnTime: -time.Second, Remaining: 3 * time.Second})
 			is.True(!refused)
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/placement/pool/pool.go
+++ b/internal/placement/pool/pool.go
@@ -17,27 +17,27 @@
 	DataCentre string
 	// Instances is the number of instances that share the connection limit of an upstream.
 	Instances int
-	// HeardEvery is the interval between the heartbeats of another instance.
-	HeardEvery time.Duration
-	// HeldFor is how long the load that a holder reports for its upstreams is valid.
-	HeldFor time.Duration
-	// PeerLoadFor is how long the loads of another instance are valid: some heartbeats. An instance that is silent
+	// HeartbeatInterval is the interval between the heartbeats of another instance.
+	HeartbeatInterval time.Duration
+	// HolderLoadTTL is how long the load that a holder reports for its upstreams is valid.
+	HolderLoadTTL time.Duration
+	// PeerLoadTTL is how long the loads of another instance are valid: some heartbeats. An instance that is silent
 	// for longer may be gone, and its requests with it.
-	PeerLoadFor time.Duration
+	PeerLoadTTL time.Duration
 }
 
 // DefaultSettings are those of a small fleet.
 func DefaultSettings() Settings {
 	return Settings{
-		Instances:   10,
-		HeardEvery:  250 * time.Millisecond,
-		HeldFor:     250 * time.Millisecond,
-		PeerLoadFor: 1500 * time.Millisecond,
+		Instances:         10,
+		HeartbeatInterval: 250 * time.Millisecond,
+		HolderLoadTTL:     250 * time.Millisecond,
+		PeerLoadTTL:       1500 * time.Millisecond,
 	}
 }
 
-// ErrNone means that no upstream of the service can take the request now.
-var ErrNone = errors.New("pool: no upstream can take the request")
+// ErrNoUpstream means that no upstream of the service can take the request now.
+var ErrNoUpstream = errors.New("pool: no upstream can take the request")
 
 // ErrFull means that each upstream of the service would refuse the request, because its queue is full or nearly
 // full. The choice is then the upstream with the fewest requests in flight.
@@ -58,8 +58,8 @@
 	Objective time.Duration
 	// Exclude lists upstreams that have already been tried.
 	Exclude []string
-	// Among lists the upstreams to choose from; empty for all.
-	Among []string
+	// Candidates lists the upstreams to choose from; empty for all.
+	Candidates []string
 	// Alone asks for an upstream without other running requests, if there is one.
 	Alone bool
 }
@@ -71,20 +71,20 @@
 	Loaded bool
 	// Expected is the time until the first event or the answer.
 	Expected time.Duration
-	// Idle is the same for an upstream with nothing in flight.
-	Idle time.Duration
-	// Wait is the expected wait for an adapter slot if the adapter is not loaded.
-	Wait time.Duration
+	// ExpectedIdle is the same for an upstream with nothing in flight.
+	ExpectedIdle time.Duration
+	// SlotWait is the expected wait for an adapter slot if the adapter is not loaded.
+	SlotWait time.Duration
 	// Cold: the upstream is cold, and its holder has to admit the request first, to limit the rate.
 	Cold bool
-	// Uncertain: the load that the holder reported is so old that it is worth asking the holder again before the
+	// LoadStale: the load that the holder reported is so old that it is worth asking the holder again before the
 	// request is sent.
-	Uncertain bool
+	LoadStale bool
 	// Inputs of the decision, for the log.
-	Running int
-	Waiting int
-	Failing float64
-	Slow    float64
+	Running     int
+	Waiting     int
+	FailureRate float64
+	Slowdown    float64
 }
 
 // Residency is the report of an upstream's holder about it.
@@ -95,16 +95,16 @@
 	Fence   int64
 	Version int64
 	Loaded  []Resident
-	// Idle is how many adapter slots are empty or can be emptied at once. Wait is how long another adapter would
+	// FreeSlots is how many adapter slots are empty or can be emptied at once. Wait is how long another adapter would
 	// wait for one.
-	Idle int
-	Wait time.Duration
+	FreeSlots int
+	SlotWait  time.Duration
 	// LoadTime is how long an adapter takes to load there, ReloadTime the same for one that was loaded recently; 0
 	// if the holder has not measured any.
 	LoadTime   time.Duration
 	ReloadTime time.Duration
-	// Away: the holder cannot reach the upstream.
-	Away bool
+	// Unreachable: the holder cannot reach the upstream.
+	Unreachable bool
 }
 
 // Resident is a loaded adapter or base model. InTransit: its load was ordered, but is not complete.
@@ -181,8 +181,8 @@
 	}
 }
 
-// Forget removes an upstream that is gone.
-func (p *Pool) Forget(id string) {
+// Remove removes an upstream that is gone.
+func (p *Pool) Remove(id string) {
 	delete(p.active, p.upstreams[id])
 	delete(p.upstreams, id)
 	p.changes++
@@ -212,11 +212,11 @@
 	return list
 }
 
-// Takes reports whether an upstream is still the incarnation that was chosen, and takes new requests. A choice can
+// IsChoiceValid reports whether an upstream is still the incarnation that was chosen, and takes new requests. A choice can
 // be some seconds old when it is used, if an adapter had to be loaded first.
-func (p *Pool) Takes(chosen traffic.Upstream) bool {
+func (p *Pool) IsChoiceValid(chosen traffic.Upstream) bool {
 	u := p.upstreams[chosen.ID]
-	return u != nil && p.IsOpen(u.declared) && u.declared.Born == chosen.Born && u.declared.Address == chosen.Address
+	return u != nil && p.AcceptsRequests(u.declared) && u.declared.Born == chosen.Born && u.declared.Address == chosen.Address
 }
 
 // Upstream returns the declaration of an upstream.
@@ -228,34 +228,34 @@
 	return u.declared, true
 }
 
-// LearnWait records how long another adapter would wait for a slot at an upstream, from the holder's answer to a
+// RecordSlotWait records how long another adapter would wait for a slot at an upstream, from the holder's answer to a
 // request that got none. It is valid until the holder's next report of its residents.
-func (p *Pool) LearnWait(id string, wait time.Duration) {
+func (p *Pool) RecordSlotWait(id string, wait time.Duration) {
 	if u := p.upstreams[id]; u != nil {
 		u.slotWait = max(u.slotWait, wait)
 	}
 }
 
-// LearnResidency records a holder's report.
-func (p *Pool) LearnResidency(now time.Time, residency Residency) {
+// RecordResidency records a holder's report.
+func (p *Pool) RecordResidency(now time.Time, residency Residency) {
 	u := p.upstreams[residency.Upstream]
 	if u == nil || residency.Fence < u.fence || residency.Fence == u.fence && residency.Version < u.version {
 		return
 	}
 	u.fence = residency.Fence
 	u.version = residency.Version
-	u.idleSlots = residency.Idle
-	u.slotWait = residency.Wait
+	u.idleSlots = residency.FreeSlots
+	u.slotWait = residency.SlotWait
 	if residency.LoadTime > 0 && residency.ReloadTime > 0 {
 		u.loads = loadTimes{full: residency.LoadTime, reload: residency.ReloadTime}
 		p.statsOf(u.declared.Service).loads = u.loads
 	}
-	if now.Before(u.unreachableUntil) && !residency.Away {
+	if now.Before(u.unreachableUntil) && !residency.Unreachable {
 		u.cold.assume(now, p.coldStarts[u.declared.Service].length)
 	}
 	u.unreachableUntil = time.Time{}
-	if residency.Away {
-		u.unreachableUntil = now.Add(unreachableFor + p.Settings.HeardEvery)
+	if residency.Unreachable {
+		u.unreachableUntil = now.Add(unreachableFor + p.Settings.HeartbeatInterval)
 	}
 	u.setResident(residency.Loaded)
 }
--- a/internal/placement/pool/pool_test.go
+++ b/internal/placement/pool/pool_test.go
@@ -43,12 +43,12 @@
 }
 
 func resident(p *pool.Pool, upstream string, adapters ...string) {
-	residency := pool.Residency{Upstream: upstream, Fence: 1, Idle: 5 - len(adapters)}
+	residency := pool.Residency{Upstream: upstream, Fence: 1, FreeSlots: 5 - len(adapters)}
 	residency.Loaded = append(residency.Loaded, pool.Resident{Adapter: traffic.Adapter{Model: model}, Version: 1})
 	for _, name := range adapters {
 		residency.Loaded = append(residency.Loaded, pool.Resident{Adapter: adapter(name), Version: 1})
 	}
-	p.LearnResidency(time.Now(), residency)
+	p.RecordResidency(time.Now(), residency)
 }
 
 func adapter(name string) traffic.Adapter { return traffic.Adapter{Model: model, Name: name} }
@@ -60,7 +60,7 @@
 func plain() pool.Query { return pool.Query{Service: services} }
 
 // place chooses an upstream for a request and counts it as in flight.
-func place(is *is.I, p *pool.Pool, query pool.Query) (pool.Choice, *pool.Send) {
+func place(is *is.I, p *pool.Pool, query pool.Query) (pool.Choice, *pool.Attempt) {
 	is.Helper()
 	choice, err := p.Choose(time.Now(), query)
 	is.NoErr(err)
@@ -149,7 +149,7 @@
 				took *= 10
 			}
 			time.Sleep(took)
-			send.Answered(time.Now())
+			send.RecordAnswer(time.Now())
 			p.Finish(time.Now(), send, pool.EndServed)
 			time.Sleep(20 * time.Millisecond)
 			if time.Since(start) < slowFor {
@@ -173,7 +173,7 @@
 		for i := range 200 {
 			choice, send := place(is, p, plain())
 			time.Sleep(30 * time.Millisecond)
-			send.Answered(time.Now())
+			send.RecordAnswer(time.Now())
 			end := pool.EndServed
 			if choice.Upstream.ID == "s1" && i%2 == 0 {
 				end = pool.EndFailed
@@ -194,7 +194,7 @@
 		_, send := place(is, p, plain())
 		p.Finish(time.Now(), send, pool.EndUnreachable)
 		_, err := p.Choose(time.Now(), plain())
-		is.Equal(err, pool.ErrNone)
+		is.Equal(err, pool.ErrNoUpstream)
 		time.Sleep(2 * time.Second)
 		_, err = p.Choose(time.Now(), plain())
 		is.NoErr(err)
@@ -227,13 +227,13 @@
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
 		choice, _ := place(is, p, generation("a"))
-		is.True(p.Takes(choice.Upstream))
+		is.True(p.IsChoiceValid(choice.Upstream))
 		declare(p, "e1", func(u *traffic.Upstream) { u.Draining = true })
-		is.True(!p.Takes(choice.Upstream))
+		is.True(!p.IsChoiceValid(choice.Upstream))
 		declare(p, "e1", func(u *traffic.Upstream) { u.Born = 2 })
-		is.True(!p.Takes(choice.Upstream))
-		p.Forget("e1")
-		is.True(!p.Takes(choice.Upstream))
+		is.True(!p.IsChoiceValid(choice.Upstream))
+		p.Remove("e1")
+		is.True(!p.IsChoiceValid(choice.Upstream))
 	})
 }
 
@@ -244,12 +244,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("s1")
-		var last *pool.Send
+		var last *pool.Attempt
 		for range 10 {
 			_, last = place(is, p, plain())
 		}
 		_, err := p.Choose(time.Now(), plain())
-		is.Equal(err, pool.ErrNone)
+		is.Equal(err, pool.ErrNoUpstream)
 		p.Finish(time.Now(), last, pool.EndServed)
 		_, err = p.Choose(time.Now(), plain())
 		is.NoErr(err)
@@ -262,8 +262,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1")
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 7})
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 3, Loaded: []pool.Resident{{Adapter: adapter("a"), Version: 1}}})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 7})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 3, Loaded: []pool.Resident{{Adapter: adapter("a"), Version: 1}}})
 		choice, _ := place(is, p, generation("a"))
 		is.True(!choice.Loaded)
 	})
@@ -276,7 +276,7 @@
 		is := is.New(t)
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e2", Fence: 1, Idle: 4, Loaded: []pool.Resident{
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e2", Fence: 1, FreeSlots: 4, Loaded: []pool.Resident{
 			{Adapter: traffic.Adapter{Model: model}, Version: 1}, {Adapter: adapter("a"), Version: 2},
 		}})
 		query := generation("a")
@@ -296,7 +296,7 @@
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
 		resident(p, "e2", "a")
-		p.LearnLoads(time.Now(), "peer", map[string]pool.Load{"e1": {Running: 20, Prompt: 30_000, Memory: 60_000}})
+		p.RecordPeerLoads(time.Now(), "peer", map[string]pool.Load{"e1": {Running: 20, PromptTokens: 30_000, MemoryTokens: 60_000}})
 		choice, _ := place(is, p, generation("a"))
 		is.Equal(choice.Upstream.ID, "e2")
 		time.Sleep(5 * time.Second) // the peer is gone, and its requests with it
@@ -317,28 +317,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1", "e2")
-		p.Settings.HeardEvery = 2 * time.Second
-		p.Settings.HeldFor = 2 * time.Second
-		p.Settings.PeerLoadFor = 3 * time.Second
+		p.Settings.HeartbeatInterval = 2 * time.Second
+		p.Settings.HolderLoadTTL = 2 * time.Second
+		p.Settings.PeerLoadTTL = 3 * time.Second
 		resident(p, "e1", "a")
 		resident(p, "e2", "a")
-		p.LearnLoads(time.Now(), "peer", map[string]pool.Load{"e2": {Running: 9, Prompt: 9000, Memory: 9000}})
+		p.RecordPeerLoads(time.Now(), "peer", map[string]pool.Load{"e2": {Running: 9, PromptTokens: 9000, MemoryTokens: 9000}})
 		time.Sleep(time.Second)
 		query := generation("a")
 		choice, err := p.Choose(time.Now(), query)
 		is.NoErr(err)
 		is.Equal(choice.Upstream.ID, "e1")
-		is.True(choice.Uncertain)
-		p.LearnHeld(time.Now(), "e1", pool.Load{Running: 30, Prompt: 40_000, Memory: 60_000})
-		p.LearnHeld(time.Now(), "e2", pool.Load{})
+		is.True(choice.LoadStale)
+		p.RecordHolderLoad(time.Now(), "e1", pool.Load{Running: 30, PromptTokens: 40_000, MemoryTokens: 60_000})
+		p.RecordHolderLoad(time.Now(), "e2", pool.Load{})
 		choice, err = p.Choose(time.Now(), query)
 		is.NoErr(err)
 		is.Equal(choice.Upstream.ID, "e2")
-		is.True(!choice.Uncertain)
+		is.True(!choice.LoadStale)
 		time.Sleep(400 * time.Millisecond)
 		choice, err = p.Choose(time.Now(), query)
 		is.NoErr(err)
-		is.True(choice.Uncertain) // more requests have come since
+		is.True(choice.LoadStale) // more requests have come since
 	})
 }
 
@@ -353,17 +353,17 @@
 		time.Sleep(time.Minute)
 		choice, err := p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
-		is.True(choice.Uncertain)
-		p.LearnHeld(time.Now(), "e1", pool.Load{})
+		is.True(choice.LoadStale)
+		p.RecordHolderLoad(time.Now(), "e1", pool.Load{})
 		for range 3 {
 			choice, _ = place(is, p, generation("a"))
-			is.True(!choice.Uncertain)
+			is.True(!choice.LoadStale)
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
 		choice, err = p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
-		is.True(choice.Uncertain)
+		is.True(choice.LoadStale)
 	})
 }
 
@@ -377,7 +377,7 @@
 		for _, name := range adapters {
 			residency.Loaded = append(residency.Loaded, pool.Resident{Adapter: adapter(name)})
 		}
-		p.LearnResidency(time.Now(), residency)
+		p.RecordResidency(time.Now(), residency)
 	}
 	loaded := func() bool {
 		choice, err := p.Choose(time.Now(), generation("a"))
@@ -400,10 +400,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1")
-		p.LearnLoads(time.Now(), "asker", map[string]pool.Load{"e1": {Running: 5, Prompt: 500}})
-		p.LearnLoads(time.Now(), "other", map[string]pool.Load{"e1": {Running: 2, Prompt: 200}})
-		is.Equal(p.Beside(time.Now(), "e1", "asker"), pool.Load{Running: 2, Prompt: 200})
-		is.Equal(p.Beside(time.Now(), "gone", "asker"), pool.Load{})
+		p.RecordPeerLoads(time.Now(), "asker", map[string]pool.Load{"e1": {Running: 5, PromptTokens: 500}})
+		p.RecordPeerLoads(time.Now(), "other", map[string]pool.Load{"e1": {Running: 2, PromptTokens: 200}})
+		is.Equal(p.TotalExcluding(time.Now(), "e1", "asker"), pool.Load{Running: 2, PromptTokens: 200})
+		is.Equal(p.TotalExcluding(time.Now(), "gone", "asker"), pool.Load{})
 	})
 }
 
@@ -459,13 +459,13 @@
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
 		resident(p, "e2")
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 1, Away: true})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 1, Unreachable: true})
 		choice, err := p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
 		is.Equal(choice.Upstream.ID, "e2")
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e2", Fence: 1, Away: true})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e2", Fence: 1, Unreachable: true})
 		_, err = p.Choose(time.Now(), generation("a"))
-		is.Equal(err, pool.ErrNone) // refused at once: no upstream could serve it
+		is.Equal(err, pool.ErrNoUpstream) // refused at once: no upstream could serve it
 		resident(p, "e1", "a")
 		choice, err = p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
@@ -488,7 +488,7 @@
 		resident(p, "e1", "a")
 		_, send := place(is, p, generation("a"))
 		p.Finish(time.Now(), send, pool.EndServed)
-		p.LearnResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 1, Away: true})
+		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 1, Unreachable: true})
 		_, err := p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
 	})
@@ -526,7 +526,7 @@
 		loading := pool.Residency{Upstream: "e1", Fence: 1, Loaded: []pool.Resident{
 			{Adapter: traffic.Adapter{Model: model}, Version: 1}, {Adapter: adapter("a"), Version: 1, InTransit: true},
 		}}
-		p.LearnResidency(time.Now(), loading)
+		p.RecordResidency(time.Now(), loading)
 		resident(p, "e2")
 		var waiting []pool.Preparation
 		for {
@@ -539,12 +539,12 @@
 			waiting = append(waiting, p.Prepare("e1", generation("a").Tokens))
 		}
 		all := func(string) bool { return true }
-		holder.LearnReport(time.Now(), "i", p.Report(all))
-		is.Equal(holder.Total(time.Now(), "e1").Awaiting, len(waiting)*generation("a").Tokens)
+		holder.RecordPeerReport(time.Now(), "i", p.Report(all))
+		is.Equal(holder.Total(time.Now(), "e1").AwaitingTokens, len(waiting)*generation("a").Tokens)
 		for _, one := range waiting {
 			one.Done()
 		}
-		holder.LearnReport(time.Now(), "i", p.Report(all))
+		holder.RecordPeerReport(time.Now(), "i", p.Report(all))
 		is.Equal(holder.Total(time.Now(), "e1"), pool.Load{})
 	})
 }
@@ -556,9 +556,9 @@
 	queued := func(is *is.I, idle int) (count int) {
 		p := newPool("e1", "e2")
 		resident(p, "e1", "a")
-		residency := pool.Residency{Upstream: "e2", Fence: 1, Idle: idle}
+		residency := pool.Residency{Upstream: "e2", Fence: 1, FreeSlots: idle}
 		residency.Loaded = append(residency.Loaded, pool.Resident{Adapter: traffic.Adapter{Model: model}, Version: 1})
-		p.LearnResidency(time.Now(), residency)
+		p.RecordResidency(time.Now(), residency)
 		query := generation("a")
 		query.Tokens = 600
 		for {
--- a/internal/placement/pool/running_totals_test.go
+++ b/internal/placement/pool/running_totals_test.go
@@ -15,7 +15,7 @@
 type plainSums struct {
 	pool    *pool.Pool
 	now     time.Time
-	sends   map[*pool.Send]*sent
+	sends   map[*pool.Attempt]*sent
 	reports map[string]report
 }
 
@@ -31,8 +31,8 @@
 
 func add(to *pool.Load, load pool.Load) {
 	to.Running += load.Running
-	to.Prompt += load.Prompt
-	to.Memory += load.Memory
+	to.PromptTokens += load.PromptTokens
+	to.MemoryTokens += load.MemoryTokens
 }
 
 // expected is what all instances have in flight at an upstream.
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, peer := range s.reports {
-		if s.now.Sub(peer.at) <= s.pool.Settings.PeerLoadFor {
+		if s.now.Sub(peer.at) <= s.pool.Settings.PeerLoadTTL {
 			add(&total, peer.loads[upstream])
 		}
 	}
@@ -78,10 +78,10 @@
 	loads := make(map[string]pool.Load)
 	for _, upstream := range sumUpstreams {
 		if running := rapid.IntRange(0, 3).Draw(rt, "running"); running > 0 {
-			loads[upstream] = pool.Load{Running: running, Prompt: 10 * running, Memory: 100 * running}
+			loads[upstream] = pool.Load{Running: running, PromptTokens: 10 * running, MemoryTokens: 100 * running}
 		}
 	}
-	s.pool.LearnLoads(s.now, peer, loads)
+	s.pool.RecordPeerLoads(s.now, peer, loads)
 	s.reports[peer] = report{at: s.now, loads: loads}
 }
 
@@ -94,7 +94,7 @@
 	send := s.pool.Begin(s.now, choice, query)
 	s.sends[send] = &sent{
 		upstream: choice.Upstream.ID,
-		load:     pool.Load{Running: 1, Prompt: query.Tokens, Memory: query.Tokens + query.Output},
+		load:     pool.Load{Running: 1, PromptTokens: query.Tokens, MemoryTokens: query.Tokens + query.Output},
 	}
 }
 
@@ -102,8 +102,8 @@
 func (s *plainSums) end(rt *rapid.T) {
 	for send, one := range s.sends {
 		if rapid.Bool().Draw(rt, "answered") {
-			send.Answered(s.now)
-			one.load.Prompt = 0
+			send.RecordAnswer(s.now)
+			one.load.PromptTokens = 0
 		}
 		if rapid.Bool().Draw(rt, "ended") {
 			s.pool.Finish(s.now, send, pool.EndServed)
@@ -114,7 +114,7 @@
 }
 
 func (s *plainSums) forget(upstream string) {
-	s.pool.Forget(upstream)
+	s.pool.Remove(upstream)
 	for send, one := range s.sends {
 		if one.upstream == upstream {
 			delete(s.sends, send) // an upstream that is declared again starts without them
@@ -131,7 +131,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &plainSums{
 			pool: newPool(sumUpstreams...), now: time.Now(),
-			sends: make(map[*pool.Send]*sent), reports: make(map[string]report),
+			sends: make(map[*pool.Attempt]*sent), reports: make(map[string]report),
 		}
 		for range 60 {
 			s.step(rt)
@@ -139,7 +139,7 @@
 				if _, declared := s.pool.Upstream(upstream); !declared {
 					continue
 				}
-				got, want := s.pool.Beside(s.now, upstream, "nobody"), s.expected(upstream)
+				got, want := s.pool.TotalExcluding(s.now, upstream, "nobody"), s.expected(upstream)
 				if fmt.Sprint(got) != fmt.Sprint(want) {
 					rt.Fatalf("%s has %+v, not %+v", upstream, got, want)
 				}
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// InTurn reports whether prompts take turns at the engines of a service.
-func (p *Pool) InTurn(service string) bool {
+// PromptsTakeTurns reports whether prompts take turns at the engines of a service.
+func (p *Pool) PromptsTakeTurns(service string) bool {
 	p.prepare()
 	return p.statsOf(service).inTurn
 }
@@ -96,7 +96,7 @@
 }
 
 // observe records how long a request took until its first event or answer.
-func (p *Pool) observe(send *Send, took time.Duration) {
+func (p *Pool) observe(send *Attempt, took time.Duration) {
 	stats := p.statsOf(send.query.Service)
 	if p.isGeneration(send.query) {
 		stats.engine.Observe(send.query.Tokens, backlog(send.found), took)
@@ -106,7 +106,7 @@
 }
 
 func backlog(load Load) forecast.Backlog {
-	return forecast.Backlog{Prefill: load.Prompt + load.Awaiting, Running: load.Running}
+	return forecast.Backlog{Prefill: load.PromptTokens + load.AwaitingTokens, Running: load.Running}
 }
 
 // slots is how many calls an upstream serves concurrently.
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -47,7 +47,7 @@
 	// preparing is how many requests of this instance wait for adapters there.
 	preparing int
 
-	sends map[*Send]bool
+	sends map[*Attempt]bool
 	// own is the sum of the sends, and peerLoad that of the other instances' loads; both without the adapters in
 	// use.
 	own      Load
@@ -69,8 +69,8 @@
 	backoff time.Duration
 }
 
-// Send is a request in flight at an upstream.
-type Send struct {
+// Attempt is a request in flight at an upstream.
+type Attempt struct {
 	pool     *Pool
 	upstream *upstream
 	query    Query
@@ -89,7 +89,7 @@
 func newUpstream(now time.Time) *upstream {
 	return &upstream{
 		resident: make(map[traffic.Adapter]Resident),
-		sends:    make(map[*Send]bool),
+		sends:    make(map[*Attempt]bool),
 		slow:     1,
 		counted:  now,
 		measured: now,
@@ -97,8 +97,8 @@
 }
 
 // Begin counts a request as in flight.
-func (p *Pool) Begin(now time.Time, choice Choice, query Query) *Send {
-	send := &Send{pool: p, query: query, began: now, upstream: p.upstreams[choice.Upstream.ID]}
+func (p *Pool) Begin(now time.Time, choice Choice, query Query) *Attempt {
+	send := &Attempt{pool: p, query: query, began: now, upstream: p.upstreams[choice.Upstream.ID]}
 	if u := send.upstream; u != nil {
 		send.found = p.load(now, u)
 		send.isFresh = !p.isLoadStale(now, u)
@@ -111,16 +111,16 @@
 }
 
 // load is what the request adds to the load of its upstream. Its prompt counts until the first event.
-func (s *Send) load() Load {
-	load := Load{Running: 1, Memory: s.query.Tokens + s.query.Output}
+func (s *Attempt) load() Load {
+	load := Load{Running: 1, MemoryTokens: s.query.Tokens + s.query.Output}
 	if !s.answered {
-		load.Prompt = s.query.Tokens
+		load.PromptTokens = s.query.Tokens
 	}
 	return load
 }
 
-// Answered records the first event or the whole answer, and reports whether it is the first call.
-func (s *Send) Answered(now time.Time) (first bool) {
+// RecordAnswer records the first event or the whole answer, and reports whether it is the first call.
+func (s *Attempt) RecordAnswer(now time.Time) (first bool) {
 	u := s.upstream
 	if s.answered || u == nil {
 		return false
@@ -128,7 +128,7 @@
 	s.answered = true
 	u.servedAt = now
 	if u.sends[s] {
-		u.own.Prompt -= s.query.Tokens
+		u.own.PromptTokens -= s.query.Tokens
 	}
 	took := now.Sub(s.began)
 	s.pool.observe(s, took)
@@ -145,8 +145,8 @@
 // maxSample limits one sample, so that a single stall does not make an upstream countResult as unusable.
 const maxSample = 20
 
-// Paused records whether a stream that has ended paused for too long.
-func (s *Send) Paused(late bool) { s.pool.statsOf(s.query.Service).recordPause(late) }
+// RecordPause records whether a stream that has ended paused for too long.
+func (s *Attempt) RecordPause(late bool) { s.pool.statsOf(s.query.Service).recordPause(late) }
 
 // End is the result of a request.
 type End string
@@ -166,7 +166,7 @@
 )
 
 // Finish records how a request ended.
-func (p *Pool) Finish(now time.Time, send *Send, end End) {
+func (p *Pool) Finish(now time.Time, send *Attempt, end End) {
 	u := send.upstream
 	if u == nil {
 		return
@@ -193,8 +193,8 @@
 	}
 }
 
-// Crashed records that nothing listens at an upstream any more.
-func (p *Pool) Crashed(now time.Time, id string) {
+// RecordCrash records that nothing listens at an upstream any more.
+func (p *Pool) RecordCrash(now time.Time, id string) {
 	if u := p.upstreams[id]; u != nil {
 		u.backoff = min(max(2*u.backoff, minBackoff), maxBackoff)
 		u.retryAt = now.Add(u.backoff)
@@ -220,7 +220,7 @@
 	u := p.upstreams[id]
 	if u != nil {
 		u.preparing++
-		u.own.Awaiting += tokens
+		u.own.AwaitingTokens += tokens
 		p.activate(u)
 	}
 	return Preparation{upstream: u, tokens: tokens}
@@ -230,19 +230,19 @@
 func (w Preparation) Done() {
 	if w.upstream != nil {
 		w.upstream.preparing--
-		w.upstream.own.Awaiting -= w.tokens
+		w.upstream.own.AwaitingTokens -= w.tokens
 	}
 }
 
-// Missing records that an upstream lacks an adapter that was assumed to be loaded.
-func (p *Pool) Missing(id string, adapter traffic.Adapter) {
+// RecordMissingAdapter records that an upstream lacks an adapter that was assumed to be loaded.
+func (p *Pool) RecordMissingAdapter(id string, adapter traffic.Adapter) {
 	if u := p.upstreams[id]; u != nil {
 		delete(u.resident, adapter)
 	}
 }
 
-// Prepared records that the holder has just seen an adapter loaded.
-func (p *Pool) Prepared(id string, adapter traffic.Adapter, version int64) {
+// RecordLoadedAdapter records that the holder has just seen an adapter loaded.
+func (p *Pool) RecordLoadedAdapter(id string, adapter traffic.Adapter, version int64) {
 	if u := p.upstreams[id]; u != nil {
 		u.resident[adapter] = Resident{Adapter: adapter, Version: version}
 		u.recent.add(u.resident[adapter])
--- a/internal/placement/queue/fair_queue.go
+++ b/internal/placement/queue/fair_queue.go
@@ -15,16 +15,16 @@
 
 // Queue is the queue of one upstream. Set the exported fields before use. It is not safe for concurrent use.
 type Queue struct {
-	// Places is the number of entries that the upstream processes concurrently.
-	Places int
-	// LongestBacklog limits the time that the waiting work takes, so that long and short requests count by their
+	// Slots is the number of entries that the upstream processes concurrently.
+	Slots int
+	// MaxBacklog limits the time that the waiting work takes, so that long and short requests count by their
 	// work. A limit on the length alone would accept about a hundred long requests, more than can be served in
 	// time.
-	LongestBacklog time.Duration
-	// Longest limits the number of entries, and so the memory and the cost of a decision.
-	Longest int
-	// FirstInFirstOut orders entries by arrival instead. It is the baseline of the measurements.
-	FirstInFirstOut bool
+	MaxBacklog time.Duration
+	// MaxLength limits the number of entries, and so the memory and the cost of a decision.
+	MaxLength int
+	// FIFO orders entries by arrival instead. It is the baseline of the measurements.
+	FIFO bool
 
 	waiting     []item
 	virtualTime float64
@@ -35,8 +35,8 @@
 
 // Occupancy says whether the upstream has a free slot, and if not, how long until the next one is free.
 type Occupancy struct {
-	Free      bool
-	NextPlace time.Duration
+	Free     bool
+	NextSlot time.Duration
 }
 
 // item is a queued entry with its start tag. seq breaks ties between equal tags by arrival.
@@ -71,7 +71,7 @@
 	for q.isFull(entry) {
 		last, ok := q.victim(entry)
 		if !ok {
-			return displaced, Refusal{Reason: ReasonFull, RetryAfter: at.NextPlace + q.Backlog()/2}
+			return displaced, Refusal{Reason: ReasonFull, RetryAfter: at.NextSlot + q.Backlog()/2}
 		}
 		displaced = append(displaced, q.removeAt(last).Entry)
 	}
@@ -148,7 +148,7 @@
 func (q *Queue) tag(now time.Time, entry Entry) item {
 	q.lastSeq++
 	it := item{Entry: entry, seq: q.lastSeq, queued: now}
-	if !q.FirstInFirstOut {
+	if !q.FIFO {
 		it.start = max(q.virtualTime, q.finishTags[entry.Workspace])
 	}
 	return it
@@ -168,7 +168,7 @@
 	if at.Free {
 		return 0
 	}
-	return at.NextPlace + q.drainTime(before)
+	return at.NextSlot + q.drainTime(before)
 }
 
 func (q *Queue) workBefore(position int) (work time.Duration) {
@@ -180,21 +180,21 @@
 
 // drainTime is the time that the upstream takes for work with all its slots.
 func (q *Queue) drainTime(work time.Duration) time.Duration {
-	return work / time.Duration(max(q.Places, 1))
+	return work / time.Duration(max(q.Slots, 1))
 }
 
 func (q *Queue) isFull(next Entry) bool {
 	if len(q.waiting) == 0 {
 		return false
 	}
-	return len(q.waiting) >= q.Longest || q.drainTime(q.totalWork+next.Work) > q.LongestBacklog
+	return len(q.waiting) >= q.MaxLength || q.drainTime(q.totalWork+next.Work) > q.MaxBacklog
 }
 
 // victim returns the last entry of the workspace that has the most waiting work for its weight, even without that
 // entry. It fails if that is the workspace of next itself: next is then refused. This way a workspace that floods
 // the queue displaces only its own requests.
 func (q *Queue) victim(next Entry) (at int, ok bool) {
-	if q.FirstInFirstOut {
+	if q.FIFO {
 		return 0, false
 	}
 	load := map[string]float64{next.Workspace: next.Work.Seconds() / positive(next.Weight)}
--- a/internal/placement/queue/fair_queue_test.go
+++ b/internal/placement/queue/fair_queue_test.go
@@ -12,10 +12,10 @@
 	"lacewingrock.example/lacewingrock/internal/placement/queue"
 )
 
-var busy = queue.Occupancy{NextPlace: 100 * time.Millisecond}
+var busy = queue.Occupancy{NextSlot: 100 * time.Millisecond}
 
 func newQueue() *queue.Queue {
-	return &queue.Queue{Places: 4, LongestBacklog: 10 * time.Second, Longest: 32}
+	return &queue.Queue{Slots: 4, MaxBacklog: 10 * time.Second, MaxLength: 32}
 }
 
 func entry(id, workspace string, cost float64, patience time.Duration) queue.Entry {
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := newQueue()
-		q.LongestBacklog = time.Hour
+		q.MaxBacklog = time.Hour
 		for i := range 20 {
 			_, err := q.Push(time.Now(), entry(fmt.Sprint("long", i), "flood", 400, time.Hour), busy)
 			is.NoErr(err)
