--- a/internal/placement/pool/capacity.go
+++ b/internal/placement/pool/capacity.go
@@ -26,16 +26,16 @@
 // The known load may be some milliseconds old. While several times the capacity arrives at many instances, a good
 // part of a queue arrives in that time. An estimate from the load before that would make the upstream count as full
 // for seconds.
-func (p *Pool) recordRefusal(now time.Time, send *Attempt) {
-	u := send.upstream
+func (p *Pool) recordRefusal(now time.Time, attempt *Attempt) {
+	u := attempt.upstream
 	stats := p.statsOf(u.declared.Service)
-	immediate := now.Sub(send.began) < stats.service.Answer(0)
-	isStated := send.stated.Running > 0
-	found := send.found
+	immediate := now.Sub(attempt.began) < stats.service.Answer(0)
+	isStated := attempt.stated.Running > 0
+	found := attempt.found
 	if isStated {
-		found = send.stated
+		found = attempt.stated
 	}
-	if !immediate || !isStated && !send.isFresh || found.Running < u.slots() {
+	if !immediate || !isStated && !attempt.isFresh || found.Running < u.slots() {
 		return
 	}
 	capacity := found.perSlot(u)
@@ -52,7 +52,7 @@
 }
 
 // RecordStatedLoad records how many requests, running or waiting, the upstream states in its answer.
-func (s *Attempt) RecordStatedLoad(requests int) { s.stated = Load{Running: requests} }
+func (a *Attempt) RecordStatedLoad(requests int) { a.stated = Load{Running: requests} }
 
 // perSlot is the number of requests in flight per slot of an upstream.
 func (l Load) perSlot(u *upstream) float64 { return float64(l.Running) / float64(u.slots()) }
--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -109,7 +109,7 @@
 // upstream would reset one more, and a request that may not be repeated would be lost with it.
 func (p *Pool) isConnectionLimitReached(u *upstream) bool {
 	limit := p.connectionLimits[u.declared.Service]
-	return limit > 0 && len(u.sends) >= max(limit/max(p.Settings.Instances, 1), 1)
+	return limit > 0 && len(u.attempts) >= max(limit/max(p.Settings.Instances, 1), 1)
 }
 
 // estimate returns the choice of an upstream and the total cost by which upstreams are compared.
--- a/internal/placement/pool/idle_upstreams_test.go
+++ b/internal/placement/pool/idle_upstreams_test.go
@@ -25,7 +25,7 @@
 	p := &pool.Pool{Settings: pool.DefaultSettings()}
 	declareMany(p, now, 1000)
 	upstream, _ := p.Upstream("u7")
-	send := p.Begin(now, pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
+	attempt := p.Begin(now, pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
 	visited := 0
 	all := func(string) bool {
 		visited++
@@ -35,7 +35,7 @@
 	is.True(p.HasOwnLoad("u7"))
 	is.True(!p.HasOwnLoad("u8"))
 	is.Equal(visited, 2) // once to record what is reported, once to report it
-	p.Finish(now, send, pool.EndServed)
+	p.Finish(now, attempt, pool.EndServed)
 	is.Equal(len(p.Report(all)), 0)
 	is.True(!p.HasOwnLoad("u7"))
 	visited = 0
--- a/internal/placement/pool/in_flight.go
+++ b/internal/placement/pool/in_flight.go
@@ -12,7 +12,8 @@
 // Load is what one instance has in flight at an upstream.
 type Load struct {
 	Running int
-	// PromptTokens is the tokens of prompts without a first event yet, Memory the tokens of all running requests.
+	// PromptTokens is the tokens of prompts without a first event yet, MemoryTokens the tokens of all running
+	// requests.
 	PromptTokens int
 	MemoryTokens int
 	// AwaitingTokens is the tokens of the prompts that will be sent there as soon as their adapter is loaded.
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -37,22 +37,22 @@
 // would be late because of it, and a late answer is better than none. Requests that are late by themselves, such as
 // the longest prompts, are served while the queue is short; otherwise they would never be served.
 func (p *Pool) Refuse(
-	now time.Time, query Query, choice Choice, patience TimeBudget,
+	now time.Time, query Query, choice Choice, budget TimeBudget,
 ) (retryAfter time.Duration, refused bool) {
 	eta := choice.Expected + choice.SlotWait
 	queued := choice.Expected - choice.ExpectedIdle
-	hopeless := eta > patience.Remaining
-	maxQueued := scale(maxQueueFraction, patience.Objective)
-	if choice.ExpectedIdle > patience.OnTime-maxQueued {
-		maxQueued = patience.Objective
+	hopeless := eta > budget.Remaining
+	maxQueued := scale(maxQueueFraction, budget.Objective)
+	if choice.ExpectedIdle > budget.OnTime-maxQueued {
+		maxQueued = budget.Objective
 	}
-	late := patience.Objective > 0 && eta > patience.OnTime && queued > maxQueued
-	short := queued <= scale(shortQueueFraction, patience.Objective)
-	standing := p.statsOf(query.Service).recordQueue(now, late, short) > patience.Objective
+	late := budget.Objective > 0 && eta > budget.OnTime && queued > maxQueued
+	short := queued <= scale(shortQueueFraction, budget.Objective)
+	standing := p.statsOf(query.Service).recordQueue(now, late, short) > budget.Objective
 	if !hopeless && !(late && standing) {
 		return 0, false
 	}
-	wait := queued + choice.SlotWait - scale(shortQueueFraction, patience.Objective)
+	wait := queued + choice.SlotWait - scale(shortQueueFraction, budget.Objective)
 	return p.scheduleRetry(now, query, wait), true
 }
 
--- a/internal/placement/pool/overload_test.go
+++ b/internal/placement/pool/overload_test.go
@@ -54,8 +54,8 @@
 	const tokens = 4000
 	gap := time.Duration(float64(tokens*perToken) / 2 / b.times)
 	type event struct {
-		at   time.Time
-		send *pool.Attempt
+		at      time.Time
+		attempt *pool.Attempt
 	}
 	var due []event
 	began := time.Now()
@@ -68,8 +68,8 @@
 				rest = append(rest, one)
 				continue
 			}
-			one.send.RecordAnswer(one.at)
-			p.Finish(now, one.send, pool.EndServed)
+			one.attempt.RecordAnswer(one.at)
+			p.Finish(now, one.attempt, pool.EndServed)
 		}
 		due = rest
 		query := generation("a")
@@ -82,15 +82,15 @@
 		o.asked++
 		choice, err := p.Choose(now, query)
 		is.NoErr(err)
-		patience := pool.TimeBudget{OnTime: b.objective, Remaining: 5 * b.objective, Objective: b.objective}
-		if retryAfter, refused := p.Refuse(now, query, choice, patience); refused && b.refuse {
+		budget := pool.TimeBudget{OnTime: b.objective, Remaining: 5 * b.objective, Objective: b.objective}
+		if retryAfter, refused := p.Refuse(now, query, choice, budget); refused && b.refuse {
 			o.refused++
 			o.retries = append(o.retries, now.Sub(began)+retryAfter)
 			continue
 		}
-		send := p.Begin(now, choice, query)
+		attempt := p.Begin(now, choice, query)
 		first := engines[choice.Upstream.ID].prefill(now, query.Tokens)
-		due = append(due, event{at: first, send: send})
+		due = append(due, event{at: first, attempt: attempt})
 		if large {
 			o.largeServed++
 		}
@@ -155,14 +155,14 @@
 		is := is.New(t)
 		p := newPool("e1")
 		resident(p, "e1", "a")
-		_, send := place(is, p, generation("a"))
+		_, attempt := place(is, p, generation("a"))
 		is.True(!p.PromptsTakeTurns(engines))
 		for i := range 40 {
-			send.RecordPause(i%5 == 0)
+			attempt.RecordPause(i%5 == 0)
 		}
 		is.True(p.PromptsTakeTurns(engines))
 		for range 60 {
-			send.RecordPause(false)
+			attempt.RecordPause(false)
 		}
 		is.True(!p.PromptsTakeTurns(engines))
 	})
--- a/internal/placement/pool/plain_fleet_test.go
+++ b/internal/placement/pool/plain_fleet_test.go
@@ -56,16 +56,16 @@
 	// instance.
 	inFlight map[string]int
 	own      []map[string]int
-	due      []plainSend
+	due      []plainAttempt
 	random   *rand.Rand
 
 	asked, onTime, served, refused, arrivals, rejected int
 }
 
-type plainSend struct {
+type plainAttempt struct {
 	ends     time.Time
 	instance int
-	send     *pool.Attempt
+	attempt  *pool.Attempt
 	upstream string
 }
 
@@ -106,12 +106,12 @@
 }
 
 func (f *plainFleet) finish(now time.Time) {
-	f.due = slices.DeleteFunc(f.due, func(one plainSend) bool {
+	f.due = slices.DeleteFunc(f.due, func(one plainAttempt) bool {
 		if one.ends.After(now) {
 			return false
 		}
-		one.send.RecordAnswer(one.ends)
-		f.instances[one.instance].Finish(now, one.send, pool.EndServed)
+		one.attempt.RecordAnswer(one.ends)
+		f.instances[one.instance].Finish(now, one.attempt, pool.EndServed)
 		f.inFlight[one.upstream]--
 		f.own[one.instance][one.upstream]--
 		return true
@@ -128,24 +128,24 @@
 		if err != nil {
 			break
 		}
-		patience := pool.TimeBudget{OnTime: plainObjective, Remaining: plainDeadline, Objective: plainObjective}
-		if _, refused := p.Refuse(now, query, choice, patience); refused {
+		budget := pool.TimeBudget{OnTime: plainObjective, Remaining: plainDeadline, Objective: plainObjective}
+		if _, refused := p.Refuse(now, query, choice, budget); refused {
 			break
 		}
 		id := choice.Upstream.ID
-		send := p.Begin(now, choice, query)
+		attempt := p.Begin(now, choice, query)
 		f.arrivals++
 		answered, ok := f.upstreams[id].accept(now, work)
 		if !ok {
 			f.rejected++
-			send.RecordStatedLoad(f.inFlight[id])
-			p.Finish(now, send, pool.EndRefused)
+			attempt.RecordStatedLoad(f.inFlight[id])
+			p.Finish(now, attempt, pool.EndRefused)
 			query.Exclude = append(query.Exclude, id)
 			continue
 		}
 		f.inFlight[id]++
 		f.own[instance][id]++
-		f.due = append(f.due, plainSend{ends: answered, instance: instance, send: send, upstream: id})
+		f.due = append(f.due, plainAttempt{ends: answered, instance: instance, attempt: attempt, upstream: id})
 		f.served++
 		if answered.Sub(now) <= plainObjective {
 			f.onTime++
@@ -220,9 +220,9 @@
 				is := is.New(t)
 				p := newPool("s1")
 				p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 20})
-				_, send := place(is, p, plain())
+				_, attempt := place(is, p, plain())
 				time.Sleep(c.after)
-				p.Finish(time.Now(), send, pool.EndRefused)
+				p.Finish(time.Now(), attempt, pool.EndRefused)
 				p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 20})
 				_, err := p.Choose(time.Now(), plain())
 				is.Equal(err == pool.ErrFull, c.full)
@@ -239,9 +239,9 @@
 		p := newPool("s1")
 		for _, stated := range []int{45, 30, 38} {
 			p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 10})
-			_, send := place(is, p, plain())
-			send.RecordStatedLoad(stated)
-			p.Finish(time.Now(), send, pool.EndRefused)
+			_, attempt := place(is, p, plain())
+			attempt.RecordStatedLoad(stated)
+			p.Finish(time.Now(), attempt, pool.EndRefused)
 		}
 		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 23})
 		_, err := p.Choose(time.Now(), plain())
@@ -258,9 +258,9 @@
 		is := is.New(t)
 		p := newPool("s1")
 		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 6})
-		_, send := place(is, p, plain())
-		send.RecordStatedLoad(6)
-		p.Finish(time.Now(), send, pool.EndRefused)
+		_, attempt := place(is, p, plain())
+		attempt.RecordStatedLoad(6)
+		p.Finish(time.Now(), attempt, pool.EndRefused)
 		p.RecordHolderLoad(time.Now(), "s1", pool.Load{Running: 5})
 		_, err := p.Choose(time.Now(), plain())
 		is.NoErr(err)
--- a/internal/placement/pool/pool.go
+++ b/internal/placement/pool/pool.go
@@ -95,8 +95,8 @@
 	Fence   int64
 	Version int64
 	Loaded  []Resident
-	// FreeSlots is how many adapter slots are empty or can be emptied at once. Wait is how long another adapter would
-	// wait for one.
+	// FreeSlots is how many adapter slots are empty or can be emptied at once. SlotWait is how long another adapter
+	// would wait for one.
 	FreeSlots int
 	SlotWait  time.Duration
 	// LoadTime is how long an adapter takes to load there, ReloadTime the same for one that was loaded recently; 0
--- a/internal/placement/pool/pool_test.go
+++ b/internal/placement/pool/pool_test.go
@@ -143,14 +143,14 @@
 		used := map[string]int{}
 		recovered := 0
 		for i := range 400 {
-			choice, send := place(is, p, plain())
+			choice, attempt := place(is, p, plain())
 			took := 30 * time.Millisecond
 			if choice.Upstream.ID == "s1" && time.Since(start) < slowFor {
 				took *= 10
 			}
 			time.Sleep(took)
-			send.RecordAnswer(time.Now())
-			p.Finish(time.Now(), send, pool.EndServed)
+			attempt.RecordAnswer(time.Now())
+			p.Finish(time.Now(), attempt, pool.EndServed)
 			time.Sleep(20 * time.Millisecond)
 			if time.Since(start) < slowFor {
 				used[choice.Upstream.ID]++
@@ -171,14 +171,14 @@
 		p := newPool("s1", "s2", "s3")
 		used := map[string]int{}
 		for i := range 200 {
-			choice, send := place(is, p, plain())
+			choice, attempt := place(is, p, plain())
 			time.Sleep(30 * time.Millisecond)
-			send.RecordAnswer(time.Now())
+			attempt.RecordAnswer(time.Now())
 			end := pool.EndServed
 			if choice.Upstream.ID == "s1" && i%2 == 0 {
 				end = pool.EndFailed
 			}
-			p.Finish(time.Now(), send, end)
+			p.Finish(time.Now(), attempt, end)
 			used[choice.Upstream.ID]++
 		}
 		is.True(used["s1"] < 40)
@@ -191,8 +191,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("s1")
-		_, send := place(is, p, plain())
-		p.Finish(time.Now(), send, pool.EndUnreachable)
+		_, attempt := place(is, p, plain())
+		p.Finish(time.Now(), attempt, pool.EndUnreachable)
 		_, err := p.Choose(time.Now(), plain())
 		is.Equal(err, pool.ErrNoUpstream)
 		time.Sleep(2 * time.Second)
@@ -486,8 +486,8 @@
 		is := is.New(t)
 		p := newPool("e1")
 		resident(p, "e1", "a")
-		_, send := place(is, p, generation("a"))
-		p.Finish(time.Now(), send, pool.EndServed)
+		_, attempt := place(is, p, generation("a"))
+		p.Finish(time.Now(), attempt, pool.EndServed)
 		p.RecordResidency(time.Now(), pool.Residency{Upstream: "e1", Fence: 1, Unreachable: true})
 		_, err := p.Choose(time.Now(), generation("a"))
 		is.NoErr(err)
--- a/internal/placement/pool/running_totals_test.go
+++ b/internal/placement/pool/running_totals_test.go
@@ -13,10 +13,10 @@
 
 // plainSums recomputes from scratch what a pool keeps as running totals.
 type plainSums struct {
-	pool    *pool.Pool
-	now     time.Time
-	sends   map[*pool.Attempt]*sent
-	reports map[string]report
+	pool     *pool.Pool
+	now      time.Time
+	attempts map[*pool.Attempt]*sent
+	reports  map[string]report
 }
 
 type sent struct {
@@ -37,7 +37,7 @@
 
 // expected is what all instances have in flight at an upstream.
 func (s *plainSums) expected(upstream string) (total pool.Load) {
-	for _, one := range s.sends {
+	for _, one := range s.attempts {
 		if one.upstream == upstream {
 			add(&total, one.load)
 		}
@@ -91,8 +91,8 @@
 	if err != nil {
 		return
 	}
-	send := s.pool.Begin(s.now, choice, query)
-	s.sends[send] = &sent{
+	attempt := s.pool.Begin(s.now, choice, query)
+	s.attempts[attempt] = &sent{
 		upstream: choice.Upstream.ID,
 		load:     pool.Load{Running: 1, PromptTokens: query.Tokens, MemoryTokens: query.Tokens + query.Output},
 	}
@@ -100,14 +100,14 @@
 
 // end has a request answered, or finished with or without an answer.
 func (s *plainSums) end(rt *rapid.T) {
-	for send, one := range s.sends {
+	for attempt, one := range s.attempts {
 		if rapid.Bool().Draw(rt, "answered") {
-			send.RecordAnswer(s.now)
+			attempt.RecordAnswer(s.now)
 			one.load.PromptTokens = 0
 		}
 		if rapid.Bool().Draw(rt, "ended") {
-			s.pool.Finish(s.now, send, pool.EndServed)
-			delete(s.sends, send)
+			s.pool.Finish(s.now, attempt, pool.EndServed)
+			delete(s.attempts, attempt)
 		}
 		return
 	}
@@ -115,10 +115,10 @@
 
 func (s *plainSums) forget(upstream string) {
 	s.pool.Remove(upstream)
-	for send, one := range s.sends {
+	for attempt, one := range s.attempts {
 		if one.upstream == upstream {
-			delete(s.sends, send) // an upstream that is declared again starts without them
-			s.pool.Finish(s.now, send, pool.EndOther)
+			delete(s.attempts, attempt) // an upstream that is declared again starts without them
+			s.pool.Finish(s.now, attempt, pool.EndOther)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &plainSums{
 			pool: newPool(sumUpstreams...), now: time.Now(),
-			sends: make(map[*pool.Attempt]*sent), reports: make(map[string]report),
+			attempts: make(map[*pool.Attempt]*sent), reports: make(map[string]report),
 		}
 		for range 60 {
 			s.step(rt)
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -96,13 +96,13 @@
 }
 
 // observe records how long a request took until its first event or answer.
-func (p *Pool) observe(send *Attempt, took time.Duration) {
-	stats := p.statsOf(send.query.Service)
-	if p.isGeneration(send.query) {
-		stats.engine.Observe(send.query.Tokens, backlog(send.found), took)
+func (p *Pool) observe(attempt *Attempt, took time.Duration) {
+	stats := p.statsOf(attempt.query.Service)
+	if p.isGeneration(attempt.query) {
+		stats.engine.Observe(attempt.query.Tokens, backlog(attempt.found), took)
 		return
 	}
-	stats.service.Observe(send.upstream.queued(send.found), took)
+	stats.service.Observe(attempt.upstream.queued(attempt.found), took)
 }
 
 func backlog(load Load) forecast.Backlog {
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -47,8 +47,8 @@
 	// preparing is how many requests of this instance wait for adapters there.
 	preparing int
 
-	sends map[*Attempt]bool
-	// own is the sum of the sends, and peerLoad that of the other instances' loads; both without the adapters in
+	attempts map[*Attempt]bool
+	// own is the sum of the attempts, and peerLoad that of the other instances' loads; both without the adapters in
 	// use.
 	own      Load
 	peerLoad Load
@@ -69,7 +69,7 @@
 	backoff time.Duration
 }
 
-// Attempt is a request in flight at an upstream.
+// Attempt is an attempt to run a request at an upstream.
 type Attempt struct {
 	pool     *Pool
 	upstream *upstream
@@ -89,7 +89,7 @@
 func newUpstream(now time.Time) *upstream {
 	return &upstream{
 		resident: make(map[traffic.Adapter]Resident),
-		sends:    make(map[*Attempt]bool),
+		attempts: make(map[*Attempt]bool),
 		slow:     1,
 		counted:  now,
 		measured: now,
@@ -98,44 +98,44 @@
 
 // Begin counts a request as in flight.
 func (p *Pool) Begin(now time.Time, choice Choice, query Query) *Attempt {
-	send := &Attempt{pool: p, query: query, began: now, upstream: p.upstreams[choice.Upstream.ID]}
-	if u := send.upstream; u != nil {
-		send.found = p.load(now, u)
-		send.isFresh = !p.isLoadStale(now, u)
-		send.typical = p.typicalTime(u, query, send.found)
-		u.sends[send] = true
-		u.own = u.own.plus(send.load())
+	attempt := &Attempt{pool: p, query: query, began: now, upstream: p.upstreams[choice.Upstream.ID]}
+	if u := attempt.upstream; u != nil {
+		attempt.found = p.load(now, u)
+		attempt.isFresh = !p.isLoadStale(now, u)
+		attempt.typical = p.typicalTime(u, query, attempt.found)
+		u.attempts[attempt] = true
+		u.own = u.own.plus(attempt.load())
 		p.activate(u)
 	}
-	return send
+	return attempt
 }
 
 // load is what the request adds to the load of its upstream. Its prompt counts until the first event.
-func (s *Attempt) load() Load {
-	load := Load{Running: 1, MemoryTokens: s.query.Tokens + s.query.Output}
-	if !s.answered {
-		load.PromptTokens = s.query.Tokens
+func (a *Attempt) load() Load {
+	load := Load{Running: 1, MemoryTokens: a.query.Tokens + a.query.Output}
+	if !a.answered {
+		load.PromptTokens = a.query.Tokens
 	}
 	return load
 }
 
 // RecordAnswer records the first event or the whole answer, and reports whether it is the first call.
-func (s *Attempt) RecordAnswer(now time.Time) (first bool) {
-	u := s.upstream
-	if s.answered || u == nil {
+func (a *Attempt) RecordAnswer(now time.Time) (first bool) {
+	u := a.upstream
+	if a.answered || u == nil {
 		return false
 	}
-	s.answered = true
+	a.answered = true
 	u.servedAt = now
-	if u.sends[s] {
-		u.own.PromptTokens -= s.query.Tokens
+	if u.attempts[a] {
+		u.own.PromptTokens -= a.query.Tokens
 	}
-	took := now.Sub(s.began)
-	s.pool.observe(s, took)
-	if s.typical <= 0 {
+	took := now.Sub(a.began)
+	a.pool.observe(a, took)
+	if a.typical <= 0 {
 		return true
 	}
-	sample := float64(took) / float64(s.typical)
+	sample := float64(took) / float64(a.typical)
 	slow := u.slowness(now)
 	u.slow = slow + slownessSampleWeight*(min(sample, maxSample)-slow)
 	u.measured = now
@@ -146,7 +146,7 @@
 const maxSample = 20
 
 // RecordPause records whether a stream that has ended paused for too long.
-func (s *Attempt) RecordPause(late bool) { s.pool.statsOf(s.query.Service).recordPause(late) }
+func (a *Attempt) RecordPause(late bool) { a.pool.statsOf(a.query.Service).recordPause(late) }
 
 // End is the result of a request.
 type End string
@@ -166,14 +166,14 @@
 )
 
 // Finish records how a request ended.
-func (p *Pool) Finish(now time.Time, send *Attempt, end End) {
-	u := send.upstream
+func (p *Pool) Finish(now time.Time, attempt *Attempt, end End) {
+	u := attempt.upstream
 	if u == nil {
 		return
 	}
-	if u.sends[send] {
-		delete(u.sends, send)
-		u.own = u.own.minus(send.load())
+	if u.attempts[attempt] {
+		delete(u.attempts, attempt)
+		u.own = u.own.minus(attempt.load())
 	}
 	switch end {
 	case EndServed:
@@ -184,7 +184,7 @@
 		u.countResult(now, 1)
 	case EndRefused:
 		u.countResult(now, refusalWeight)
-		p.recordRefusal(now, send)
+		p.recordRefusal(now, attempt)
 	case EndUnreachable:
 		u.countResult(now, 1)
 		u.backoff = min(max(2*u.backoff, minBackoff), maxBackoff)
@@ -277,9 +277,9 @@
 
 // inUse lists the adapters that this instance's requests use there.
 func (u *upstream) inUse() (adapters []traffic.Adapter) {
-	for send := range u.sends {
-		if send.query.Adapter.Name != "" {
-			adapters = append(adapters, send.query.Adapter)
+	for attempt := range u.attempts {
+		if attempt.query.Adapter.Name != "" {
+			adapters = append(adapters, attempt.query.Adapter)
 		}
 	}
 	return adapters
