--- a/internal/placement/broker/broker.go
+++ b/internal/placement/broker/broker.go
@@ -104,8 +104,9 @@
 	}
 }
 
-// expire drops permit requests that were not repeated, and permits whose end was not reported within Settings.InFlightTimeout.
-// Their holder may have failed, and its share of the eight loads in flight would be lost permanently.
+// expire drops permit requests that were not repeated, and permits whose end was not reported within
+// Settings.InFlightTimeout. Their holder may have failed, and its share of the eight loads in flight would be lost
+// permanently.
 func (b *Broker) expire(now time.Time) {
 	for load, request := range b.requests {
 		if now.Sub(request.receivedAt) > requestTTL {
--- a/internal/placement/holder/change_of_holder_test.go
+++ b/internal/placement/holder/change_of_holder_test.go
@@ -46,7 +46,7 @@
 	at    time.Time
 }
 
-const simulatedSlots = 3
+const simulatedAdapterSlots = 3
 
 // failedInstance is the owner of the requests of failed instances, which continue to run at the engine.
 const failedInstance = "dead"
@@ -72,7 +72,7 @@
 
 func (s *simulation) newHolder() *holder.Holder {
 	return &holder.Holder{
-		Upstream: resource.Upstream{Meta: resource.Meta{Name: "u"}, Slots: simulatedSlots, Batch: 4, ChecksFencing: s.checksFencing},
+		Upstream: resource.Upstream{Meta: resource.Meta{Name: "u"}, Slots: simulatedAdapterSlots, Batch: 4, ChecksFencing: s.checksFencing},
 		Settings: holder.DefaultSettings(),
 	}
 }
@@ -268,7 +268,7 @@
 		s.evicted++
 	}
 	delete(s.engine, sent.order.Evict)
-	if len(s.engine) >= simulatedSlots {
+	if len(s.engine) >= simulatedAdapterSlots {
 		s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Evicted: true, Cause: holder.CauseNoSlot})
 		return
 	}
--- a/internal/placement/holder/dispatch.go
+++ b/internal/placement/holder/dispatch.go
@@ -15,9 +15,9 @@
 
 // dispatch grants free batch slots, in fair order, to requests whose version is loaded.
 //
-// This is for a full batch with long and short requests mixed. A request whose version is still being loaded is skipped:
-// a slot reserved for it would be wasted. A suspect at the head of the queue blocks the others until it has run alone;
-// otherwise a busy upstream would never be free for it.
+// This is for a full batch with long and short requests mixed. A request whose version is still being loaded is
+// skipped: a batch slot reserved for it would be wasted. A suspect at the head of the queue blocks the others until
+// it has run alone; otherwise a busy upstream would never be free for it.
 func (h *Holder) dispatch(now time.Time) {
 	if !h.mayAct(now) {
 		return
@@ -90,19 +90,19 @@
 	if free {
 		return queue.Occupancy{NextPlace: untilMayAct}
 	}
-	return queue.Occupancy{NextPlace: untilMayAct + h.untilSlotFree(now)}
+	return queue.Occupancy{NextPlace: untilMayAct + h.untilBatchSlotFree(now)}
 }
 
-// maxUntilSlotFree caps the estimated time until a batch slot is free. It is the estimate when an earlier holder
+// maxUntilBatchSlotFree caps the estimated time until a batch slot is free. It is the estimate when an earlier holder
 // granted all running requests, as nothing is known of them.
-const maxUntilSlotFree = 10 * time.Second
+const maxUntilBatchSlotFree = 10 * time.Second
 
-// untilSlotFree returns how long until the first running request is expected to end. The mean time per request would
-// suffice for equal requests. With short and long requests mixed, it would predict free slots while eight long
-// requests occupy them.
-func (h *Holder) untilSlotFree(now time.Time) time.Duration {
+// untilBatchSlotFree returns how long until the first running request is expected to end. The mean time per request
+// would suffice for equal requests. With short and long requests mixed, it would predict free batch slots while eight
+// long requests occupy them.
+func (h *Holder) untilBatchSlotFree(now time.Time) time.Duration {
 	least := h.speed.perRequest / time.Duration(2*max(h.Upstream.Batch, 1)) // for a request that runs longer than expected
-	first := maxUntilSlotFree
+	first := maxUntilBatchSlotFree
 	for _, r := range h.pins.byID {
 		if r.since.IsZero() {
 			continue
--- a/internal/placement/holder/events.go
+++ b/internal/placement/holder/events.go
@@ -16,9 +16,10 @@
 // Event is an input of a holder. It is sealed.
 type Event interface{ event() }
 
-// Request asks for a batch slot for one request. Cost is its expected number of tokens; it must be dispatched by Deadline.
-// Alone marks a request suspected of crashing upstreams: no other request may run beside it. Apart marks a request
-// under weaker suspicion: only a few of these may run concurrently, so that the next crash narrows down the suspects.
+// Request asks for a batch slot for one request. Cost is its expected number of tokens; it must be dispatched by
+// Deadline. Alone marks a request suspected of crashing upstreams: no other request may run beside it. Apart marks a
+// request under weaker suspicion: only a few of these may run concurrently, so that the next crash narrows down the
+// suspects.
 type Request struct {
 	ID          string
 	Instance    string
@@ -49,7 +50,7 @@
 const (
 	// CauseStaleFence: the engine has seen a newer epoch, so this instance is no longer the holder.
 	CauseStaleFence Cause = "stale_fence"
-	// CauseNoSlot: the engine has no free slot, as it holds versions unknown to the holder.
+	// CauseNoSlot: the engine has no free adapter slot, as it holds versions unknown to the holder.
 	CauseNoSlot Cause = "no_slot"
 	// CauseInUse: the engine is still running a request on the version to be evicted.
 	CauseInUse Cause = "in_use"
--- a/internal/placement/holder/eviction.go
+++ b/internal/placement/holder/eviction.go
@@ -81,11 +81,11 @@
 		return victim, false
 	}
 	least := math.Inf(1)
-	for ref, s := range h.residency.resident {
-		if h.pins.isPinned(ref) || s.orphaned || awaited.contains(ref) || now.Before(s.protectedUntil) {
+	for ref, v := range h.residency.resident {
+		if h.pins.isPinned(ref) || v.orphaned || awaited.contains(ref) || now.Before(v.protectedUntil) {
 			continue
 		}
-		value := h.evictionScore(now, ref, s)
+		value := h.evictionScore(now, ref, v)
 		if value < least || (value == least && lessReference(ref, victim)) {
 			least = value
 			victim = ref
@@ -96,10 +96,10 @@
 }
 
 // evictionScore returns the version's eviction score; the lowest is evicted first.
-func (h *Holder) evictionScore(now time.Time, ref model.Reference, s slot) float64 {
+func (h *Holder) evictionScore(now time.Time, ref model.Reference, v residentVersion) float64 {
 	switch h.Settings.Eviction.(type) {
 	case LeastRecentlyUsed:
-		return -now.Sub(s.usedAt).Seconds()
+		return -now.Sub(v.usedAt).Seconds()
 	default:
 		return h.demand.discounted(now, ref)
 	}
@@ -107,12 +107,12 @@
 
 // coldest returns the cost of the next load: the recent demand for the version that it evicts.
 func (h *Holder) coldest(now time.Time) float64 {
-	if h.freeSlots() > 0 {
+	if h.freeAdapterSlots() > 0 {
 		return 0
 	}
 	least := math.Inf(1)
-	for ref, s := range h.residency.resident {
-		if !h.pins.isPinned(ref) && !s.orphaned {
+	for ref, v := range h.residency.resident {
+		if !h.pins.isPinned(ref) && !v.orphaned {
 			least = min(least, h.demand.discounted(now, ref))
 		}
 	}
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -10,11 +10,11 @@
 
 // holder.go routes each event to its handler and queues or refuses requests.
 
-// retryElsewhere is the retry time for a caller of an instance that is not the holder, or of an upstream that accepts no
-// work: by then heartbeats have announced the new holder.
+// retryElsewhere is the retry time for a caller of an instance that is not the holder, or of an upstream that accepts
+// no work: by then heartbeats have announced the current holder.
 const retryElsewhere = time.Second
 
-// networkDelay is the network delay of a grant to the instance and of the request from there to the upstream. Without this
+// networkDelay is the delay of a grant to the instance and of the request from there to the upstream. Without this
 // margin a request granted just before its deadline would be dispatched after it, when its caller has given up.
 const networkDelay = 10 * time.Millisecond
 
@@ -95,7 +95,7 @@
 	Resident   []model.Reference
 	Healthy    bool
 	// Coldest is the recent demand, in requests, of the version that would be evicted next; zero while
-	// a slot is free.
+	// an adapter slot is free.
 	Coldest float64
 }
 
--- a/internal/placement/holder/holder_test.go
+++ b/internal/placement/holder/holder_test.go
@@ -66,8 +66,8 @@
 	return orders[0], grants[0]
 }
 
-// Two callers use two adapters on an engine with two slots, and a third adapter is requested. If one of the two were
-// evicted, its caller would get a truncated answer, or an answer by the wrong adapter.
+// Two callers use two adapters on an engine with two adapter slots, and a third adapter is requested. If one of the
+// two were evicted, its caller would get a truncated answer, or an answer by the wrong adapter.
 func TestPinnedVersionIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/holder/loads.go
+++ b/internal/placement/holder/loads.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// requestPermit requests a permit once there is a slot to load into.
+// requestPermit requests a permit once there is an adapter slot to load into.
 func (h *Holder) requestPermit(now time.Time, version awaitedVersion, l *load, awaited *awaitedVersions) {
-	if h.freeSlots() == 0 {
+	if h.freeAdapterSlots() == 0 {
 		if _, ok := h.victim(now, awaited); !ok {
 			return
 		}
@@ -163,8 +163,8 @@
 	})
 }
 
-// orderLoad orders a permitted load, unless it would finish too late for all requests that wait for it: it would then use
-// the weight store's capacity without serving any of them.
+// orderLoad orders a permitted load, unless it would finish too late for all requests that wait for it: it would then
+// use the weight store's capacity without serving any of them.
 func (h *Holder) orderLoad(now time.Time, version awaitedVersion, l *load, awaited *awaitedVersions) {
 	if now.Add(h.times.fromOrder).After(version.lastDeadline) {
 		h.refuseModel(version.ref, ReasonBusy, h.times.fromOrder)
@@ -173,7 +173,7 @@
 		return
 	}
 	evict := model.Reference{}
-	if h.freeSlots() <= 0 {
+	if h.freeAdapterSlots() <= 0 {
 		victim, ok := h.victim(now, awaited)
 		if !ok {
 			return
@@ -188,8 +188,8 @@
 	h.emit(OrderLoad{Load: version.ref, Evict: evict, Fence: h.tenure.epoch})
 }
 
-// freeSlots counts the slots that neither hold a version nor are reserved for an ordered one.
-func (h *Holder) freeSlots() int {
+// freeAdapterSlots counts the adapter slots that neither hold a version nor are reserved for an ordered one.
+func (h *Holder) freeAdapterSlots() int {
 	free := h.Upstream.Slots - len(h.residency.resident)
 	for _, l := range h.loads {
 		if l.state == loadOrdered {
--- a/internal/placement/holder/residency.go
+++ b/internal/placement/holder/residency.go
@@ -13,10 +13,10 @@
 
 type residency struct {
 	// known is false until a report has listed all loaded versions, and again after an order with an
-	// unknown outcome. While the free slots are unknown no loads are ordered; see residencyKnown.
+	// unknown outcome. While the free adapter slots are unknown no loads are ordered; see residencyKnown.
 	known       bool
 	incarnation string
-	resident    map[model.Reference]slot
+	resident    map[model.Reference]residentVersion
 	// ignoreReportsUntil holds, for each evicted version, the time from which reports that list it are accepted.
 	// A report made while the eviction is in progress still lists the version. If it were accepted, a request would
 	// be sent to a version that is evicted while the request runs.
@@ -25,10 +25,10 @@
 	unknownSince time.Time
 }
 
-// slot is a loaded version. since is when the load became known, usedAt the last use, and protectedUntil the time until
-// which the upstream is assumed to run a request on it that has no pin. orphaned is true from the first report that lists
-// the version until a report shows it without running requests.
-type slot struct {
+// residentVersion is a loaded version; it takes one adapter slot. since is when the load became known, usedAt the last
+// use, and protectedUntil the time until which the upstream is assumed to run a request on it that has no pin.
+// orphaned is true from the first report that lists the version until a report shows it without running requests.
+type residentVersion struct {
 	since          time.Time
 	usedAt         time.Time
 	protectedUntil time.Time
@@ -36,7 +36,7 @@
 }
 
 func newResidency() residency {
-	return residency{resident: make(map[model.Reference]slot), ignoreReportsUntil: make(map[model.Reference]time.Time)}
+	return residency{resident: make(map[model.Reference]residentVersion), ignoreReportsUntil: make(map[model.Reference]time.Time)}
 }
 
 func (r *residency) has(ref model.Reference) bool {
@@ -45,13 +45,13 @@
 }
 
 func (r *residency) markUsed(now time.Time, ref model.Reference) {
-	s := r.resident[ref]
-	s.usedAt = now
-	r.resident[ref] = s
+	v := r.resident[ref]
+	v.usedAt = now
+	r.resident[ref] = v
 }
 
 func (r *residency) add(now time.Time, ref model.Reference) {
-	r.resident[ref] = slot{since: now, usedAt: now}
+	r.resident[ref] = residentVersion{since: now, usedAt: now}
 	delete(r.ignoreReportsUntil, ref)
 }
 
@@ -62,9 +62,9 @@
 
 // protect protects the version from eviction until the given time.
 func (r *residency) protect(ref model.Reference, until time.Time) {
-	s := r.resident[ref]
-	s.protectedUntil = until
-	r.resident[ref] = s
+	v := r.resident[ref]
+	v.protectedUntil = until
+	r.resident[ref] = v
 }
 
 // ignoreReportsBefore makes reports of the version ignored if they were made before from.
@@ -119,8 +119,8 @@
 		}
 	}
 	r.clearOrphaned(running)
-	for ref, s := range r.resident {
-		if !seen[ref] && s.since.Before(madeAt) {
+	for ref, v := range r.resident {
+		if !seen[ref] && v.since.Before(madeAt) {
 			delete(r.resident, ref)
 		}
 	}
@@ -136,17 +136,17 @@
 }
 
 func (r *residency) markOrphaned(ref model.Reference) {
-	s := r.resident[ref]
-	s.orphaned = true
-	r.resident[ref] = s
+	v := r.resident[ref]
+	v.orphaned = true
+	r.resident[ref] = v
 }
 
 // clearOrphaned clears the orphaned mark of the versions that no longer have running requests.
 func (r *residency) clearOrphaned(running []model.Reference) {
-	for ref, s := range r.resident {
-		if s.orphaned && !slices.Contains(running, ref) {
-			s.orphaned = false
-			r.resident[ref] = s
+	for ref, v := range r.resident {
+		if v.orphaned && !slices.Contains(running, ref) {
+			v.orphaned = false
+			r.resident[ref] = v
 		}
 	}
 }
@@ -186,8 +186,8 @@
 	}
 }
 
-// residencyKnown reports whether the free slots are known. If an upstream sends no reports, the holder continues
-// after Settings.OrderTimeout, as a load that finds no free slot is refused without harm.
+// residencyKnown reports whether the free adapter slots are known. If an upstream sends no reports, the holder
+// continues after Settings.OrderTimeout, as a load that finds no free adapter slot is refused without harm.
 func (h *Holder) residencyKnown(now time.Time) bool {
 	if h.residency.known {
 		return true
--- a/internal/placement/residence/capacity.go
+++ b/internal/placement/residence/capacity.go
@@ -6,11 +6,11 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// capacity.go counts slots and memory, and selects the adapter to evict.
+// capacity.go counts adapter slots and memory, and selects the adapter to evict.
 
 func (p *Planner) loadsInProgress() (count int) {
-	for adapter, s := range p.slots {
-		if adapter.Name != "" && (s.state == loading || s.loadingVersion > 0) {
+	for adapter, r := range p.residents {
+		if adapter.Name != "" && (r.state == loading || r.loadingVersion > 0) {
 			count++
 		}
 	}
@@ -18,7 +18,7 @@
 }
 
 func (p *Planner) adapterCount() (count int) {
-	for adapter := range p.slots {
+	for adapter := range p.residents {
 		if adapter.Name != "" {
 			count++
 		}
@@ -32,7 +32,7 @@
 		return true
 	}
 	total := p.size(adapter)
-	for present := range p.slots {
+	for present := range p.residents {
 		total += p.size(present)
 	}
 	return total <= p.Engine.WeightsMB
@@ -53,11 +53,11 @@
 
 // victim returns the least recently used idle adapter.
 func (p *Planner) victim(now time.Time) (victim traffic.Adapter, found bool) {
-	for adapter, s := range p.slots {
-		if adapter.Name == "" || !p.isIdle(now, adapter, s) {
+	for adapter, r := range p.residents {
+		if adapter.Name == "" || !p.isIdle(now, adapter, r) {
 			continue
 		}
-		if !found || s.usedAt.Before(p.slots[victim].usedAt) {
+		if !found || r.usedAt.Before(p.residents[victim].usedAt) {
 			victim = adapter
 			found = true
 		}
@@ -65,8 +65,8 @@
 	return victim, found
 }
 
-func (p *Planner) isIdle(now time.Time, adapter traffic.Adapter, s *slot) bool {
-	if s.state != loaded || s.loadingVersion != 0 || p.inUse[adapter] || now.Before(s.reservedUntil) {
+func (p *Planner) isIdle(now time.Time, adapter traffic.Adapter, r *resident) bool {
+	if r.state != loaded || r.loadingVersion != 0 || p.inUse[adapter] || now.Before(r.reservedUntil) {
 		return false
 	}
 	_, awaited := p.waiters[adapter]
--- a/internal/placement/residence/load_times.go
+++ b/internal/placement/residence/load_times.go
@@ -17,7 +17,7 @@
 }
 
 // firstPoll returns the delay between a load order and the first poll of its completion.
-func (p *Planner) firstPoll(adapter traffic.Adapter, s *slot) time.Duration {
+func (p *Planner) firstPoll(adapter traffic.Adapter, r *resident) time.Duration {
 	if adapter.Name == "" {
 		for _, model := range p.Engine.Models {
 			if model.Name == adapter.Model {
@@ -25,19 +25,19 @@
 			}
 		}
 	}
-	return p.loadForecast(s).FirstPoll()
+	return p.loadForecast(r).FirstPoll()
 }
 
 // pollDelay returns the interval between two polls of a load's completion.
-func (p *Planner) pollDelay(adapter traffic.Adapter, s *slot) time.Duration {
-	if adapter.Name == "" || s.orderedAt.IsZero() {
+func (p *Planner) pollDelay(adapter traffic.Adapter, r *resident) time.Duration {
+	if adapter.Name == "" || r.orderedAt.IsZero() {
 		return pollInterval
 	}
-	return p.loadForecast(s).NextPoll()
+	return p.loadForecast(r).NextPoll()
 }
 
-func (p *Planner) loadForecast(s *slot) *forecast.Load {
-	if s.reload {
+func (p *Planner) loadForecast(r *resident) *forecast.Load {
+	if r.reload {
 		return &p.reloads
 	}
 	return &p.fullLoads
@@ -51,11 +51,11 @@
 	}
 }
 
-// recordLoadTime records how long a load took. It skips a load whose order was not given by this planner, and one that
+// recordLoadTime records how long a load took. It skips a load that was not tracked from its order on, and one that
 // replaced a version, as that waits for the requests that use the old version.
-func (p *Planner) recordLoadTime(now time.Time, adapter traffic.Adapter, s *slot) {
-	if adapter.Name != "" && s.state == loading && !s.orderedAt.IsZero() && s.polls > 0 {
-		p.loadForecast(s).Done(now.Sub(s.orderedAt), s.polls == 1)
+func (p *Planner) recordLoadTime(now time.Time, adapter traffic.Adapter, r *resident) {
+	if adapter.Name != "" && r.state == loading && !r.orderedAt.IsZero() && r.polls > 0 {
+		p.loadForecast(r).Done(now.Sub(r.orderedAt), r.polls == 1)
 	}
-	s.orderedAt = time.Time{}
+	r.orderedAt = time.Time{}
 }
--- a/internal/placement/residence/load_times_test.go
+++ b/internal/placement/residence/load_times_test.go
@@ -11,8 +11,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/residence"
 )
 
-// An engine loads adapters much more slowly or quickly than the other engines. With their load times, each load would be
-// polled thirty times, or requests would wait for adapters that were loaded long before.
+// An engine loads adapters much more slowly or quickly than the other engines. With their load times, each load would
+// be polled thirty times, or requests would wait for adapters that were loaded long before.
 func TestLoadTimesOfSlowAndFastEnginesAreLearned(t *testing.T) {
 	for _, took := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
--- a/internal/placement/residence/orders.go
+++ b/internal/placement/residence/orders.go
@@ -8,7 +8,8 @@
 
 // orders.go selects the next order for the upstream.
 
-// nextLoad returns the next order that serves the waiting requests: a load, or an unload that frees a slot for it.
+// nextLoad returns the next order that serves the waiting requests: a load, or an unload that frees an adapter slot
+// for it.
 func (p *Planner) nextLoad(now time.Time) (order Order, found bool) {
 	if model, missing := p.missingModel(now); missing {
 		return Order{Adapter: model}, true
@@ -20,8 +21,8 @@
 		return Order{Adapter: adapter, Version: version}, true
 	}
 	for _, adapter := range p.adaptersByUrgency(now) {
-		s := p.slots[adapter]
-		if s != nil || adapter.Name == "" {
+		r := p.residents[adapter]
+		if r != nil || adapter.Name == "" {
 			continue
 		}
 		if p.loadsInProgress() >= maxConcurrentLoads {
@@ -41,7 +42,7 @@
 
 // missingModel returns the base model to load if none is loaded: the one that requests wait for, or else the first.
 func (p *Planner) missingModel(now time.Time) (traffic.Adapter, bool) {
-	for adapter := range p.slots {
+	for adapter := range p.residents {
 		if adapter.Name == "" {
 			return traffic.Adapter{}, false
 		}
@@ -57,8 +58,8 @@
 
 // isReplacing reports whether a version is being replaced or a base model is being loaded.
 func (p *Planner) isReplacing() bool {
-	for adapter, s := range p.slots {
-		if s.loadingVersion > 0 && (s.state == loaded || adapter.Name == "") {
+	for adapter, r := range p.residents {
+		if r.loadingVersion > 0 && (r.state == loaded || adapter.Name == "") {
 			return true
 		}
 	}
@@ -68,11 +69,11 @@
 // staleVersion returns a loaded adapter that has a newer declared version, if requests wait for it or used it within
 // replaceIfUsedWithin.
 func (p *Planner) staleVersion(now time.Time) (adapter traffic.Adapter, version int64, found bool) {
-	for adapter, s := range p.slots {
-		if s.state != loaded || s.loadingVersion != 0 || s.version >= p.newest[adapter] {
+	for adapter, r := range p.residents {
+		if r.state != loaded || r.loadingVersion != 0 || r.version >= p.newest[adapter] {
 			continue
 		}
-		if p.waiters[adapter] != nil || now.Sub(s.usedAt) < replaceIfUsedWithin {
+		if p.waiters[adapter] != nil || now.Sub(r.usedAt) < replaceIfUsedWithin {
 			return adapter, p.newest[adapter], true
 		}
 	}
--- a/internal/placement/residence/outcomes.go
+++ b/internal/placement/residence/outcomes.go
@@ -19,8 +19,8 @@
 	if outcome != NoAnswer {
 		p.unanswered = nil
 	}
-	if s := p.slots[order.Adapter]; s != nil && outcome != NoAnswer {
-		s.unloadOrdered = false
+	if r := p.residents[order.Adapter]; r != nil && outcome != NoAnswer {
+		r.unloadOrdered = false
 	}
 	switch outcome {
 	case Accepted:
@@ -40,8 +40,8 @@
 	}
 }
 
-// scheduleRepeat schedules the order's repetition; after maxRepeats repeats it waits for a report first. The order is kept
-// until the upstream has accepted it or another one: until then the first copy may still be executed.
+// scheduleRepeat schedules the order's repetition; after maxRepeats repeats it waits for a report first. The order is
+// kept until the upstream has accepted it or another one: until then the first copy may still be executed.
 func (p *Planner) scheduleRepeat(now time.Time, order Order) {
 	if p.unanswered == nil {
 		p.repeats = 0
@@ -55,61 +55,61 @@
 	}
 }
 
-// invalidate marks the upstream's state as unknown. The planner gives no order until it has a report newer than the last
-// order, and fetches one after the given wait.
+// invalidate marks the upstream's state as unknown. The planner gives no order until it has a report newer than the
+// last order, and fetches one after the given wait.
 func (p *Planner) invalidate(now time.Time, wait time.Duration) {
 	p.stateKnown = false
 	p.fetchAt = now.Add(wait)
 }
 
 func (p *Planner) recordAccepted(now time.Time, order Order) {
-	s := p.slots[order.Adapter]
-	if s != nil && (s.state == unloading && order.Unload || s.loadingVersion > 0 && !order.Unload) {
-		s.pollAt = now.Add(p.pollDelay(order.Adapter, s)) // the answer to a poll: the order is still being executed
+	r := p.residents[order.Adapter]
+	if r != nil && (r.state == unloading && order.Unload || r.loadingVersion > 0 && !order.Unload) {
+		r.pollAt = now.Add(p.pollDelay(order.Adapter, r)) // the answer to a poll: the order is still being executed
 		return
 	}
 	p.sequence = order.Sequence + 1
 	if order.Unload {
-		if s != nil {
-			s.state = unloading
-			s.pollAt = now.Add(pollInterval)
+		if r != nil {
+			r.state = unloading
+			r.pollAt = now.Add(pollInterval)
 		}
 		return
 	}
-	if s == nil {
-		s = &slot{state: loading, usedAt: now}
-		p.slots[order.Adapter] = s
+	if r == nil {
+		r = &resident{state: loading, usedAt: now}
+		p.residents[order.Adapter] = r
 	}
-	s.loadingVersion = max(order.Version, p.newest[order.Adapter], 1)
-	s.orderedVersion = order.Version
-	s.reload = slices.Contains(p.recent, order.Adapter)
-	s.orderedAt = now
-	s.polls = 0
-	s.pollAt = now.Add(p.firstPoll(order.Adapter, s))
+	r.loadingVersion = max(order.Version, p.newest[order.Adapter], 1)
+	r.orderedVersion = order.Version
+	r.reload = slices.Contains(p.recent, order.Adapter)
+	r.orderedAt = now
+	r.polls = 0
+	r.pollAt = now.Add(p.firstPoll(order.Adapter, r))
 	p.rememberRecent(order.Adapter)
 }
 
 // recordDone records that a load or unload has finished, by this order or an earlier one.
 func (p *Planner) recordDone(now time.Time, order Order, repeated bool) {
-	s := p.slots[order.Adapter]
+	r := p.residents[order.Adapter]
 	if order.Unload {
-		if s == nil || s.state != unloading {
+		if r == nil || r.state != unloading {
 			p.sequence = order.Sequence + 1
 		}
-		delete(p.slots, order.Adapter)
+		delete(p.residents, order.Adapter)
 		return
 	}
-	if s == nil {
-		s = &slot{}
-		p.slots[order.Adapter] = s
+	if r == nil {
+		r = &resident{}
+		p.residents[order.Adapter] = r
 	}
-	if repeated && s.loadingVersion == 0 {
+	if repeated && r.loadingVersion == 0 {
 		p.sequence = order.Sequence + 1
 	}
-	p.recordLoadTime(now, order.Adapter, s)
-	s.state = loaded
-	s.version = max(order.Version, s.version, s.loadingVersion)
-	s.loadingVersion = 0
-	s.usedAt = now
-	s.reservedUntil = now.Add(reservationTime)
+	p.recordLoadTime(now, order.Adapter, r)
+	r.state = loaded
+	r.version = max(order.Version, r.version, r.loadingVersion)
+	r.loadingVersion = 0
+	r.usedAt = now
+	r.reservedUntil = now.Add(reservationTime)
 }
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -33,8 +33,8 @@
 	// reservationTime is how long an adapter that was just prepared for a request counts as in use, unless its use is
 	// reported earlier: instances notify the holder at once when they begin or end using an adapter.
 	reservationTime = 350 * time.Millisecond
-	// defaultTurnover is the estimated time that an adapter occupies a slot, used until a pace was measured: a load
-	// and a short stream. The measured pace is a moving mean over the last few grants. Gaps longer than
+	// defaultTurnover is the estimated time that an adapter occupies an adapter slot, used until a pace was measured:
+	// a load and a short stream. The measured pace is a moving mean over the last few grants. Gaps longer than
 	// maxPace are ignored: during them no adapter waited.
 	defaultTurnover = 700 * time.Millisecond
 	paceWeight      = 0.2
@@ -52,7 +52,7 @@
 	// ReloadGuess is the same for a load from a recent copy near the upstream.
 	ReloadGuess time.Duration
 
-	// stateKnown is true while sequence and slots match the upstream's state as far as its answers show.
+	// stateKnown is true while sequence and residents match the upstream's state as far as its answers show.
 	stateKnown bool
 	// reported is true once a report was applied, confirmed once a second one agreed; see ApplyReport.
 	reported   bool
@@ -61,7 +61,7 @@
 	sequence   int64
 	reportedAt time.Time
 	fetchAt    time.Time
-	slots      map[traffic.Adapter]*slot
+	residents  map[traffic.Adapter]*resident
 	waiters    map[traffic.Adapter]*waiterGroup
 	newest     map[traffic.Adapter]int64
 	inUse      map[traffic.Adapter]bool
@@ -85,11 +85,12 @@
 	unloading
 )
 
-// slot holds an adapter or a base model in the upstream's memory.
-type slot struct {
+// resident is an adapter or a base model in the upstream's memory. Each adapter takes one adapter slot.
+type resident struct {
 	state   state
 	version int64
-	// loadingVersion is the version of a load in progress, 0 if there is none. orderedVersion is the version in the order.
+	// loadingVersion is the version of a load in progress, 0 if there is none. orderedVersion is the version in the
+	// order.
 	loadingVersion int64
 	orderedVersion int64
 	pollAt         time.Time
@@ -125,16 +126,16 @@
 // Has reports whether an adapter is loaded in the given version or a newer one, and reserves it for the request that
 // is about to use it. at is the loaded version.
 func (p *Planner) Has(now time.Time, adapter traffic.Adapter, version int64) (at int64, ok bool) {
-	s := p.slots[adapter]
-	if !p.stateKnown || s == nil || s.state != loaded || s.version < version || s.unloadOrdered {
+	r := p.residents[adapter]
+	if !p.stateKnown || r == nil || r.state != loaded || r.version < version || r.unloadOrdered {
 		return 0, false
 	}
-	if s.loadingVersion > s.version {
+	if r.loadingVersion > r.version {
 		return 0, false // being replaced: the upstream refuses its requests until that has finished
 	}
-	s.usedAt = now
-	s.reservedUntil = now.Add(reservationTime)
-	return s.version, true
+	r.usedAt = now
+	r.reservedUntil = now.Add(reservationTime)
+	return r.version, true
 }
 
 // Use sets which adapters have requests in flight, over all instances.
@@ -142,27 +143,28 @@
 	p.inUse = make(map[traffic.Adapter]bool, len(adapters))
 	for _, adapter := range adapters {
 		p.inUse[adapter] = true
-		if s := p.slots[adapter]; s != nil {
-			s.usedAt = now
-			s.reservedUntil = time.Time{}
+		if r := p.residents[adapter]; r != nil {
+			r.usedAt = now
+			r.reservedUntil = time.Time{}
 		}
 	}
 }
 
-// Residents lists the adapters and models that are loaded or loading, and returns how many slots are empty or idle.
+// Residents lists the adapters and models that are loaded or loading, and returns how many adapter slots are empty or
+// idle.
 func (p *Planner) Residents(now time.Time) (list []pool.Resident, idle int) {
-	for adapter, s := range p.slots {
-		if s.state == unloading {
+	for adapter, r := range p.residents {
+		if r.state == unloading {
 			continue
 		}
 		list = append(list, pool.Resident{
 			Adapter:   adapter,
-			Version:   s.version,
-			InTransit: s.state == loading || s.loadingVersion > s.version,
+			Version:   r.version,
+			InTransit: r.state == loading || r.loadingVersion > r.version,
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Adapter.String() < list[j].Adapter.String() })
-	return list, p.Engine.AdapterPlaces - p.occupiedSlots(now)
+	return list, p.Engine.AdapterPlaces - p.occupiedAdapterSlots(now)
 }
 
 // ---------------------------------------------------------------------------------------------
@@ -198,7 +200,7 @@
 	if order, found := p.nextLoad(now); found {
 		order.Sequence = p.sequence
 		if order.Unload {
-			p.slots[order.Adapter].unloadOrdered = true
+			p.residents[order.Adapter].unloadOrdered = true
 		}
 		return Give{Order: order}
 	}
@@ -208,7 +210,7 @@
 	return Rest{Until: until}
 }
 
-// idlePollInterval is the poll interval for slots that became idle while an adapter waits for one.
+// idlePollInterval is the poll interval for adapter slots that became idle while an adapter waits for one.
 const idlePollInterval = 20 * time.Millisecond
 
 func later(a, b time.Time) time.Time {
@@ -220,22 +222,22 @@
 
 // nextPoll repeats the order whose completion is due to be polled, or returns when the next poll is due.
 func (p *Planner) nextPoll(now time.Time) (order Order, at time.Time, found bool) {
-	for adapter, s := range p.slots {
-		if s.state == loaded && s.loadingVersion == 0 {
+	for adapter, r := range p.residents {
+		if r.state == loaded && r.loadingVersion == 0 {
 			continue
 		}
-		if now.Before(s.pollAt) {
-			if at.IsZero() || s.pollAt.Before(at) {
-				at = s.pollAt
+		if now.Before(r.pollAt) {
+			if at.IsZero() || r.pollAt.Before(at) {
+				at = r.pollAt
 			}
 			continue
 		}
-		s.pollAt = now.Add(p.pollDelay(adapter, s))
-		s.polls++
+		r.pollAt = now.Add(p.pollDelay(adapter, r))
+		r.polls++
 		return Order{
-			Unload:   s.state == unloading,
+			Unload:   r.state == unloading,
 			Adapter:  adapter,
-			Version:  s.orderedVersion,
+			Version:  r.orderedVersion,
 			Sequence: p.sequence,
 		}, at, true
 	}
@@ -244,8 +246,8 @@
 
 // ensureInitialised makes the zero value usable.
 func (p *Planner) ensureInitialised() {
-	if p.slots == nil {
-		p.slots = make(map[traffic.Adapter]*slot)
+	if p.residents == nil {
+		p.residents = make(map[traffic.Adapter]*resident)
 		p.waiters = make(map[traffic.Adapter]*waiterGroup)
 		p.newest = make(map[traffic.Adapter]int64)
 		p.fullLoads.Guess = cmp.Or(p.LoadGuess, forecast.GuessLoad)
--- a/internal/placement/residence/planner_test.go
+++ b/internal/placement/residence/planner_test.go
@@ -21,14 +21,14 @@
 // engine simulates an upstream: it counts accepted orders, takes some time to load, and may execute an order late or
 // lose its answer.
 type engine struct {
-	slots    int
-	sequence int64
-	loaded   map[string]int64
-	loading  map[string]time.Time
-	delayed  []delayedOrder
-	inUse    map[string]bool
-	newest   map[string]int64
-	faults   []string
+	adapterSlots int
+	sequence     int64
+	loaded       map[string]int64
+	loading      map[string]time.Time
+	delayed      []delayedOrder
+	inUse        map[string]bool
+	newest       map[string]int64
+	faults       []string
 	// fence is the current holder's fencing token, highestFence the highest one received with an order.
 	fence, highestFence int
 	// shownAt is when a report first lists a loaded adapter: reports lag.
@@ -41,16 +41,17 @@
 	fence int
 }
 
-func newEngine(slots int) *engine {
+func newEngine(adapterSlots int) *engine {
 	return &engine{
-		slots: slots, loaded: map[string]int64{}, loading: map[string]time.Time{},
+		adapterSlots: adapterSlots, loaded: map[string]int64{}, loading: map[string]time.Time{},
 		inUse: map[string]bool{}, newest: map[string]int64{}, shownAt: map[string]time.Time{},
 	}
 }
 
 const (
 	loadTime = 250 * time.Millisecond
-	// reportDelay is the delay until a report lists a finished load as loaded; it is no longer listed as pending at once.
+	// reportDelay is the delay until a report lists a finished load as loaded. The load leaves the list of pending
+	// loads without delay.
 	reportDelay = 200 * time.Millisecond
 )
 
@@ -103,8 +104,8 @@
 	}
 	e.loading[name] = time.Now().Add(loadTime)
 	delete(e.loaded, name)
-	if len(e.loaded)+len(e.loading) > e.slots {
-		e.faults = append(e.faults, fmt.Sprintf("%d adapters in %d slots", len(e.loaded)+len(e.loading), e.slots))
+	if len(e.loaded)+len(e.loading) > e.adapterSlots {
+		e.faults = append(e.faults, fmt.Sprintf("%d adapters in %d adapter slots", len(e.loaded)+len(e.loading), e.adapterSlots))
 	}
 	return residence.Accepted
 }
@@ -125,8 +126,8 @@
 	return report
 }
 
-func newPlanner(slots int) *residence.Planner {
-	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: slots, Models: []traffic.Model{{Name: model}}}}
+func newPlanner(adapterSlots int) *residence.Planner {
+	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: adapterSlots, Models: []traffic.Model{{Name: model}}}}
 }
 
 // drive executes the planner's steps for the duration d. For each order, fault returns whether its answer is lost, and
@@ -213,8 +214,8 @@
 	})
 }
 
-// All slots hold adapters that serve requests. Evicting one would abort its requests, or delay new requests for it. The
-// new adapter waits until the first of them is idle.
+// All adapter slots hold adapters that serve requests. Evicting one would abort its requests, or delay new requests
+// for it. The new adapter waits until the first of them is idle.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -234,10 +235,11 @@
 	})
 }
 
-// All slots are in use and requests wait for a dozen adapters. A request that can be on time for one more second would
-// get its adapter long after that: requests that can be on time overtake it repeatedly, and its caller would wait until
-// the deadline. It is refused at once with a retry time, and so is a request that became late while it waited. A late
-// request still gets a slot that is free or about to be free, and an adapter that is being loaded.
+// All adapter slots are in use and requests wait for a dozen adapters. A request that can be on time for one more
+// second would get its adapter long after that: requests that can be on time overtake it repeatedly, and its caller
+// would wait until the deadline. It is refused at once with a retry time, and so is a request that became late while
+// it waited. A late request still gets an adapter slot that is free or about to be free, and an adapter that is being
+// loaded.
 func TestRequestThatCannotBeOnTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,7 +249,7 @@
 		drive(p, e, startUpTime, noFaults)
 		past := time.Now().Add(-time.Second)
 		wait, tooLate := p.Hopeless(time.Now(), adapter("c"), past)
-		is.True(!tooLate) // the third slot is free
+		is.True(!tooLate) // the third adapter slot is free
 		is.Equal(wait, time.Duration(0))
 		want(p, "c", 1, time.Second)
 		drive(p, e, 50*time.Millisecond, noFaults)
@@ -264,8 +266,8 @@
 	})
 }
 
-// Requests wait for more adapters than there are slots. Served in the order of arrival all would be late, so those
-// that can still be on time go first.
+// Requests wait for more adapters than there are adapter slots. Served in the order of arrival all would be late, so
+// those that can still be on time go first.
 func TestRequestsOnTimeGoBeforeLateOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -283,8 +285,8 @@
 	})
 }
 
-// A caller cancels while its adapter waits for a slot. Loading the adapter anyway would evict one that is in use, with
-// no request to serve.
+// A caller cancels while its adapter waits for an adapter slot. Loading the adapter anyway would evict one that is in
+// use, with no request to serve.
 func TestNoLoadAfterCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -339,8 +341,8 @@
 }
 
 // A new holder takes over an upstream right after an adapter was loaded there. The first report lists the adapter
-// neither as pending any more nor as loaded yet. If the holder trusted it, a slot would look free, and the load ordered
-// into that slot would crash the upstream.
+// neither as pending any more nor as loaded yet. If the holder trusted it, an adapter slot would look free, and the
+// load ordered into that adapter slot would crash the upstream.
 func TestNewHolderDoesNotTrustItsFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -352,7 +354,7 @@
 		e.inUse["a"] = true
 		drive(p, e, time.Second, noFaults)
 		is.Equal(len(e.faults), 0)
-		is.True(isLoaded(p, "c")) // and it is still loaded, into a slot that was freed for it
+		is.True(isLoaded(p, "c")) // and it is still loaded, into an adapter slot that was freed for it
 	})
 }
 
@@ -371,13 +373,13 @@
 }
 
 // Answers are lost, orders are executed late and holders are replaced while requests wait for adapters and use them.
-// The upstream crashes if it is ordered to load more adapters than it has slots for, and evicting an adapter in use
-// aborts its requests. Neither may ever happen.
+// The upstream crashes if it is ordered to load more adapters than it has adapter slots for, and evicting an adapter
+// in use aborts its requests. Neither may ever happen.
 func TestNoOrderOverfillsOrEvictsWhatIsUsed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
-			slots := rapid.IntRange(1, 4).Draw(rt, "places")
-			p, e := newPlanner(slots), newEngine(slots)
+			adapterSlots := rapid.IntRange(1, 4).Draw(rt, "places")
+			p, e := newPlanner(adapterSlots), newEngine(adapterSlots)
 			names := []string{"a", "b", "c", "d", "e", "f", "g"}
 			fault := func() (bool, time.Duration) {
 				switch rapid.IntRange(0, 5).Draw(rt, "answer") {
@@ -397,7 +399,7 @@
 				}
 				p.Unwant(adapter(name))
 				if rapid.IntRange(0, 5).Draw(rt, "change") == 0 {
-					p = newPlanner(slots) // a new holder
+					p = newPlanner(adapterSlots) // a new holder
 					e.fence++
 				}
 				delete(e.inUse, rapid.SampledFrom(names).Draw(rt, "ended"))
--- a/internal/placement/residence/reports.go
+++ b/internal/placement/residence/reports.go
@@ -10,9 +10,9 @@
 
 // Learn applies a report. A report that is older than the last accepted order is dropped.
 //
-// Reports lag: an adapter whose load has just finished may be listed neither as pending nor as loaded. Its slot
-// would look free, and an upstream that is ordered to load more adapters than it has slots for crashes. So
-// adapters known at the same order count are kept, as only an order could have removed them, and no slot counts
+// Reports lag: an adapter whose load has just finished may be listed neither as pending nor as loaded. Its adapter slot
+// would look free, and an upstream that is ordered to load more adapters than it has adapter slots for crashes. So
+// adapters known at the same order count are kept, as only an order could have removed them, and no adapter slot counts
 // as free until a second report agrees.
 func (p *Planner) Learn(now time.Time, report Report) {
 	p.ensureInitialised()
@@ -34,11 +34,11 @@
 	} else if !now.Before(p.confirmAt) {
 		p.confirmed = true
 	}
-	before := p.slots
-	p.slots = make(map[traffic.Adapter]*slot)
+	before := p.residents
+	p.residents = make(map[traffic.Adapter]*resident)
 	if same {
-		for adapter, s := range before {
-			p.slots[adapter] = s
+		for adapter, r := range before {
+			p.residents[adapter] = r
 		}
 	}
 	p.applyModels(now, before, report)
@@ -49,19 +49,19 @@
 }
 
 // applyModels records the loaded and pending adapters that a report lists.
-func (p *Planner) applyModels(now time.Time, before map[traffic.Adapter]*slot, report Report) {
+func (p *Planner) applyModels(now time.Time, before map[traffic.Adapter]*resident, report Report) {
 	for _, model := range report.Models {
-		p.recordSlot(before, traffic.Adapter{Model: model.Name}, model.Version)
+		p.recordResident(before, traffic.Adapter{Model: model.Name}, model.Version)
 		for _, adapter := range model.Adapters {
-			p.recordSlot(before, traffic.Adapter{Model: model.Name, Name: adapter.Name}, adapter.Version)
+			p.recordResident(before, traffic.Adapter{Model: model.Name, Name: adapter.Name}, adapter.Version)
 		}
 	}
 	for _, pending := range report.Pending {
-		s := p.recordSlot(before, pending.Adapter, 0)
-		s.loadingVersion = max(pending.Version, 1)
-		s.orderedVersion = pending.Version
-		s.state = loading
-		s.pollAt = now
+		r := p.recordResident(before, pending.Adapter, 0)
+		r.loadingVersion = max(pending.Version, 1)
+		r.orderedVersion = pending.Version
+		r.state = loading
+		r.pollAt = now
 	}
 }
 
@@ -71,16 +71,16 @@
 	p.stateKnown = false
 }
 
-func (p *Planner) recordSlot(before map[traffic.Adapter]*slot, adapter traffic.Adapter, version int64) *slot {
-	s := &slot{version: version}
+func (p *Planner) recordResident(before map[traffic.Adapter]*resident, adapter traffic.Adapter, version int64) *resident {
+	r := &resident{version: version}
 	if old := before[adapter]; old != nil {
-		s.usedAt = old.usedAt
-		s.reservedUntil = old.reservedUntil
+		r.usedAt = old.usedAt
+		r.reservedUntil = old.reservedUntil
 	}
-	if existing := p.slots[adapter]; existing != nil {
+	if existing := p.residents[adapter]; existing != nil {
 		return existing
 	}
-	s.unloadOrdered = p.unanswered != nil && p.unanswered.Unload && p.unanswered.Adapter == adapter
-	p.slots[adapter] = s
-	return s
+	r.unloadOrdered = p.unanswered != nil && p.unanswered.Unload && p.unanswered.Adapter == adapter
+	p.residents[adapter] = r
+	return r
 }
--- a/internal/placement/residence/waiters.go
+++ b/internal/placement/residence/waiters.go
@@ -45,19 +45,19 @@
 func (p *Planner) HasWants() bool { return len(p.waiters) > 0 }
 
 // Wait estimates how long a new waiter waits until its adapter's load begins: the number of adapters ahead of it
-// times the recent interval between two freed slots. It is zero while a slot is available, and for an adapter
-// that is being loaded.
+// times the recent interval between two freed adapter slots. It is zero while an adapter slot is available, and for
+// an adapter that is being loaded.
 func (p *Planner) Wait(now time.Time, adapter traffic.Adapter) time.Duration {
-	if s := p.slots[adapter]; s != nil && s.state == loading {
+	if r := p.residents[adapter]; r != nil && r.state == loading {
 		return 0
 	}
 	ahead := 0
 	for other := range p.waiters {
-		if other != adapter && p.slots[other] == nil {
+		if other != adapter && p.residents[other] == nil {
 			ahead++
 		}
 	}
-	free := p.Engine.AdapterPlaces - p.occupiedSlots(now)
+	free := p.Engine.AdapterPlaces - p.occupiedAdapterSlots(now)
 	if ahead < free {
 		return 0
 	}
@@ -67,19 +67,20 @@
 // Hopeless reports whether a request that is on time until worthUntil would get its adapter only after that, and
 // how long it would wait.
 //
-// It applies under overload, when requests wait for more adapters than there are slots. Requests that can be on time go
-// first, so one that cannot waits until they are all served: for seconds, mostly until its deadline, and if it gets a
-// slot it takes it from the next caller. Refused at once, its caller can retry when there is room. While a
-// slot is available, or expected within acceptableWait, late requests get it.
+// It applies under overload, when requests wait for more adapters than there are adapter slots. Requests that can be
+// on time go first, so one that cannot waits until they are all served: for seconds, mostly until its deadline, and
+// if it gets an adapter slot it takes it from the next caller. Refused at once, its caller can retry when there is
+// room. While an adapter slot is available, or expected within acceptableWait, late requests get it.
 func (p *Planner) Hopeless(now time.Time, adapter traffic.Adapter, worthUntil time.Time) (time.Duration, bool) {
 	wait := p.Wait(now, adapter)
 	return wait, wait > acceptableWait && now.Add(wait).After(worthUntil)
 }
 
-// acceptableWait is the wait that is acceptable even for a late answer: a caller that retries would not be served sooner.
+// acceptableWait is the wait that is acceptable even for a late answer: a caller that retries would not be served
+// sooner.
 const acceptableWait = 500 * time.Millisecond
 
-// pace returns the interval between two freed slots while adapters wait.
+// pace returns the interval between two freed adapter slots while adapters wait.
 func (p *Planner) pace() time.Duration {
 	if p.grantPace > 0 {
 		return p.grantPace
@@ -87,7 +88,7 @@
 	return defaultTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
 }
 
-// updatePace updates the pace when a slot goes to an adapter that had to wait for it.
+// updatePace updates the pace when an adapter slot goes to an adapter that had to wait for it.
 func (p *Planner) updatePace(now time.Time) {
 	since := now.Sub(p.grantedAt)
 	p.grantedAt = now
@@ -97,22 +98,22 @@
 	p.grantPace = p.pace() + time.Duration(paceWeight*float64(since-p.pace()))
 }
 
-// occupiedSlots counts the slots that are neither empty nor idle.
-func (p *Planner) occupiedSlots(now time.Time) (count int) {
-	for adapter, s := range p.slots {
-		if adapter.Name != "" && !p.isIdle(now, adapter, s) {
+// occupiedAdapterSlots counts the adapter slots that are neither empty nor idle.
+func (p *Planner) occupiedAdapterSlots(now time.Time) (count int) {
+	for adapter, r := range p.residents {
+		if adapter.Name != "" && !p.isIdle(now, adapter, r) {
 			count++
 		}
 	}
 	return count
 }
 
-// adaptersByUrgency lists the adapters that requests wait for: those that can still be on time first, then by priority, then
-// by the longest wait.
+// adaptersByUrgency lists the adapters that requests wait for: those that can still be on time first, then by priority,
+// then by the longest wait.
 //
-// Under overload, when requests wait for more adapters than there are slots, serving them in the order of arrival
-// would answer each one too late, and a late answer is worth a third. With this order the requests that arrive now
-// are on time, and the late ones get the remaining slots.
+// Under overload, when requests wait for more adapters than there are adapter slots, serving them in the order of
+// arrival would answer each one too late, and a late answer is worth a third. With this order the requests that
+// arrive now are on time, and the late ones get the remaining adapter slots.
 func (p *Planner) adaptersByUrgency(now time.Time) (list []traffic.Adapter) {
 	for adapter := range p.waiters {
 		list = append(list, adapter)
