--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -156,7 +156,7 @@
 	return route.Summary{
 		Upstream:   s.Upstream,
 		Epoch:      s.Epoch,
-		FreePlaces: s.FreePlaces,
+		FreePlaces: s.FreeBatchSlots,
 		Backlog:    s.Backlog,
 		Resident:   s.Resident,
 		Healthy:    s.Healthy,
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -59,7 +59,7 @@
 
 // PermitLoad asks the load broker here. Another instance may believe itself to be the broker as well
 // while heads change; then for some seconds the weight store is asked for a few loads more.
-func (h handler) PermitLoad(ctx context.Context, asked broker.Asked) peer.LoadPermit {
+func (h handler) PermitLoad(ctx context.Context, asked broker.PermitRequested) peer.LoadPermit {
 	return h.daemon.brokering.Permit(ctx, asked)
 }
 
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -99,7 +99,7 @@
 	return list, nil
 }
 
-func (s *scene) PermitLoad(context.Context, broker.Asked) (peer.LoadPermit, error) {
+func (s *scene) PermitLoad(context.Context, broker.PermitRequested) (peer.LoadPermit, error) {
 	return peer.LoadPermit{Granted: true, UseWithin: time.Second}, nil
 }
 
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -104,7 +104,7 @@
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
 	Pins(upstream string, epoch int64) PinList
-	PermitLoad(ctx context.Context, asked broker.Asked) LoadPermit
+	PermitLoad(ctx context.Context, asked broker.PermitRequested) LoadPermit
 	EndLoad(load broker.Load, unused bool)
 	BurnCounts() []burn.Count
 }
--- a/internal/measure/capacity/placement.go
+++ b/internal/measure/capacity/placement.go
@@ -95,11 +95,11 @@
 		Upstream: resource.Upstream{Meta: resource.Meta{Name: "upstream"}, Slots: residentsEach, Batch: residentsEach, ChecksFencing: true},
 		Settings: holder.DefaultSettings(),
 	}
-	h.Settings.LongestBacklog = time.Hour
+	h.Settings.MaxBacklog = time.Hour
 	h.Handle(now, holder.Appointed{Epoch: 1, Members: []string{"i"}})
 	h.Handle(now, holder.EpochInForce{Epoch: 1})
 	h.Handle(now, holder.FenceNoted{Fence: 1})
-	h.Handle(now, holder.PinsTold{Instance: "i", Epoch: 1})
+	h.Handle(now, holder.PinsReported{Instance: "i", Epoch: 1})
 	h.Handle(now, holder.Reported{Incarnation: "1", Resident: references(residentsEach)})
 	return h
 }
--- a/internal/measure/capacity/series.go
+++ b/internal/measure/capacity/series.go
@@ -120,7 +120,7 @@
 	return timeOf(func(i int) {
 		now = now.Add(time.Millisecond)
 		load := broker.Load{Upstream: upstreamName(i % asking), Model: reference(i % asking)}
-		b.Handle(now, broker.Asked{Load: load, Workspace: "w", Demand: 100, Patience: time.Hour})
+		b.Handle(now, broker.PermitRequested{Load: load, Workspace: "w", Demand: 100, Patience: time.Hour})
 	})
 }
 
--- a/internal/measure/policy/entry.go
+++ b/internal/measure/policy/entry.go
@@ -161,7 +161,7 @@
 
 func (e *entry) learn(told holder.Summary, at time.Time) {
 	summary := route.Summary{
-		Upstream: told.Upstream, Epoch: told.Epoch, FreePlaces: told.FreePlaces,
+		Upstream: told.Upstream, Epoch: told.Epoch, FreePlaces: told.FreeBatchSlots,
 		Backlog: told.Backlog, Resident: told.Resident, Healthy: told.Healthy, Coldest: told.Coldest, At: at,
 	}
 	e.router.Learn(e.sim.clock.now, summary)
