--- a/internal/admission/claim/claim.go
+++ b/internal/admission/claim/claim.go
@@ -1,10 +1,10 @@
-// Package claim lets a call that may not be repeated run at most once, whichever instance its caller
-// sends it to and however often. Before the first byte goes out, the call's idempotency key is claimed
-// in the store by compare-and-swap; the outcome is written after. A claim is never taken over: when its
-// holder is gone, nobody can tell whether the call ran, and callers are told just that.
+// Package claim implements idempotency keys: a call that must not be repeated runs at most once, whichever instance
+// its caller sends it to and however often. Before the first byte is sent upstream, the call's idempotency key is
+// claimed in the store by compare-and-swap; the outcome is written afterwards. A claim is never taken over: once
+// its holder is gone, nobody can determine whether the call ran, and that is what callers get as the result.
 //
-// A request comes from the caller's API with its key and the hash of its body, the Registry decides,
-// and the forwarding code dispatches only with a Ticket in hand.
+// The caller's API passes the key and the hash of the request body to the Registry, which decides. The forwarding
+// code dispatches only with a Ticket.
 package claim
 
 import (
@@ -15,32 +15,30 @@
 	"github.com/pkg/errors"
 )
 
-// Retention is how long a claim is kept when a Registry states nothing: after that the same key runs
-// again. Callers that repeat a call do so within minutes; a day also covers a client that was switched
-// off over night.
+// Retention is how long a claim is kept unless the Registry sets its own value. After that the same key runs again.
+// Callers retry a call within minutes; a day also covers a client that was switched off overnight.
 const Retention = 24 * time.Hour
 
-// UsableFor is how long after claiming a call may still be dispatched when a Registry states nothing.
-// Since claims are never taken over a late dispatch would still be the only one, until the claim is
-// forgotten after Retention: UsableFor must be far below it, also with clocks that differ by hours.
-const UsableFor = time.Minute
+// DispatchWindow is how long after claiming a call may still be dispatched, unless the Registry sets its own value.
+// Claims are never taken over, so a late dispatch is still the only one until the claim is dropped after Retention.
+// DispatchWindow must therefore be far shorter than Retention, even if clocks differ by hours.
+const DispatchWindow = time.Minute
 
-// RunLimit is how old a claim without an outcome may be before callers are told that the outcome is
-// unknown and no longer that the call is in progress, when a Registry states nothing. It must be
-// longer than any call may run.
-const RunLimit = 15 * time.Minute
+// MaxRunTime is the age after which a claim without an outcome is reported as having an unknown outcome instead of
+// being in progress, unless the Registry sets its own value. It must be longer than any call may run.
+const MaxRunTime = 15 * time.Minute
 
 // Errors of a Ticket.
 var (
-	// ErrTicketExpired: the time for dispatching is over. Nothing was run; record NotRun.
-	ErrTicketExpired = errors.New("claim: too late to dispatch")
-	// ErrTicketUsed: the call was dispatched before, or its outcome is recorded.
+	// ErrTicketExpired means that the dispatch window is over. Nothing was run; record NotRun.
+	ErrTicketExpired = errors.New("claim: dispatch window has expired")
+	// ErrTicketUsed means that the call was dispatched before or that its outcome is recorded.
 	ErrTicketUsed = errors.New("claim: ticket already used")
-	// ErrNotDispatched: an outcome other than not run was given for a call that was never dispatched.
-	ErrNotDispatched = errors.New("claim: the call was not dispatched")
+	// ErrNotDispatched means that an outcome other than NotRun was given for a call that was never dispatched.
+	ErrNotDispatched = errors.New("claim: outcome given for a call that was not dispatched")
 )
 
-// Answer is an upstream's answer as kept for repeated calls.
+// Answer is an upstream's response, stored for replay.
 type Answer struct {
 	Status      int
 	ContentType string
@@ -49,26 +47,26 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// State of a claim is sealed: Claimed, NotRun, Ran and Unknown are all there are.
+// State is the state of a claim. It is a sealed type: Claimed, NotRun, Ran or Unknown.
 type State interface {
 	sealedState()
 }
 
-// Claimed says: the holder may dispatch the call, or has, and has told no outcome.
+// Claimed means that the holder may dispatch the call, or has dispatched it, and has recorded no outcome yet.
 type Claimed struct{}
 
-// NotRun says: certainly not run; the key may be claimed again.
+// NotRun means that the call certainly did not run. The key may be claimed again.
 type NotRun struct{}
 
-// Ran says: the call ran. Kept tells whether its answer was small enough to be kept; Stored names the key
-// of the store that holds the body when it does not stand in the claim itself.
+// Ran means that the call ran. Kept is false if the response was too large to keep. StoreKey is the store key of
+// the response body if the body is not kept in the claim itself.
 type Ran struct {
-	Answer Answer
-	Kept   bool
-	Stored string
+	Answer   Answer
+	Kept     bool
+	StoreKey string
 }
 
-// Unknown says: the call was dispatched and its answer never came.
+// Unknown means that the call was dispatched and no response arrived.
 type Unknown struct{}
 
 func (Claimed) sealedState() {}
@@ -78,50 +76,50 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Decision about a call is sealed: Proceed, Replay, InProgress, RanUnknown, DifferentBody and Refuse
-// are all there are. Only Proceed lets the call be dispatched.
+// Decision is the decision about a call. It is a sealed type; the types below are all its variants. Only Proceed
+// allows the call to be dispatched.
 type Decision interface {
 	sealedDecision()
 }
 
-// Proceed says: the key is claimed for this call; dispatch it with the ticket.
+// Proceed means that the key is claimed for this call. Dispatch the call with the ticket.
 type Proceed struct {
 	Ticket *Ticket
 }
 
-// Replay says: the call ran before. Kept tells whether Answer is its answer, or too large to be kept.
+// Replay means that the call ran before, and holds its response. Kept is false if the response was too large to
+// keep.
 type Replay struct {
-	Answer Answer
-	Kept   bool
-	stored string
+	Answer   Answer
+	Kept     bool
+	storeKey string
 }
 
-// InProgress says: another call with the key is claimed and has no outcome yet.
+// InProgress means that another call has claimed the key and has no outcome yet.
 type InProgress struct {
 	RetryAfter time.Duration
 }
 
-// RanUnknown says: a call with the key may have run, and its outcome cannot be known any more.
+// RanUnknown means that a call with the key may have run and that its outcome can no longer be determined.
 type RanUnknown struct{}
 
-// DifferentBody says: the key was used for a call with another body.
+// DifferentBody means that the key was used for a call with another body.
 type DifferentBody struct{}
 
-// Refuse says: nothing was claimed and nothing was run.
+// Refuse means that nothing was claimed and nothing was run.
 type Refuse struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Reason tells why nothing was claimed; stable for callers.
+// Reason is why nothing was claimed. The values are stable for callers.
 type Reason string
 
-// The reasons.
 const (
-	ReasonStore   Reason = "claim_store_unavailable"
-	ReasonFull    Reason = "claims_full"
-	ReasonBusy    Reason = "claims_busy"
-	ReasonGivenUp Reason = "claim_given_up"
+	ReasonStore     Reason = "claim_store_unavailable"
+	ReasonFull      Reason = "claims_full"
+	ReasonBusy      Reason = "claims_busy"
+	ReasonAbandoned Reason = "claim_given_up"
 )
 
 func (Proceed) sealedDecision()       {}
@@ -133,9 +131,9 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// identity hashes the workspace and the key, so that the store holds no caller's text and two
-// workspaces never share a claim.
-func identity(workspace, key string) string {
+// hashKey hashes the workspace and the key, so that the store holds no caller's text and two workspaces never share
+// a claim.
+func hashKey(workspace, key string) string {
 	sum := sha256.New()
 	sum.Write([]byte(workspace))
 	sum.Write([]byte{0})
@@ -143,7 +141,7 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// BodyHash is the hash of a request that Registry.Claim compares: method, path and body.
+// BodyHash returns the hash of a request that Registry.Claim compares: method, path and body.
 func BodyHash(method, path string, body []byte) string {
 	sum := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
--- a/internal/admission/claim/codec.go
+++ b/internal/admission/claim/codec.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// This file maps a group to the bytes kept in the store and back. The names of the wire types' fields
-// are the names in the stored JSON.
+// This file encodes and decodes a group as stored. The field names of the wire types are the field names of the
+// stored JSON.
 
 type wireGroup struct {
 	Records map[string]wireRecord
@@ -36,14 +36,14 @@
 func encode(group Group) (value []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "encode claims") }()
 	wire := wireGroup{Records: make(map[string]wireRecord, len(group.records))}
-	for identity, record := range group.records {
-		wire.Records[identity] = toWire(record)
+	for keyHash, record := range group.records {
+		wire.Records[keyHash] = toWire(record)
 	}
 	return json.Marshal(wire)
 }
 
 func toWire(record Record) wireRecord {
-	wire := wireRecord{Body: record.Body, Mark: record.Mark, AtMillis: record.At.UnixMilli()}
+	wire := wireRecord{Body: record.Body, Mark: record.ClaimID, AtMillis: record.ClaimedAt.UnixMilli()}
 	switch state := record.State.(type) {
 	case Claimed:
 		wire.State = stateClaimed
@@ -54,7 +54,7 @@
 	case Ran:
 		wire.State = stateRan
 		wire.Status, wire.ContentType, wire.Answer = state.Answer.Status, state.Answer.ContentType, state.Answer.Body
-		wire.Kept, wire.Stored = state.Kept, state.Stored
+		wire.Kept, wire.Stored = state.Kept, state.StoreKey
 	}
 	return wire
 }
@@ -66,12 +66,12 @@
 		return Group{}, err
 	}
 	records := make(map[string]Record, len(wire.Records))
-	for identity, w := range wire.Records {
+	for keyHash, w := range wire.Records {
 		state, err := w.state()
 		if err != nil {
 			return Group{}, err
 		}
-		records[identity] = Record{Body: w.Body, Mark: w.Mark, At: time.UnixMilli(w.AtMillis), State: state}
+		records[keyHash] = Record{Body: w.Body, ClaimID: w.Mark, ClaimedAt: time.UnixMilli(w.AtMillis), State: state}
 	}
 	return Group{records: records}, nil
 }
@@ -86,7 +86,7 @@
 		return Unknown{}, nil
 	case stateRan:
 		answer := Answer{Status: w.Status, ContentType: w.ContentType, Body: w.Answer}
-		return Ran{Answer: answer, Kept: w.Kept, Stored: w.Stored}, nil
+		return Ran{Answer: answer, Kept: w.Kept, StoreKey: w.Stored}, nil
 	}
-	return nil, errors.Errorf("state %q is not known", w.State)
+	return nil, errors.Errorf("unknown claim state %q", w.State)
 }
--- a/internal/admission/claim/export_test.go
+++ b/internal/admission/claim/export_test.go
@@ -1,4 +1,4 @@
 package claim
 
-// GroupOf tells the external tests which claims share a value of the store.
-func GroupOf(workspace, key string) int { return groupOf(identity(workspace, key)) }
+// GroupOf returns the group of a claim; claims of one group share a value in the store.
+func GroupOf(workspace, key string) int { return groupOf(hashKey(workspace, key)) }
--- a/internal/admission/claim/faulty_store_test.go
+++ b/internal/admission/claim/faulty_store_test.go
@@ -11,9 +11,8 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// faultyStore is the key-value service with the faults that matter to a writer: down, slow, an answer
-// lost before or after the write took effect, and a write that takes effect long after its caller was
-// told that nobody knows.
+// faultyStore is a key-value store with injected faults: unavailable, slow, a response lost before or after the
+// write took effect, and a write that takes effect long after its caller got an unknown outcome.
 type faultyStore struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
@@ -74,7 +73,7 @@
 	return entry, nil
 }
 
-// client is one instance's way to the store; a dead instance reaches it no more.
+// client is one instance's connection to the store. A dead instance cannot reach the store.
 type client struct {
 	*faultyStore
 	dead atomic.Bool
--- a/internal/admission/claim/fuzz_test.go
+++ b/internal/admission/claim/fuzz_test.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	stepsPerCheck = 120
-	retention     = time.Hour
-	usableFor     = 10 * time.Second
-	runLimit      = 10 * time.Minute
+	stepsPerCheck  = 120
+	retention      = time.Hour
+	dispatchWindow = 10 * time.Second
+	maxRunTime     = 10 * time.Minute
 )
 
-var pauses = []time.Duration{2 * time.Second, 15 * time.Second, runLimit + time.Minute, retention}
+var pauses = []time.Duration{2 * time.Second, 15 * time.Second, maxRunTime + time.Minute, retention}
 
 var keys = []string{"k1", "k2", "k3", "k4", "k5", "k6"}
 
-// A caller sends a crew payment, hears nothing and sends it again, perhaps to another instance, perhaps
-// with another amount. Meanwhile instances die between any two steps, holders of a claim are paused
-// for longer than claims are kept, the store goes down, loses answers and carries out writes late. If
-// the payment ran twice the crew would be paid twice and nobody could take it back; if a refusal left
-// the key blocked, the crew would never be paid. The oracle is the plain record of what ran and when.
+// Guards against a payment that runs twice, which cannot be undone, and a key that stays blocked after a refusal, so
+// that the payment never runs. A caller sends a payment, gets no response and retries, possibly at another instance
+// or with another amount. Meanwhile instances die between any two steps, claim holders are paused for longer than
+// claims are kept, and the store is down, loses responses and applies writes late. The oracle records what ran and
+// when.
 func TestCallsRunAtMostOnce(t *testing.T) {
 	steps, runs, replays, claims := 0, 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
-			w := newWorld(rapid.Uint64().Draw(rt, "seed"))
+			w := newSimulation(rapid.Uint64().Draw(rt, "seed"))
 			defer w.stop()
-			w.deadly = rapid.Bool().Draw(rt, "deadly")
+			w.killsInstances = rapid.Bool().Draw(rt, "deadly")
 			for range stepsPerCheck {
 				w.step(rt)
 				steps++
@@ -70,32 +70,32 @@
 	sent      bool
 }
 
-type decided struct {
+type claimResult struct {
 	call     *call
 	decision claim.Decision
 	err      error
 }
 
-type world struct {
-	store     *faultyStore
-	decided   chan decided
-	instances []*instance
-	open      []*call
-	deadly    bool
-	fault     string
-	lastRun   map[string]time.Time
-	answers   map[string]string // of runs, by key and body
-	orphaned  map[string]bool   // keys whose holder died or whose outcome is unknown
-	runs      int
-	replays   int
-	claims    int
+type simulation struct {
+	store          *faultyStore
+	decisions      chan claimResult
+	instances      []*instance
+	openCalls      []*call
+	killsInstances bool
+	fault          string
+	lastRun        map[string]time.Time
+	answers        map[string]string // of runs, by key and body
+	orphaned       map[string]bool   // keys whose holder died or whose outcome is unknown
+	runs           int
+	replays        int
+	claims         int
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{
 		store: newFaultyStore(seed), lastRun: map[string]time.Time{},
 		answers: map[string]string{}, orphaned: map[string]bool{},
-		decided: make(chan decided, 2*stepsPerCheck),
+		decisions: make(chan claimResult, 2*stepsPerCheck),
 	}
 	for range 3 {
 		w.instances = append(w.instances, w.start())
@@ -103,16 +103,16 @@
 	return w
 }
 
-func (w *world) start() *instance {
+func (w *simulation) start() *instance {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &client{faultyStore: w.store}
 	i := &instance{client: c, cancel: cancel}
-	i.registry = &claim.Registry{Store: c, Retention: retention, UsableFor: usableFor, RunLimit: runLimit}
+	i.registry = &claim.Registry{Store: c, Retention: retention, DispatchWindow: dispatchWindow, MaxRunTime: maxRunTime}
 	go func() { _ = i.registry.Run(ctx) }()
 	return i
 }
 
-func (w *world) stop() {
+func (w *simulation) stop() {
 	w.store.set(true, false)
 	for _, i := range w.instances {
 		i.cancel()
@@ -120,7 +120,7 @@
 	time.Sleep(time.Minute)
 }
 
-func (w *world) step(rt *rapid.T) {
+func (w *simulation) step(rt *rapid.T) {
 	i := rapid.IntRange(0, len(w.instances)-1).Draw(rt, "instance")
 	switch action := rapid.IntRange(0, 19).Draw(rt, "action"); action {
 	case 0, 1, 2, 3, 4, 5:
@@ -138,67 +138,67 @@
 	case 18:
 		w.store.set(true, false)
 	case 19:
-		if w.deadly {
+		if w.killsInstances {
 			w.kill(i)
 		}
 	}
-	w.hear()
+	w.collectDecisions()
 }
 
-// call sends one call to an instance; its claim is decided while other steps go on.
-func (w *world) call(rt *rapid.T, i *instance) {
+// call sends one call to an instance. Its claim is decided concurrently with later steps.
+func (w *simulation) call(rt *rapid.T, i *instance) {
 	c := &call{instance: i}
 	c.key = rapid.SampledFrom(keys).Draw(rt, "key")
 	c.body = rapid.SampledFrom([]string{"ten", "ten", "twenty"}).Draw(rt, "body")
-	patience := rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience")
-	go w.claim(c, patience)
+	timeout := rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience")
+	go w.claim(c, timeout)
 }
 
-func (w *world) claim(c *call, patience time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (w *simulation) claim(c *call, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	decision, err := c.instance.registry.Claim(ctx, "crew", c.key, c.body)
-	w.decided <- decided{call: c, decision: decision, err: err}
+	w.decisions <- claimResult{call: c, decision: decision, err: err}
 }
 
-// hear takes in what was decided so far.
-func (w *world) hear() {
+// collectDecisions processes the decisions made so far.
+func (w *simulation) collectDecisions() {
 	synctest.Wait()
-	for len(w.decided) > 0 {
-		d := <-w.decided
+	for len(w.decisions) > 0 {
+		d := <-w.decisions
 		if d.err != nil {
 			w.fault = d.err.Error()
 		}
-		w.note(d.call, d.decision)
+		w.recordDecision(d.call, d.decision)
 	}
 }
 
-func (w *world) note(c *call, decision claim.Decision) {
+func (w *simulation) recordDecision(c *call, decision claim.Decision) {
 	switch decision := decision.(type) {
 	case claim.Proceed:
 		w.claims++
 		c.ticket = decision.Ticket
 		if !c.instance.client.dead.Load() {
-			w.open = append(w.open, c)
+			w.openCalls = append(w.openCalls, c)
 		}
 	case claim.Replay:
 		w.replays++
 		if want := w.answers[c.key+c.body]; want == "" || want != string(decision.Answer.Body) {
-			w.fault = fmt.Sprintf("replay of %q where %q was answered", decision.Answer.Body, want)
+			w.fault = fmt.Sprintf("replayed %q, expected %q", decision.Answer.Body, want)
 		}
 	}
 }
 
-func (w *world) take(rt *rapid.T) *call {
-	if len(w.open) == 0 {
+func (w *simulation) pickCall(rt *rapid.T) *call {
+	if len(w.openCalls) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(w.open).Draw(rt, "call")
+	return rapid.SampledFrom(w.openCalls).Draw(rt, "call")
 }
 
-// dispatch sends a claimed call to its upstream, which runs it or says that it did not.
-func (w *world) dispatch(rt *rapid.T) {
-	c := w.take(rt)
+// dispatch sends a claimed call to its upstream, which runs it or reports that it did not.
+func (w *simulation) dispatch(rt *rapid.T) {
+	c := w.pickCall(rt)
 	if c == nil || c.ticket.Dispatch() != nil {
 		return
 	}
@@ -208,14 +208,14 @@
 		return
 	}
 	w.runs++
-	if last, found := w.lastRun[c.key]; found && time.Since(last) < retention-usableFor {
+	if last, found := w.lastRun[c.key]; found && time.Since(last) < retention-dispatchWindow {
 		w.fault = fmt.Sprintf("%s ran twice, %v apart", c.key, time.Since(last))
 	}
 	w.lastRun[c.key] = time.Now()
 }
 
-func (w *world) finish(rt *rapid.T) {
-	c := w.take(rt)
+func (w *simulation) finish(rt *rapid.T) {
+	c := w.pickCall(rt)
 	if c == nil {
 		return
 	}
@@ -234,25 +234,25 @@
 	}
 }
 
-func (w *world) remove(gone *call) {
-	kept := w.open[:0:0]
-	for _, c := range w.open {
+func (w *simulation) remove(gone *call) {
+	kept := w.openCalls[:0:0]
+	for _, c := range w.openCalls {
 		if c != gone {
 			kept = append(kept, c)
 		}
 	}
-	w.open = kept
+	w.openCalls = kept
 }
 
-// kill ends an instance at once: nothing more reaches the store, and its calls are dispatched no more.
-func (w *world) kill(i int) {
+// kill ends an instance at once: it can no longer reach the store, and its calls are not dispatched.
+func (w *simulation) kill(i int) {
 	dead := w.instances[i]
 	dead.client.dead.Store(true)
 	dead.cancel()
 	for _, key := range keys {
-		w.orphaned[key] = true // what it had under way cannot be told from outside
+		w.orphaned[key] = true // whether its pending calls ran is unknown
 	}
-	for _, c := range w.open {
+	for _, c := range w.openCalls {
 		if c.instance == dead {
 			w.remove(c)
 		}
@@ -260,13 +260,13 @@
 	w.instances[i] = w.start()
 }
 
-// checkNothingBlocked: once all is well again and no call is open, a key under which nothing ran can be
+// checkNothingBlocked checks that, with all faults ended and no call open, a key under which nothing ran can be
 // claimed, unless its holder died.
-func (w *world) checkNothingBlocked(rt *rapid.T) {
+func (w *simulation) checkNothingBlocked(rt *rapid.T) {
 	w.store.set(false, false)
 	time.Sleep(30 * time.Second)
-	w.hear()
-	for len(w.open) > 0 {
+	w.collectDecisions()
+	for len(w.openCalls) > 0 {
 		w.finish(rt)
 	}
 	time.Sleep(30 * time.Second)
@@ -276,7 +276,7 @@
 		}
 		decision, err := w.instances[0].registry.Claim(context.Background(), "crew", key, "ten")
 		if _, proceed := decision.(claim.Proceed); err != nil || !proceed {
-			w.fault = fmt.Sprintf("%s never ran, and a new call got %#v, %v", key, decision, err)
+			w.fault = fmt.Sprintf("%s never ran, but a new call got %#v, %v", key, decision, err)
 		}
 	}
 }
--- a/internal/admission/claim/group.go
+++ b/internal/admission/claim/group.go
@@ -5,43 +5,41 @@
 	"time"
 )
 
-// This file decides, without the store: a Group is the value of one key of the store, and applying a
-// batch of operations to it gives the next value and a verdict for each operation. Applying is
-// idempotent by the operations' marks, so that a writer whose answer was lost applies the same batch
-// to what it reads back.
+// This file makes the decisions, without access to the store. A Group is the value of one key in the store.
+// Applying a batch of operations to it yields the next value and a decision for each operation. The claim IDs make
+// this idempotent: a writer that got no response applies the same batch to the value that it reads back.
 
-// Record is one claim. Body is the hash of the request, Mark the text that only its writer knows.
+// Record is one claim. Body is the hash of the request. ClaimID is known only to the writer of the claim.
 type Record struct {
-	Body  string
-	Mark  string
-	At    time.Time
-	State State
+	Body      string
+	ClaimID   string
+	ClaimedAt time.Time
+	State     State
 }
 
-// Group is the claims that share one value of the store, by the hash of workspace and key. It is
-// immutable.
+// Group holds the claims that share one value in the store, by the hash of workspace and key. It is immutable.
 type Group struct {
 	records map[string]Record
 }
 
-// Len is the number of claims.
+// Len returns the number of claims.
 func (g Group) Len() int { return len(g.records) }
 
-// Record finds a claim.
-func (g Group) Record(identity string) (record Record, found bool) {
-	record, found = g.records[identity]
+// Record returns a claim.
+func (g Group) Record(keyHash string) (record Record, found bool) {
+	record, found = g.records[keyHash]
 	return record, found
 }
 
-// WithoutOlder returns the group without the claims made before a moment, and those that it dropped.
-func (g Group) WithoutOlder(than time.Time) (kept Group, dropped []Record) {
-	for identity, record := range g.records {
-		if record.At.Before(than) {
+// WithoutOlder returns the group without the claims made before the cutoff, and the claims that it dropped.
+func (g Group) WithoutOlder(cutoff time.Time) (kept Group, dropped []Record) {
+	for keyHash, record := range g.records {
+		if record.ClaimedAt.Before(cutoff) {
 			dropped = append(dropped, record)
 			if kept.records == nil {
 				kept.records = maps.Clone(g.records)
 			}
-			delete(kept.records, identity)
+			delete(kept.records, keyHash)
 		}
 	}
 	if len(dropped) == 0 {
@@ -52,67 +50,67 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// operation on a group is sealed: open and settle are all there are.
+// operation is an operation on a group. It is a sealed type: claimOperation or outcomeOperation.
 type operation interface {
 	sealedOperation()
 }
 
-// open asks for a claim.
-type open struct {
-	identity string
-	body     string
-	mark     string
+// claimOperation requests a claim.
+type claimOperation struct {
+	keyHash  string
+	bodyHash string
+	claimID  string
 	at       time.Time
 }
 
-// settle records the outcome of the claim that carries the mark.
-type settle struct {
-	identity string
-	mark     string
-	outcome  State
+// outcomeOperation records the outcome of the claim with the given ID.
+type outcomeOperation struct {
+	keyHash string
+	claimID string
+	outcome State
 }
 
-func (open) sealedOperation()   {}
-func (settle) sealedOperation() {}
+func (claimOperation) sealedOperation()   {}
+func (outcomeOperation) sealedOperation() {}
 
-// limits are what the group's owner knows beside the group. Room is how many more claims it takes.
+// limits holds the parameters of a batch that are not part of the group. Room is the number of claims that may be
+// added.
 type limits struct {
-	now       time.Time
-	runLimit  time.Duration
-	retention time.Duration
-	room      int
+	now        time.Time
+	maxRunTime time.Duration
+	retention  time.Duration
+	room       int
 }
 
-// applied is what a batch came to. The verdict of an open is nil when the claim is its own.
-type applied struct {
-	group    Group
-	changed  bool
-	verdicts []Decision
-	dropped  []Record
+// batchResult is the result of a batch. The decision for a claimOperation is nil if the key is claimed for it.
+type batchResult struct {
+	group     Group
+	changed   bool
+	decisions []Decision
+	dropped   []Record
 }
 
-// apply carries out a batch of operations, in order, after dropping the claims older than the
-// retention.
-func (g Group) apply(batch []operation, limits limits) applied {
+// apply drops the claims older than the retention and then applies a batch of operations in order.
+func (g Group) apply(batch []operation, limits limits) batchResult {
 	kept, dropped := g.WithoutOlder(limits.now.Add(-limits.retention))
 	next := draft{records: maps.Clone(kept.records), limits: limits}
 	if next.records == nil {
 		next.records = map[string]Record{}
 	}
-	var verdicts []Decision
+	var decisions []Decision
 	for _, op := range batch {
 		switch op := op.(type) {
-		case open:
-			verdicts = append(verdicts, next.open(op))
-		case settle:
-			next.settle(op)
-			verdicts = append(verdicts, nil)
+		case claimOperation:
+			decisions = append(decisions, next.claim(op))
+		case outcomeOperation:
+			next.recordOutcome(op)
+			decisions = append(decisions, nil)
 		}
 	}
-	return applied{group: Group{records: next.records}, changed: next.changed, verdicts: verdicts, dropped: dropped}
+	return batchResult{group: Group{records: next.records}, changed: next.changed, decisions: decisions, dropped: dropped}
 }
 
-// draft is a group in the making.
+// draft is a mutable copy of a group.
 type draft struct {
 	records map[string]Record
 	limits  limits
@@ -120,54 +118,54 @@
 	changed bool
 }
 
-func (d *draft) open(op open) Decision {
-	known, found := d.records[op.identity]
-	if found && known.Mark == op.mark {
+func (d *draft) claim(op claimOperation) Decision {
+	existing, found := d.records[op.keyHash]
+	if found && existing.ClaimID == op.claimID {
 		return nil
 	}
 	if found {
-		if verdict := known.decide(op, d.limits); verdict != nil {
-			return verdict
+		if decision := existing.decide(op, d.limits); decision != nil {
+			return decision
 		}
 	}
 	if d.added >= d.limits.room {
 		return Refuse{Reason: ReasonFull, RetryAfter: time.Minute}
 	}
-	d.records[op.identity] = Record{Body: op.body, Mark: op.mark, At: op.at, State: Claimed{}}
+	d.records[op.keyHash] = Record{Body: op.bodyHash, ClaimID: op.claimID, ClaimedAt: op.at, State: Claimed{}}
 	d.added++
 	d.changed = true
 	return nil
 }
 
-func (d *draft) settle(op settle) {
-	known, found := d.records[op.identity]
-	if !found || known.Mark != op.mark {
+func (d *draft) recordOutcome(op outcomeOperation) {
+	existing, found := d.records[op.keyHash]
+	if !found || existing.ClaimID != op.claimID {
 		return
 	}
-	if _, open := known.State.(Claimed); !open {
+	if _, pending := existing.State.(Claimed); !pending {
 		return
 	}
-	known.State = op.outcome
-	d.records[op.identity] = known
+	existing.State = op.outcome
+	d.records[op.keyHash] = existing
 	d.changed = true
 }
 
-// decide tells what another call with the record's key is answered; nil when it may claim the key
-// anew. After NotRun another body may be tried: nothing ran under the key yet.
-func (r Record) decide(op open, limits limits) Decision {
+// decide returns the decision for another call with the record's key, or nil if that call may claim the key again.
+// After NotRun a different body is accepted, since nothing ran under the key yet.
+func (r Record) decide(op claimOperation, limits limits) Decision {
 	if _, notRun := r.State.(NotRun); notRun {
 		return nil
 	}
-	if r.Body != op.body {
+	if r.Body != op.bodyHash {
 		return DifferentBody{}
 	}
 	switch state := r.State.(type) {
 	case Ran:
-		return Replay{Answer: state.Answer, Kept: state.Kept, stored: state.Stored}
+		return Replay{Answer: state.Answer, Kept: state.Kept, storeKey: state.StoreKey}
 	case Unknown:
 		return RanUnknown{}
 	}
-	if limits.now.Sub(r.At) > limits.runLimit {
+	if limits.now.Sub(r.ClaimedAt) > limits.maxRunTime {
 		return RanUnknown{}
 	}
 	return InProgress{RetryAfter: time.Second}
--- a/internal/admission/claim/registry.go
+++ b/internal/admission/claim/registry.go
@@ -13,130 +13,131 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// GroupCount is the number of values that claims are spread over. Fewer share writes better, more hold
-// more: with answers of 2 KB kept within the claims a value was full at 279 of them. No measured reason
-// yet for the exact figure.
+// GroupCount is the number of store values that the claims are spread over. With fewer groups more claims share a
+// write; with more groups more claims fit in total: with responses of 2 KB kept within the claims a value was full
+// at 279 claims.
 const GroupCount = 64
 
-// writePace is the least time between two writes of one group by one instance. Made for bursts of
-// bookings: without it, 2,000 claims a second spread over 256 groups cost 3,952 writes a second, many
-// times what the store takes, and operators' changes would wait behind them. A claim whose group was
-// not written lately waits for nothing.
-const writePace = 250 * time.Millisecond
+// minWriteInterval is the minimum time between two writes of one group by one instance. It bounds the store's write
+// rate during bursts of bookings: without it, 2,000 claims a second spread over 256 groups cost 3,952 writes a
+// second, far more than the store can handle, and operators' changes would queue behind them. A claim whose group
+// was not written recently is not delayed.
+const minWriteInterval = 250 * time.Millisecond
 
 const (
-	// maxInline is the largest answer body kept within the claim itself.
-	maxInline = 512
-	// maxStored is the largest answer body kept at all: a value of the store takes a megabyte.
-	maxStored = 900 << 10
-	// maxGroup is the size of a group's value beyond which it takes no new claims. Outcomes still fit
-	// between it and the store's megabyte.
-	maxGroup = 800 << 10
-	// queueLength bounds the operations that wait for one group; more are refused at once.
+	// maxInlineBody is the size of the largest response body kept within the claim itself.
+	maxInlineBody = 512
+	// maxStoredBody is the size of the largest response body kept at all: a value in the store may be up to a
+	// megabyte.
+	maxStoredBody = 900 << 10
+	// maxGroupSize is the size of a group's value above which it accepts no new claims. The rest, up to the store's
+	// megabyte, is left for the outcomes of existing claims.
+	maxGroupSize = 800 << 10
+	// queueLength bounds the operations queued for one group; further claims are refused at once.
 	queueLength = 256
-	// callTimeout bounds one call to the store, so that a connection that went silent is given up.
-	callTimeout = 2 * time.Second
-	// retryEvery is the time between two tries to write outcomes while the store fails.
-	retryEvery = 250 * time.Millisecond
+	// storeTimeout bounds one call to the store, so that a connection that stopped responding is abandoned.
+	storeTimeout = 2 * time.Second
+	// retryInterval is the time between two attempts to write outcomes while the store fails.
+	retryInterval = 250 * time.Millisecond
 )
 
 const (
-	groupPrefix  = "claim/"
-	answerPrefix = "claim-answer/"
+	groupPrefix    = "claim/"
+	responsePrefix = "claim-answer/"
 )
 
-// Registry claims idempotency keys in the store. Set the exported fields, then Run it.
+// Registry claims idempotency keys in the store. Set the exported fields, then call Run.
 type Registry struct {
 	Store store.Store
-	// Retention is how long claims are kept; equal on all instances.
+	// Retention is how long claims are kept. It must be equal on all instances.
 	Retention time.Duration
-	// UsableFor is how long after claiming a call may be dispatched.
-	UsableFor time.Duration
-	// RunLimit is how old a claim without an outcome may be before its outcome counts as unknown.
-	RunLimit time.Duration
+	// DispatchWindow is how long after claiming a call may be dispatched.
+	DispatchWindow time.Duration
+	// MaxRunTime is the age after which the outcome of a claim without an outcome counts as unknown.
+	MaxRunTime time.Duration
 
 	once    sync.Once
 	workers [GroupCount]*worker
 }
 
-// request is an operation on its way through a worker.
+// request is an operation queued for a worker.
 type request struct {
 	operation operation
 	done      chan Decision
-	// body is an answer too large for the claim, written to the store under its own key first.
+	// body is a response body too large for the claim. It is first written to the store under its own key.
 	body []byte
-	// force writes the group even when nothing changed, so that an earlier write whose outcome is not
-	// known can take effect no more.
+	// force writes the group even if nothing changed, so that an earlier write with an unknown outcome can no
+	// longer take effect.
 	force bool
-	// state decides between a claimant that waits no longer and the worker's answer.
+	// state resolves the race between a claimant that stops waiting and the worker that completes the request.
 	state atomic.Int32
 }
 
 const (
 	requestWaiting int32 = iota
-	requestAnswered
-	requestGivenUp
+	requestCompleted
+	requestAbandoned
 )
 
-// Run writes claims and outcomes until the context ends, and then once more what still waits.
+// Run writes claims and outcomes until the context ends, and then writes once more what is still queued.
 func (r *Registry) Run(ctx context.Context) error {
-	r.prepare()
+	r.createWorkers()
 	var group sync.WaitGroup
 	for _, w := range r.workers {
-		group.Go(func() { w.loop(ctx) })
+		group.Go(func() { w.run(ctx) })
 	}
 	group.Wait()
 	return nil
 }
 
-// Claim decides about one call. It waits for the store, at most until the context ends; a claim whose
-// caller has gone is recorded as not run.
+// Claim decides about one call. It waits for the store, at most until the context ends. A claim whose caller has
+// left is recorded as not run.
 func (r *Registry) Claim(ctx context.Context, workspace, key, bodyHash string) (decision Decision, err error) {
-	defer func() { err = errors.WithMessage(err, "claim an idempotency key") }()
-	r.prepare()
-	id := identity(workspace, key)
+	defer func() { err = errors.WithMessage(err, "claim idempotency key") }()
+	r.createWorkers()
+	keyHash := hashKey(workspace, key)
 	now := time.Now()
-	op := open{identity: id, body: bodyHash, mark: uuid.NewString(), at: now}
+	op := claimOperation{keyHash: keyHash, bodyHash: bodyHash, claimID: uuid.NewString(), at: now}
 	req := &request{operation: op, done: make(chan Decision, 1)}
-	w := r.worker(id)
+	w := r.workerFor(keyHash)
 	select {
 	case w.queue <- req:
 	default:
 		return Refuse{Reason: ReasonBusy, RetryAfter: time.Second}, nil
 	}
-	decision = w.await(ctx, req)
+	decision = w.awaitDecision(ctx, req)
 	switch decision := decision.(type) {
 	case nil:
-		return Proceed{Ticket: &Ticket{registry: r, identity: id, mark: op.mark, claimed: now}}, nil
+		return Proceed{Ticket: &Ticket{registry: r, keyHash: keyHash, claimID: op.claimID, claimedAt: now}}, nil
 	case Replay:
-		return r.fetch(ctx, decision), nil
+		return r.loadResponse(ctx, decision), nil
 	}
 	return decision, nil
 }
 
-// await returns the worker's verdict. A claimant that cannot wait any longer gives up for good: if the
-// worker claims the key all the same, it gives it back.
-func (w *worker) await(ctx context.Context, req *request) Decision {
+// awaitDecision returns the worker's decision. A claimant that stops waiting abandons its request for good: if the
+// worker claims the key all the same, the worker releases it.
+func (w *worker) awaitDecision(ctx context.Context, req *request) Decision {
 	select {
-	case verdict := <-req.done:
-		return verdict
+	case decision := <-req.done:
+		return decision
 	case <-ctx.Done():
 	case <-w.stopped:
 	}
-	if req.state.CompareAndSwap(requestWaiting, requestGivenUp) {
-		return Refuse{Reason: ReasonGivenUp, RetryAfter: time.Second}
+	if req.state.CompareAndSwap(requestWaiting, requestAbandoned) {
+		return Refuse{Reason: ReasonAbandoned, RetryAfter: time.Second}
 	}
 	return <-req.done
 }
 
-// fetch reads an answer that is kept beside its claim.
-func (r *Registry) fetch(ctx context.Context, replay Replay) Decision {
-	if replay.stored == "" {
+// loadResponse reads a response body that is stored outside its claim.
+func (r *Registry) loadResponse(ctx context.Context, replay Replay) Decision {
+	if replay.storeKey == "" {
 		return replay
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	entry, err := r.Store.Get(ctx, replay.stored)
+	entry, err := r.Store.Get(ctx, replay.storeKey)
 	if errors.Is(err, store.ErrNotFound) {
 		replay.Kept = false
 		return replay
@@ -148,11 +149,11 @@
 	return replay
 }
 
-// settle hands an outcome to the group's worker and waits until it is written.
-func (r *Registry) settle(ctx context.Context, op settle, body []byte) (err error) {
-	defer func() { err = errors.WithMessage(err, "record a call's outcome") }()
+// recordOutcome passes an outcome to the group's worker and waits until it is written.
+func (r *Registry) recordOutcome(ctx context.Context, op outcomeOperation, body []byte) (err error) {
+	defer func() { err = errors.WithMessage(err, "record call outcome") }()
 	req := &request{operation: op, done: make(chan Decision, 1), body: body}
-	w := r.worker(op.identity)
+	w := r.workerFor(op.keyHash)
 	select {
 	case w.outcomes <- req:
 	case <-ctx.Done():
@@ -170,24 +171,25 @@
 	}
 }
 
-// errStopped: the registry stopped before the outcome could be written; others will see it as unknown.
-var errStopped = errors.New("claim: the registry has stopped")
+// errStopped means that the registry stopped before the outcome was written; other instances will see it as
+// unknown.
+var errStopped = errors.New("claim: registry stopped before the outcome was written")
 
-// outcome decides where an answer is kept.
-func (r *Registry) outcome(answer Answer, mark string) (ran Ran, body []byte) {
+// ranOutcome decides where a response body is kept.
+func (r *Registry) ranOutcome(answer Answer, claimID string) (ran Ran, body []byte) {
 	switch {
-	case len(answer.Body) <= maxInline:
+	case len(answer.Body) <= maxInlineBody:
 		return Ran{Answer: answer, Kept: true}, nil
-	case len(answer.Body) <= maxStored:
+	case len(answer.Body) <= maxStoredBody:
 		body = answer.Body
 		answer.Body = nil
-		return Ran{Answer: answer, Kept: true, Stored: answerPrefix + mark}, body
+		return Ran{Answer: answer, Kept: true, StoreKey: responsePrefix + claimID}, body
 	}
 	answer.Body = nil
 	return Ran{Answer: answer}, nil
 }
 
-func (r *Registry) prepare() {
+func (r *Registry) createWorkers() {
 	r.once.Do(func() {
 		for i := range r.workers {
 			r.workers[i] = newWorker(r, i)
@@ -195,24 +197,24 @@
 	})
 }
 
-func (r *Registry) worker(identity string) *worker {
-	r.prepare()
-	return r.workers[groupOf(identity)]
+func (r *Registry) workerFor(keyHash string) *worker {
+	r.createWorkers()
+	return r.workers[groupOf(keyHash)]
 }
 
-func groupOf(identity string) int {
+func groupOf(keyHash string) int {
 	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(identity))
+	_, _ = sum.Write([]byte(keyHash))
 	return int(sum.Sum32() % GroupCount)
 }
 
-func (r *Registry) retention() time.Duration { return orDefault(r.Retention, Retention) }
-func (r *Registry) usableFor() time.Duration { return orDefault(r.UsableFor, UsableFor) }
-func (r *Registry) runLimit() time.Duration  { return orDefault(r.RunLimit, RunLimit) }
+func (r *Registry) retention() time.Duration      { return orDefault(r.Retention, Retention) }
+func (r *Registry) dispatchWindow() time.Duration { return orDefault(r.DispatchWindow, DispatchWindow) }
+func (r *Registry) maxRunTime() time.Duration     { return orDefault(r.MaxRunTime, MaxRunTime) }
 
-func orDefault(value, otherwise time.Duration) time.Duration {
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/admission/claim/registry_test.go
+++ b/internal/admission/claim/registry_test.go
@@ -15,22 +15,22 @@
 )
 
 // withRegistry runs a check against one running registry on a store without faults.
-func withRegistry(t *testing.T, check func(is *is.I, w *world, r *claim.Registry)) {
+func withRegistry(t *testing.T, check func(is *is.I, w *simulation, r *claim.Registry)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1)
+		w := newSimulation(1)
 		defer w.stop()
 		check(is.New(t), w, w.instances[0].registry)
 	})
 }
 
-func proceed(is *is.I, r *claim.Registry, key string) *claim.Ticket {
+func claimAndDispatch(is *is.I, r *claim.Registry, key string) *claim.Ticket {
 	decision, err := r.Claim(context.Background(), "crew", key, "ten")
 	is.NoErr(err)
 	is.True(decision.(claim.Proceed).Ticket.Dispatch() == nil)
 	return decision.(claim.Proceed).Ticket
 }
 
-func TestAnswersAreReplayed(t *testing.T) {
+func TestResponsesAreReplayed(t *testing.T) {
 	tests := []struct {
 		name string
 		size int
@@ -42,9 +42,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			withRegistry(t, func(is *is.I, w *world, r *claim.Registry) {
+			withRegistry(t, func(is *is.I, w *simulation, r *claim.Registry) {
 				answer := claim.Answer{Status: 201, ContentType: "application/json", Body: bytes.Repeat([]byte("x"), tt.size)}
-				is.NoErr(proceed(is, r, "k").Ran(context.Background(), answer))
+				is.NoErr(claimAndDispatch(is, r, "k").Ran(context.Background(), answer))
 				decision, err := w.instances[1].registry.Claim(context.Background(), "crew", "k", "ten")
 				is.NoErr(err)
 				replay := decision.(claim.Replay)
@@ -53,30 +53,30 @@
 				if tt.kept {
 					is.Equal(replay.Answer.Body, answer.Body)
 				}
-				_, isOther := must(is, r, "k", "twenty").(claim.DifferentBody)
+				_, isOther := mustClaim(is, r, "k", "twenty").(claim.DifferentBody)
 				is.True(isOther)
 			})
 		})
 	}
 }
 
-func must(is *is.I, r *claim.Registry, key, body string) claim.Decision {
+func mustClaim(is *is.I, r *claim.Registry, key, body string) claim.Decision {
 	decision, err := r.Claim(context.Background(), "crew", key, body)
 	is.NoErr(err)
 	return decision
 }
 
-// With a write for each claim, a busy hour of bookings would take the store's several hundred writes a
-// second, and operators' changes would wait behind them. Claims that come together share writes.
+// Guards against one store write per claim: a busy hour of bookings would use up the several hundred writes a
+// second of the store, and operators' changes would queue behind them. Concurrent claims share writes.
 func TestClaimsShareWrites(t *testing.T) {
-	withRegistry(t, func(is *is.I, w *world, r *claim.Registry) {
+	withRegistry(t, func(is *is.I, w *simulation, r *claim.Registry) {
 		const calls, seconds = 20000, 10
 		var group sync.WaitGroup
 		proceeded := make(chan struct{}, calls)
 		for i := range calls {
 			time.Sleep(seconds * time.Second / calls)
 			group.Go(func() {
-				if d, isOne := must(is, r, fmt.Sprint("k", i), "ten").(claim.Proceed); isOne {
+				if d, isOne := mustClaim(is, r, fmt.Sprint("k", i), "ten").(claim.Proceed); isOne {
 					_ = d.Ticket.NotRun(context.Background())
 					proceeded <- struct{}{}
 				}
@@ -89,15 +89,15 @@
 	})
 }
 
-// A value of the store takes a megabyte. If claims were written beyond that, every claim of the group
-// would fail until the oldest expire; so new ones are refused, not run, while there is still room for
-// the outcomes of those that run.
+// Guards against claims written beyond the megabyte that a value in the store may hold: every claim of the group
+// would then fail until the oldest expire. New claims must be refused without running while there is still room for
+// the outcomes of running calls.
 func TestFullGroupRefuses(t *testing.T) {
-	withRegistry(t, func(is *is.I, w *world, r *claim.Registry) {
+	withRegistry(t, func(is *is.I, w *simulation, r *claim.Registry) {
 		answer := claim.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), 500)}
 		made, refused := 0, ""
 		for wave := 0; refused == ""; wave++ {
-			for _, decision := range together(r, wave) {
+			for _, decision := range claimConcurrently(r, wave) {
 				switch d := decision.(type) {
 				case claim.Proceed:
 					is.NoErr(d.Ticket.Dispatch())
@@ -113,18 +113,18 @@
 		t.Logf("a group takes %d claims with answers of 500 bytes", made)
 		is.True(w.store.largest() < 1<<20)
 		time.Sleep(retention + time.Minute)
-		_, claimed := must(is, r, "k0", "ten").(claim.Proceed)
+		_, claimed := mustClaim(is, r, "k0", "ten").(claim.Proceed)
 		is.True(claimed)
 	})
 }
 
-// together claims a hundred keys of one group at once.
-func together(r *claim.Registry, wave int) []claim.Decision {
+// claimConcurrently claims a hundred keys of one group at once.
+func claimConcurrently(r *claim.Registry, round int) []claim.Decision {
 	var group sync.WaitGroup
 	decisions := make([]claim.Decision, 100)
 	found := 0
 	for i := 0; found < len(decisions); i++ {
-		key := fmt.Sprint("k", wave, "-", i)
+		key := fmt.Sprint("k", round, "-", i)
 		if claim.GroupOf("crew", key) != claim.GroupOf("crew", "k0") {
 			continue
 		}
--- a/internal/admission/claim/ticket.go
+++ b/internal/admission/claim/ticket.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Ticket is leave to dispatch one call, once. It is safe for concurrent use.
+// Ticket permits one call to be dispatched once. It is safe for concurrent use.
 type Ticket struct {
-	registry *Registry
-	identity string
-	mark     string
-	claimed  time.Time
+	registry  *Registry
+	keyHash   string
+	claimID   string
+	claimedAt time.Time
 
 	mutex sync.Mutex
 	phase phase
@@ -25,75 +25,75 @@
 	phaseClosed
 )
 
-// Usable answers nil while the call may be dispatched. The holder may have been paused since it
-// claimed: longer than the claim is kept, and another could claim the key anew. So it is asked at the
-// moment of use, by the monotonic and by the wall clock; the former may stand still in a suspended
-// machine.
-func (t *Ticket) Usable() error {
+// CheckUsable returns nil while the call may be dispatched. The holder may have been paused since it claimed the key,
+// for longer than the claim is kept, so that another caller could claim the key again. Call CheckUsable right before
+// use. It checks both the monotonic and the wall clock, since the monotonic clock may stop while the machine is
+// suspended.
+func (t *Ticket) CheckUsable() error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.usable()
+	return t.checkUsable()
 }
 
-func (t *Ticket) usable() error {
+func (t *Ticket) checkUsable() error {
 	if t.phase != phaseClaimed {
 		return ErrTicketUsed
 	}
 	now := time.Now()
-	age := max(now.Sub(t.claimed), now.Round(0).Sub(t.claimed.Round(0)))
-	if age >= t.registry.usableFor() {
+	age := max(now.Sub(t.claimedAt), now.Round(0).Sub(t.claimedAt.Round(0)))
+	if age >= t.registry.dispatchWindow() {
 		return ErrTicketExpired
 	}
 	return nil
 }
 
-// Dispatch is called right before the first byte goes out and answers nil exactly once.
+// Dispatch must be called right before the first byte is sent. It returns nil exactly once.
 func (t *Ticket) Dispatch() error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if err := t.usable(); err != nil {
+	if err := t.checkUsable(); err != nil {
 		return err
 	}
 	t.phase = phaseDispatched
 	return nil
 }
 
-// NotRun records that the call certainly did not run: it was never dispatched, or the upstream said so.
-// From then on the key may be claimed again. It returns when the outcome is written, or with the
-// context's error; the outcome is then still written as soon as the store allows.
+// NotRun records that the call certainly did not run: it was never dispatched, or the upstream reported so. From
+// then on the key may be claimed again. NotRun returns when the outcome is written, or with the context's error; in
+// that case the outcome is still written as soon as the store allows.
 func (t *Ticket) NotRun(ctx context.Context) error {
 	if err := t.close(phaseClaimed); err != nil {
 		return err
 	}
-	return t.registry.settle(ctx, settle{identity: t.identity, mark: t.mark, outcome: NotRun{}}, nil)
+	return t.registry.recordOutcome(ctx, outcomeOperation{keyHash: t.keyHash, claimID: t.claimID, outcome: NotRun{}}, nil)
 }
 
-// Ran records that the call ran, with its answer. It returns as NotRun does.
+// Ran records that the call ran, with its response. It returns as NotRun does.
 func (t *Ticket) Ran(ctx context.Context, answer Answer) error {
 	if err := t.close(phaseDispatched); err != nil {
 		return err
 	}
-	outcome, body := t.registry.outcome(answer, t.mark)
-	return t.registry.settle(ctx, settle{identity: t.identity, mark: t.mark, outcome: outcome}, body)
+	outcome, body := t.registry.ranOutcome(answer, t.claimID)
+	return t.registry.recordOutcome(ctx, outcomeOperation{keyHash: t.keyHash, claimID: t.claimID, outcome: outcome}, body)
 }
 
-// Unknown records that the call was dispatched and that its outcome cannot be known. It returns as
-// NotRun does.
+// Unknown records that the call was dispatched and that its outcome cannot be determined. It returns as NotRun
+// does.
 func (t *Ticket) Unknown(ctx context.Context) error {
 	if err := t.close(phaseDispatched); err != nil {
 		return err
 	}
-	return t.registry.settle(ctx, settle{identity: t.identity, mark: t.mark, outcome: Unknown{}}, nil)
+	return t.registry.recordOutcome(ctx, outcomeOperation{keyHash: t.keyHash, claimID: t.claimID, outcome: Unknown{}}, nil)
 }
 
-// close ends the ticket; the phase is the least that the outcome needs.
-func (t *Ticket) close(least phase) error {
+// close ends the ticket. The outcome requires the ticket to have reached at least the given phase.
+func (t *Ticket) close(required phase) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.phase == phaseClosed {
 		return ErrTicketUsed
 	}
-	if t.phase < least {
+	if t.phase < required {
 		return ErrNotDispatched
 	}
 	t.phase = phaseClosed
--- a/internal/admission/claim/worker.go
+++ b/internal/admission/claim/worker.go
@@ -11,13 +11,13 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// This file writes the claims of one group. While one write is under way the next operations gather
-// and go into the next write together: the store's writes grow with time, not with calls.
+// This file writes the claims of one group. While one write is in progress, further operations queue up and share
+// the next write, so the store's write rate does not grow with the number of calls.
 
-// maxTries bounds how often one batch is applied anew after losing a race or an answer.
-const maxTries = 8
+// maxAttempts bounds how often one batch is applied again after a write conflict or a lost response.
+const maxAttempts = 8
 
-// recordSize is the most that one claim without an answer takes in the value, rounded up.
+// recordSize is the maximum size of one claim without a response in the stored value, rounded up.
 const recordSize = 512
 
 type worker struct {
@@ -27,13 +27,13 @@
 	outcomes chan *request
 	stopped  chan struct{}
 
-	// What the group was when last read or written; known is false when it has to be read.
-	known    bool
-	revision int64
-	group    Group
-	size     int
-	written  time.Time
-	// unwritten outcomes wait for the store.
+	// The group as last read or written; cached is false if it has to be read.
+	cached    bool
+	revision  int64
+	group     Group
+	size      int
+	lastWrite time.Time
+	// unwritten holds the outcomes still to be written to the store.
 	unwritten []*request
 }
 
@@ -47,21 +47,21 @@
 	}
 }
 
-func (w *worker) loop(ctx context.Context) {
+func (w *worker) run(ctx context.Context) {
 	defer close(w.stopped)
 	for ctx.Err() == nil {
-		w.commit(ctx, w.gather(ctx))
+		w.commit(ctx, w.collectBatch(ctx))
 	}
-	final, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	finalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
-	w.commit(final, w.drain(nil))
+	w.commit(finalCtx, w.drainQueues(nil))
 }
 
-// gather waits for an operation and takes along those that wait with it.
-func (w *worker) gather(ctx context.Context) []*request {
+// collectBatch waits for an operation and collects all others that are queued.
+func (w *worker) collectBatch(ctx context.Context) []*request {
 	var retry <-chan time.Time
 	if len(w.unwritten) > 0 {
-		retry = time.After(retryEvery)
+		retry = time.After(retryInterval)
 	}
 	var batch []*request
 	select {
@@ -73,18 +73,18 @@
 		batch = append(batch, req)
 	case <-retry:
 	}
-	w.pace(ctx)
-	return w.drain(batch)
+	w.throttle(ctx)
+	return w.drainQueues(batch)
 }
 
-// pace waits until the group may be written again.
-func (w *worker) pace(ctx context.Context) {
-	pause.For(ctx, writePace-time.Since(w.written))
+// throttle waits until the group may be written again.
+func (w *worker) throttle(ctx context.Context) {
+	pause.For(ctx, minWriteInterval-time.Since(w.lastWrite))
 }
 
-// drain takes all that waits, outcomes first: one of them may free a key that a claim in the same
-// batch asks for.
-func (w *worker) drain(batch []*request) []*request {
+// drainQueues takes everything that is queued, outcomes first: an outcome may free a key that a claim in the same
+// batch requests.
+func (w *worker) drainQueues(batch []*request) []*request {
 	batch = append(w.unwritten, batch...)
 	w.unwritten = nil
 	for len(batch) < queueLength {
@@ -107,54 +107,54 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// commit applies a batch to the group and swaps it in the store. A write whose answer was lost is
-// settled by reading back and applying the batch again: what took effect is recognised by its marks. If
-// the store cannot be reached for that, the claims are refused, which is true since nothing was
-// dispatched, and recorded as not run once it can.
+// commit applies a batch to the group and writes it to the store by compare-and-swap. If the response to a write is
+// lost, commit reads the group back and applies the batch again: claims that took effect are recognised by their
+// IDs. If the store cannot be reached for that, the claims are refused. This is correct since nothing was
+// dispatched; they are recorded as not run once the store is reachable again.
 func (w *worker) commit(ctx context.Context, batch []*request) {
-	batch = withoutGivenUp(batch)
+	batch = withoutAbandoned(batch)
 	if len(batch) == 0 {
 		return
 	}
-	lost := false
-	for range maxTries {
-		fresh := !w.known
+	uncertain := false
+	for range maxAttempts {
+		justRead := !w.cached
 		if err := w.load(ctx); err != nil {
 			break
 		}
 		res := w.apply(batch)
-		if !res.changed && fresh {
-			w.answer(batch, res)
+		if !res.changed && justRead {
+			w.complete(batch, res)
 			return
 		}
 		if !res.changed {
-			w.known = false
+			w.cached = false
 			continue
 		}
 		err := w.write(ctx, batch, res)
 		if err == nil {
-			w.answer(batch, res)
-			w.forgetAnswers(ctx, res.dropped)
+			w.complete(batch, res)
+			w.deleteStoredBodies(ctx, res.dropped)
 			return
 		}
-		w.known = false
+		w.cached = false
 		if errors.Is(err, store.ErrUnavailable) {
 			break
 		}
-		lost = lost || !errors.Is(err, store.ErrConflict)
+		uncertain = uncertain || !errors.Is(err, store.ErrConflict)
 	}
-	w.fail(batch, lost)
+	w.fail(batch, uncertain)
 }
 
 func (w *worker) load(ctx context.Context) (err error) {
-	if w.known {
+	if w.cached {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	entry, err := w.registry.Store.Get(ctx, w.key)
 	if errors.Is(err, store.ErrNotFound) {
-		w.remember(store.Absent, Group{}, 0)
+		w.cache(store.Absent, Group{}, 0)
 		return nil
 	}
 	if err != nil {
@@ -164,15 +164,15 @@
 	if err != nil {
 		return err
 	}
-	w.remember(entry.Revision, group, len(entry.Value))
+	w.cache(entry.Revision, group, len(entry.Value))
 	return nil
 }
 
-func (w *worker) remember(revision int64, group Group, size int) {
-	w.known, w.revision, w.group, w.size = true, revision, group, size
+func (w *worker) cache(revision int64, group Group, size int) {
+	w.cached, w.revision, w.group, w.size = true, revision, group, size
 }
 
-func (w *worker) apply(batch []*request) applied {
+func (w *worker) apply(batch []*request) batchResult {
 	operations := make([]operation, 0, len(batch))
 	forced := false
 	for _, req := range batch {
@@ -180,17 +180,17 @@
 		forced = forced || req.force
 	}
 	res := w.group.apply(operations, limits{
-		now:       time.Now(),
-		runLimit:  w.registry.runLimit(),
-		retention: w.registry.retention(),
-		room:      max(maxGroup-w.sizeNow(), 0) / recordSize,
+		now:        time.Now(),
+		maxRunTime: w.registry.maxRunTime(),
+		retention:  w.registry.retention(),
+		room:       max(maxGroupSize-w.currentSize(), 0) / recordSize,
 	})
 	res.changed = res.changed || forced
 	return res
 }
 
-// sizeNow is the size of the group's value without the claims that are too old to be kept.
-func (w *worker) sizeNow() int {
+// currentSize returns the size of the group's value without expired claims.
+func (w *worker) currentSize() int {
 	kept, dropped := w.group.WithoutOlder(time.Now().Add(-w.registry.retention()))
 	if len(dropped) == 0 {
 		return w.size
@@ -202,11 +202,11 @@
 	return len(value)
 }
 
-func (w *worker) write(ctx context.Context, batch []*request, res applied) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (w *worker) write(ctx context.Context, batch []*request, res batchResult) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	for _, req := range batch {
-		if err := w.writeAnswer(ctx, req); err != nil {
+		if err := w.storeBody(ctx, req); err != nil {
 			return err
 		}
 	}
@@ -214,22 +214,22 @@
 	if err != nil {
 		return err
 	}
-	w.written = time.Now()
+	w.lastWrite = time.Now()
 	entry, err := w.registry.Store.CompareAndSwap(ctx, w.key, w.revision, value)
 	if err != nil {
 		return err
 	}
-	w.remember(entry.Revision, res.group, len(value))
+	w.cache(entry.Revision, res.group, len(value))
 	return nil
 }
 
-// writeAnswer keeps a large answer under its own key, before the claim names it.
-func (w *worker) writeAnswer(ctx context.Context, req *request) (err error) {
+// storeBody stores a large response body under its own key, before the claim refers to it.
+func (w *worker) storeBody(ctx context.Context, req *request) (err error) {
 	if req.body == nil {
 		return nil
 	}
-	op := req.operation.(settle)
-	key := op.outcome.(Ran).Stored
+	op := req.operation.(outcomeOperation)
+	key := op.outcome.(Ran).StoreKey
 	_, err = w.registry.Store.CompareAndSwap(ctx, key, store.Absent, req.body)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return err
@@ -238,65 +238,66 @@
 	return nil
 }
 
-// forgetAnswers removes the answers of claims that were dropped. One that stays behind is only waste.
-func (w *worker) forgetAnswers(ctx context.Context, dropped []Record) {
+// deleteStoredBodies deletes the stored response bodies of dropped claims. One that is not deleted only wastes
+// space.
+func (w *worker) deleteStoredBodies(ctx context.Context, dropped []Record) {
 	for _, record := range dropped {
 		ran, _ := record.State.(Ran)
-		if ran.Stored == "" {
+		if ran.StoreKey == "" {
 			continue
 		}
-		if entry, err := w.registry.Store.Get(ctx, ran.Stored); err == nil {
-			_ = w.registry.Store.Delete(ctx, ran.Stored, entry.Revision)
+		if entry, err := w.registry.Store.Get(ctx, ran.StoreKey); err == nil {
+			_ = w.registry.Store.Delete(ctx, ran.StoreKey, entry.Revision)
 		}
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-func withoutGivenUp(batch []*request) []*request {
+func withoutAbandoned(batch []*request) []*request {
 	kept := batch[:0:0]
 	for _, req := range batch {
-		if req.state.Load() != requestGivenUp {
+		if req.state.Load() != requestAbandoned {
 			kept = append(kept, req)
 		}
 	}
 	return kept
 }
 
-// answer tells each claimant its verdict. A claim whose claimant has gone meanwhile is given back.
-func (w *worker) answer(batch []*request, res applied) {
+// complete returns the decisions to the claimants. A claim whose claimant has stopped waiting is released.
+func (w *worker) complete(batch []*request, res batchResult) {
 	for i, req := range batch {
-		if req.state.CompareAndSwap(requestWaiting, requestAnswered) {
-			req.done <- res.verdicts[i]
+		if req.state.CompareAndSwap(requestWaiting, requestCompleted) {
+			req.done <- res.decisions[i]
 			continue
 		}
-		if op, isOpen := req.operation.(open); isOpen && res.verdicts[i] == nil {
-			w.giveBack(op, false)
+		if op, isClaim := req.operation.(claimOperation); isClaim && res.decisions[i] == nil {
+			w.release(op, false)
 		}
 	}
 }
 
-// fail refuses the claims and keeps the outcomes for the next try. After a lost write a claim may yet
-// take effect, so it is followed by an outcome that is written whatever is read.
-func (w *worker) fail(batch []*request, lost bool) {
+// fail refuses the claims and keeps the outcomes for the next attempt. If a write may still take effect, its claims
+// are released by an outcome that is written whatever the group then contains.
+func (w *worker) fail(batch []*request, uncertain bool) {
 	for _, req := range batch {
 		switch op := req.operation.(type) {
-		case settle:
+		case outcomeOperation:
 			w.unwritten = append(w.unwritten, req)
-		case open:
-			if lost {
-				w.giveBack(op, true)
+		case claimOperation:
+			if uncertain {
+				w.release(op, true)
 			}
-			if req.state.CompareAndSwap(requestWaiting, requestAnswered) {
+			if req.state.CompareAndSwap(requestWaiting, requestCompleted) {
 				req.done <- Refuse{Reason: ReasonStore, RetryAfter: time.Second}
 			}
 		}
 	}
 }
 
-func (w *worker) giveBack(op open, force bool) {
+func (w *worker) release(op claimOperation, force bool) {
 	w.unwritten = append(w.unwritten, &request{
-		operation: settle{identity: op.identity, mark: op.mark, outcome: NotRun{}},
+		operation: outcomeOperation{keyHash: op.keyHash, claimID: op.claimID, outcome: NotRun{}},
 		done:      make(chan Decision, 1),
 		force:     force,
 	})
