--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -1,13 +1,13 @@
-// Package quota holds each workspace to its rate and burst over all instances together. Every instance
-// tells the others, in its heartbeats, how much it has admitted in all; each keeps its own estimate of
-// the fleet's bucket from what it hears. The caller reads the runtime's clock and passes the time in.
+// Package quota enforces each workspace's rate and burst across all instances. Every instance sends the others, in
+// its heartbeats, the total that it has admitted. Each keeps its own estimate of the fleet-wide token bucket from
+// these totals. The caller reads the clock and passes the time in.
 //
-// Made for a balancer that spreads callers unevenly and for one workspace that sends many times its
-// rate. Equal shares would refuse a workspace whose callers all reach one instance. An instance that asks
-// another first would refuse or wait whenever that one is away. With an estimate, two instances can admit
-// against the same tokens until they hear of each other; the bucket then is in debt, and nothing is
-// admitted until the debt is paid. So over any time the fleet admits at most rate times time, the burst,
-// and what arrives within one heartbeat.
+// The design handles load balancers that spread callers unevenly, and a workspace that sends many times its rate.
+// Equal shares would refuse a workspace whose callers all reach one instance. Asking another instance first would
+// cause refusals or delays whenever that instance is unreachable. With an estimate, two instances can admit against
+// the same tokens until they receive each other's totals; the bucket is then in debt, and nothing is admitted until
+// the debt is paid. So over any period the fleet admits at most rate times time, plus the burst, plus what arrives
+// within one heartbeat.
 package quota
 
 import (
@@ -15,74 +15,76 @@
 	"time"
 )
 
-// silentAfter is how long a peer may be unheard until its possible admissions are reserved, as long as
-// SilentAfter is not set: some heartbeats, so that one lost heartbeat reserves nothing.
-const silentAfter = 800 * time.Millisecond
+// minPeerTimeout is the minimum time without a heartbeat after which a share is reserved for a peer: several
+// heartbeats, so that one lost heartbeat reserves nothing.
+const minPeerTimeout = 800 * time.Millisecond
 
-// Limit is what a workspace bought.
+// Limit is the rate and burst that a workspace bought.
 type Limit struct {
 	Rate  float64
 	Burst float64
 }
 
-// Spent is what an instance has admitted for each workspace since it started.
+// Spent is the total that an instance has admitted for each workspace since it started.
 type Spent map[string]float64
 
-// Ledger is one instance's estimate of all buckets. Set Self before use. It is not safe for use by
-// several goroutines.
+// Ledger is one instance's estimate of all buckets. Set Self before use. It is not safe for concurrent use.
 type Ledger struct {
 	Self string
-	// SilentAfter is how long a peer may be unheard; it follows the pace of the heartbeats.
+	// SilentAfter is how long a peer may be silent before a share is reserved for it; it depends on the heartbeat
+	// interval. Values below minPeerTimeout have no effect.
 	SilentAfter time.Duration
 
 	limits  map[string]Limit
 	buckets map[string]*bucket
 	own     Spent
 	peers   map[string]*peer
-	// told is what this instance had admitted when it last told all others.
-	told Spent
-	// toldAll is when all peers were last told of a workspace, not only those that admit for it too.
-	toldAll map[string]time.Time
+	// sentTotals are this instance's totals when it last sent them urgently.
+	sentTotals Spent
+	// sentToAll is when the totals were last sent urgently to all peers because of a workspace, and not only to the
+	// peers that admit for it.
+	sentToAll map[string]time.Time
 }
 
 // bucket is the estimate for one workspace. Its level is negative while it is in debt.
 type bucket struct {
-	level float64
-	at    time.Time
-	// scheduled are the refused requests that were told when to retry, and scheduledCost what they cost.
+	level     float64
+	updatedAt time.Time
+	// scheduled are the refused requests that got a retry time, and scheduledCost is their total cost.
 	scheduled     []scheduledRetry
 	scheduledCost float64
 }
 
-// scheduledRetry is a refused request whose caller was told when to retry.
+// scheduledRetry is a refused request that got a retry time.
 type scheduledRetry struct {
 	due  time.Time
 	cost float64
 }
 
-// peer is another instance: what it told last, and what was reserved for it since.
+// peer is another instance: the totals last received from it, and the share reserved for it since.
 type peer struct {
 	incarnation string
-	heard       time.Time
-	// spent is nil until the peer has told all that it admitted, partly what it told of some workspaces before.
-	spent    Spent
-	partly   Spent
-	reserved Spent
-	// admitted is when it was last heard to have admitted something for a workspace.
-	admitted map[string]time.Time
+	lastSeen    time.Time
+	// totals is nil until the peer has sent all its totals; partialTotals holds those of some workspaces received
+	// before.
+	totals        Spent
+	partialTotals Spent
+	reserved      Spent
+	// lastAdmitted is when a received total of a workspace last showed that the peer had admitted something.
+	lastAdmitted map[string]time.Time
 }
 
-// SetLimits takes over what is declared. A bucket that is new starts empty: an instance that has just
-// started does not know what was admitted right before, and after a restart of the whole fleet a full
-// bucket would be the second within the same seconds.
+// SetLimits installs the declared limits. A new bucket starts empty: an instance that has just started does not
+// know what was admitted right before, and after a restart of the whole fleet a full bucket would grant the burst
+// twice within the same seconds.
 func (l *Ledger) SetLimits(now time.Time, limits map[string]Limit) {
-	l.prepare()
-	l.advance(now)
+	l.initialize()
+	l.refill(now)
 	l.limits = limits
 	for workspace, limit := range limits {
 		b := l.buckets[workspace]
 		if b == nil {
-			l.buckets[workspace] = &bucket{at: now}
+			l.buckets[workspace] = &bucket{updatedAt: now}
 			continue
 		}
 		b.level = min(b.level, limit.Burst)
@@ -94,102 +96,103 @@
 	}
 }
 
-// SetPeers tells which other instances may be admitting.
+// SetPeers sets which other instances may be admitting requests.
 func (l *Ledger) SetPeers(now time.Time, names []string) {
-	l.prepare()
-	l.advance(now)
-	known := make(map[string]*peer, len(names))
+	l.initialize()
+	l.refill(now)
+	peers := make(map[string]*peer, len(names))
 	for _, name := range names {
 		p := l.peers[name]
 		if p == nil {
-			p = &peer{heard: now, reserved: Spent{}, admitted: make(map[string]time.Time)}
+			p = &peer{lastSeen: now, reserved: Spent{}, lastAdmitted: make(map[string]time.Time)}
 		}
-		known[name] = p
+		peers[name] = p
 	}
-	l.peers = known
+	l.peers = peers
 }
 
-// Hear takes note of what a peer has admitted in all. What was reserved for it while it was silent is
-// settled against what it really admitted.
-func (l *Ledger) Hear(now time.Time, name, incarnation string, spent Spent) {
-	l.prepare()
+// Hear merges a peer's totals. The share that was reserved for the peer while it was silent is replaced by what it
+// really admitted.
+func (l *Ledger) Hear(now time.Time, name, incarnation string, totals Spent) {
+	l.initialize()
 	p := l.peers[name]
 	if p == nil {
 		return
 	}
-	l.advance(now)
-	p.heard = now
-	first := p.spent == nil
-	before := p.spent
+	l.refill(now)
+	p.lastSeen = now
+	first := p.totals == nil
+	before := p.totals
 	if p.incarnation != incarnation {
 		p.incarnation = incarnation
 		before = nil
 	}
 	if !first {
-		for workspace, total := range spent {
+		for workspace, total := range totals {
 			l.deduct(workspace, total-before[workspace])
 			if total > before[workspace] {
-				p.admitted[workspace] = now
+				p.lastAdmitted[workspace] = now
 			}
 		}
 	}
 	for workspace, reserved := range p.reserved {
 		l.deduct(workspace, -reserved)
 	}
-	p.spent = maps.Clone(spent)
-	if p.spent == nil {
-		p.spent = Spent{}
+	p.totals = maps.Clone(totals)
+	if p.totals == nil {
+		p.totals = Spent{}
 	}
 	p.reserved = Spent{}
 }
 
-// HearSome takes note of what a peer has admitted in all for some workspaces, those for which it has admitted lately.
+// HearSome merges a peer's totals of some workspaces: those for which it has admitted recently.
 //
-// Made for a large fleet, in which instances share all that they admitted only every few seconds. A workspace that asks
-// for more than its rate would be admitted by all of them until they hear of each other, and then by none until the debt
-// is paid.
-func (l *Ledger) HearSome(now time.Time, name, incarnation string, spent Spent) {
+// In a large fleet, instances exchange all totals only every few seconds. Without partial updates, all instances
+// would admit a workspace that exceeds its rate until they receive each other's totals, and would then admit
+// nothing until the debt is paid.
+func (l *Ledger) HearSome(now time.Time, name, incarnation string, totals Spent) {
 	p := l.peers[name]
 	if p == nil {
 		return
 	}
-	l.advance(now)
-	if p.incarnation != incarnation && p.spent != nil {
-		return // all that the new incarnation admitted comes before long
+	l.refill(now)
+	if p.incarnation != incarnation && p.totals != nil {
+		return // all totals of the new incarnation arrive shortly
 	}
-	for workspace, total := range spent {
-		before, known := p.spent[workspace]
-		if p.spent == nil {
-			before, known = p.partly[workspace]
+	for workspace, total := range totals {
+		before, known := p.totals[workspace]
+		if p.totals == nil {
+			before, known = p.partialTotals[workspace]
 		}
-		if known || p.spent != nil {
+		if known || p.totals != nil {
 			l.deduct(workspace, total-before)
-			p.admitted[workspace] = now
+			p.lastAdmitted[workspace] = now
 		}
-		p.note(workspace, total)
+		p.setTotal(workspace, total)
 	}
 }
 
-// note keeps what a peer told of one workspace.
-func (p *peer) note(workspace string, total float64) {
-	if p.spent != nil {
-		p.spent[workspace] = total
+// setTotal records a peer's total of one workspace.
+func (p *peer) setTotal(workspace string, total float64) {
+	if p.totals != nil {
+		p.totals[workspace] = total
 		return
 	}
-	if p.partly == nil {
-		p.partly = Spent{}
+	if p.partialTotals == nil {
+		p.partialTotals = Spent{}
 	}
-	p.partly[workspace] = total
+	p.partialTotals[workspace] = total
 }
 
-// Admit takes a request's cost, or says when to come back. A request is admitted while the bucket is not
-// in debt, also if it costs more than is there: else one that costs more than the burst could never run.
+// Admit takes a request's cost from the bucket, or returns when to retry. A request is admitted while the bucket is
+// not in debt, even if it costs more than the level: otherwise a request that costs more than the burst could never
+// run.
 func (l *Ledger) Admit(now time.Time, workspace string, cost float64) (retryAfter time.Duration, admitted bool) {
 	limit, limited := l.limits[workspace]
 	if !limited || limit.Rate <= 0 {
 		return 0, true
 	}
-	l.advance(now)
+	l.refill(now)
 	b := l.buckets[workspace]
 	if b.level <= 0 {
 		return l.scheduleRetry(now, workspace, cost), false
@@ -199,7 +202,7 @@
 	return 0, true
 }
 
-// Refund gives back what an admitted request that never ran had taken.
+// Refund returns the cost of an admitted request that never ran.
 func (l *Ledger) Refund(workspace string, cost float64) {
 	if _, limited := l.limits[workspace]; !limited {
 		return
@@ -209,161 +212,166 @@
 }
 
 const (
-	// lowPart: a bucket that is less full than this may be emptied by others before they are heard.
-	lowPart = 0.5
-	// tellAfter is how much of a workspace's rate an instance may admit from a low bucket without telling, in
-	// seconds of that rate. At saturation the fleet then tells at most some thirty times a second for a workspace;
-	// a smaller part would cost more messages than the requests themselves.
-	tellAfter = 0.03
-	// mostUntold is how much all instances together may admit from a low bucket without telling, in the same unit. With
-	// two hundred of them that admit alike, the part of each is less than one request.
-	mostUntold = 0.3
-	// activeFor is how long an instance that admitted for a workspace is taken to go on: some heartbeats, also
-	// where there are many instances.
-	activeFor = 8 * time.Second
+	// lowLevel is the part of the burst below which other instances may empty the bucket before their totals
+	// arrive.
+	lowLevel = 0.5
+	// maxUnsent is how much of a workspace's rate an instance may admit from a low bucket without sending its
+	// totals, in seconds of that rate. At saturation the fleet then sends urgent updates at most some thirty times
+	// a second for a workspace; with a smaller value the messages would cost more than the requests themselves.
+	maxUnsent = 0.03
+	// maxFleetUnsent is how much all instances together may admit from a low bucket without sending their totals,
+	// in the same unit. With two hundred instances that admit equally, the part of each is less than one request.
+	maxFleetUnsent = 0.3
+	// activeWindow is how long an instance that admitted for a workspace counts as active for it: several heartbeats,
+	// also in a large fleet.
+	activeWindow = 8 * time.Second
 )
 
-// TellDue lists the peers that should hear at once what this instance has admitted, and takes it that they will:
-// those that admit for the same workspace, and now and then all. The callers of one reach some of the instances
-// only, and to tell all of them each time would cost a large fleet more than all its heartbeats. But those that
-// begin have to be known to the others first, and to hear from them, which their answers do.
+// TellDue returns the peers to which this instance must send its totals at once, and marks the totals as sent.
+// These are the peers that admit for the same workspace, and from time to time all peers. A workspace's callers
+// reach only some of the instances, and sending to all peers each time would cost a large fleet more than all its
+// heartbeats. But instances that start to admit must first become known to the others and receive their totals; the
+// replies to an update to all do that.
 //
-// Made for a large fleet, whose heartbeats come every few seconds, and one workspace that sends many times its
-// rate to all instances: each would admit against the same tokens until the next heartbeat.
+// In a large fleet heartbeats are sent only every few seconds. If a workspace sends many times its rate to all
+// instances, each would admit against the same tokens until the next heartbeat.
 func (l *Ledger) TellDue(now time.Time) (names []string) {
-	for workspace, spent := range l.own {
-		if l.isTight(workspace) && spent-l.told[workspace] >= l.tellAfter(now, workspace)*l.limits[workspace].Rate {
-			l.told = maps.Clone(l.own)
-			return l.toTell(now, workspace)
+	for workspace, total := range l.own {
+		if l.isLow(workspace) && total-l.sentTotals[workspace] >= l.unsentLimit(now, workspace)*l.limits[workspace].Rate {
+			l.sentTotals = maps.Clone(l.own)
+			return l.urgentRecipients(now, workspace)
 		}
 	}
 	return nil
 }
 
-// tellAfter is how much of a workspace's rate this instance may admit without telling, in seconds of that rate.
-func (l *Ledger) tellAfter(now time.Time, workspace string) float64 {
-	return min(tellAfter, mostUntold/float64(1+l.admitting(now, workspace)))
+// unsentLimit returns how much of a workspace's rate this instance may admit without sending its totals, in seconds
+// of that rate.
+func (l *Ledger) unsentLimit(now time.Time, workspace string) float64 {
+	return min(maxUnsent, maxFleetUnsent/float64(1+l.activePeerCount(now, workspace)))
 }
 
-// toTell lists the peers that admitted for a workspace lately, or all if those were not told for as long.
-func (l *Ledger) toTell(now time.Time, workspace string) (names []string) {
-	all := now.Sub(l.toldAll[workspace]) > activeFor
+// urgentRecipients returns the peers that admitted for a workspace recently, or all peers if the last update to all
+// is longer ago than activeWindow.
+func (l *Ledger) urgentRecipients(now time.Time, workspace string) (names []string) {
+	all := now.Sub(l.sentToAll[workspace]) > activeWindow
 	if all {
-		l.toldAll[workspace] = now
+		l.sentToAll[workspace] = now
 	}
 	for name, p := range l.peers {
-		if at, found := p.admitted[workspace]; all || found && now.Sub(at) <= activeFor {
+		if at, found := p.lastAdmitted[workspace]; all || found && now.Sub(at) <= activeWindow {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Own is what this instance has admitted.
+// Own returns this instance's totals.
 func (l *Ledger) Own() Spent { return maps.Clone(l.own) }
 
-// Since gives the workspaces for which more or less was admitted than before.
+// Since returns the totals that differ from those before.
 func (s Spent) Since(before Spent) Spent {
 	changed := Spent{}
-	for workspace, spent := range s {
-		if spent != before[workspace] {
-			changed[workspace] = spent
+	for workspace, total := range s {
+		if total != before[workspace] {
+			changed[workspace] = total
 		}
 	}
 	return changed
 }
 
-// isTight tells whether a workspace's bucket may be emptied by others before they are heard.
-func (l *Ledger) isTight(workspace string) bool {
+// isLow reports whether other instances may empty a workspace's bucket before their totals arrive.
+func (l *Ledger) isLow(workspace string) bool {
 	limit := l.limits[workspace]
 	b := l.buckets[workspace]
-	return b != nil && limit.Rate > 0 && b.level <= lowPart*limit.Burst
+	return b != nil && limit.Rate > 0 && b.level <= lowLevel*limit.Burst
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// leastRetryAfter keeps callers from asking again at once when a bucket is almost out of debt.
-const leastRetryAfter = 50 * time.Millisecond
+// minRetryAfter keeps callers from retrying at once when a bucket is almost out of debt.
+const minRetryAfter = 50 * time.Millisecond
 
-// mostStagger bounds how far retries are spread beyond the end of the debt. A generation should begin within a
-// second of its caller's first try; a retry that comes later is late whatever happens to it. At several times the
-// rate the schedule would grow for seconds, and the tokens go to requests that are late.
-const mostStagger = 600 * time.Millisecond
+// maxStagger bounds how far retries are staggered beyond the end of the debt. A generation should begin within a
+// second of its caller's first attempt; a later retry misses that whatever happens to it. At several times the rate
+// the schedule would otherwise grow to seconds, and the tokens would go to requests that are already late.
+const maxStagger = 600 * time.Millisecond
 
-// scheduleRetry tells a refused request when to retry: once the debt is paid, and the requests that were refused
-// before it have had their turn. Where the schedule is full, chance decides among those who retry.
+// scheduleRetry returns when a refused request should retry: once the debt is paid and the requests refused before
+// it have had their turn. If the schedule is full, the request gets the end of the debt as its retry time, and
+// chance decides which of these requests is admitted.
 //
-// Made for a wave of requests of one workspace that is over its rate for some seconds. Told only when the debt
-// will be paid, all of them retry in that moment; the first is admitted and the others are refused again. The
-// other instances that admit for the workspace are taken to refuse as many as this one.
+// Staggering handles a spike of requests of a workspace that exceeds its rate for some seconds. If all were given
+// the end of the debt, all would retry at that moment; the first would be admitted and the others refused again.
+// The other instances that admit for the workspace are assumed to refuse as many requests as this one.
 func (l *Ledger) scheduleRetry(now time.Time, workspace string, cost float64) time.Duration {
 	b := l.buckets[workspace]
 	rate := l.limits[workspace].Rate
 	b.dropDue(now)
-	ahead := b.scheduledCost * float64(1+l.admitting(now, workspace))
-	turn := time.Duration(ahead / rate * float64(time.Second))
-	wait := leastRetryAfter + time.Duration(-b.level/rate*float64(time.Second))
-	if turn > mostStagger {
+	costAhead := b.scheduledCost * float64(1+l.activePeerCount(now, workspace))
+	stagger := time.Duration(costAhead / rate * float64(time.Second))
+	wait := minRetryAfter + time.Duration(-b.level/rate*float64(time.Second))
+	if stagger > maxStagger {
 		return wait
 	}
-	wait += turn
+	wait += stagger
 	b.scheduled = append(b.scheduled, scheduledRetry{due: now.Add(wait), cost: cost})
 	b.scheduledCost += cost
 	return wait
 }
 
-// dropDue drops the retries that are due by now. Each is due after the one before it, or the bucket has gained
-// since, so they are nearly in order.
+// dropDue drops the retries that are due. Each is due after the one before it, unless the bucket has gained in
+// between, so they are nearly in order.
 func (b *bucket) dropDue(now time.Time) {
 	for len(b.scheduled) > 0 && !now.Before(b.scheduled[0].due) {
 		b.scheduledCost -= b.scheduled[0].cost
 		b.scheduled = b.scheduled[1:]
 	}
 	if len(b.scheduled) == 0 {
-		b.scheduledCost = 0 // adding and subtracting fractions leaves a remainder
+		b.scheduledCost = 0 // floating-point rounding leaves a remainder
 	}
 }
 
-// admitting counts the other instances that admitted for a workspace lately.
-func (l *Ledger) admitting(now time.Time, workspace string) (count int) {
+// activePeerCount returns how many other instances admitted for a workspace recently.
+func (l *Ledger) activePeerCount(now time.Time, workspace string) (count int) {
 	for _, p := range l.peers {
-		if at, found := p.admitted[workspace]; found && now.Sub(at) <= activeFor {
+		if at, found := p.lastAdmitted[workspace]; found && now.Sub(at) <= activeWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// advance fills the buckets. Each silent peer may be cut off and admitting its part, which is not ours to
-// give out; nor may the bucket hold more than the parts of those who are heard. So an instance that hears
-// nobody gives out its own part, whatever the others do.
-func (l *Ledger) advance(now time.Time) {
+// refill refills the buckets. A silent peer may be partitioned and still admitting its share, so this instance must
+// not hand that share out, and the bucket's level is capped at the shares of the reachable instances. An instance
+// that reaches no peer hands out only its own share, whatever the others do.
+func (l *Ledger) refill(now time.Time) {
 	var silent []*peer
 	for _, p := range l.peers {
 		if l.isSilent(now, p) {
 			silent = append(silent, p)
 		}
 	}
-	part := 1 / float64(len(l.peers)+1)
-	heard := 1 - float64(len(silent))*part
+	share := 1 / float64(len(l.peers)+1)
+	reachable := 1 - float64(len(silent))*share
 	for workspace, b := range l.buckets {
 		limit := l.limits[workspace]
-		gained := limit.Rate * now.Sub(b.at).Seconds()
-		b.at = now
+		gained := limit.Rate * now.Sub(b.updatedAt).Seconds()
+		b.updatedAt = now
 		b.level += gained
 		for _, p := range silent {
-			p.reserved[workspace] += gained * part
-			b.level -= gained * part
+			p.reserved[workspace] += gained * share
+			b.level -= gained * share
 		}
-		b.level = min(b.level, limit.Burst*heard)
+		b.level = min(b.level, limit.Burst*reachable)
 	}
 }
 
 func (l *Ledger) isSilent(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) > max(l.SilentAfter, silentAfter)
+	return now.Sub(p.lastSeen) > max(l.SilentAfter, minPeerTimeout)
 }
 
-// deduct changes the level by what was admitted elsewhere.
+// deduct subtracts what was admitted elsewhere from the level.
 func (l *Ledger) deduct(workspace string, amount float64) {
 	b := l.buckets[workspace]
 	if b == nil {
@@ -372,12 +380,12 @@
 	b.level = min(b.level-amount, l.limits[workspace].Burst)
 }
 
-// prepare makes the zero value usable.
-func (l *Ledger) prepare() {
+// initialize makes the zero value usable.
+func (l *Ledger) initialize() {
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 		l.peers = make(map[string]*peer)
 		l.own = Spent{}
-		l.toldAll = make(map[string]time.Time)
+		l.sentToAll = make(map[string]time.Time)
 	}
 }
--- a/internal/admission/quota/quota_test.go
+++ b/internal/admission/quota/quota_test.go
@@ -15,25 +15,26 @@
 
 const workspace = "w"
 
-// fleet is some instances that exchange heartbeats.
+// fleet is a set of instances that exchange heartbeats.
 type fleet struct {
-	limit     quota.Limit
-	ledgers   map[string]*quota.Ledger
-	starts    map[string]int
-	cut       map[string]bool
-	down      map[string]bool
-	names     []string
-	admitted  []admission
-	lastBeats time.Time
-	// someEvery is how often all hear what others admitted lately, beside all that they admitted; 0 for never.
-	someEvery time.Duration
-	lastSome  time.Time
-	shared    map[string]quota.Spent
-	// every is the pace of the heartbeats, and urgent has an instance tell the others at once when its ledger
-	// asks for that.
-	every  time.Duration
-	urgent bool
-	told   int
+	limit          quota.Limit
+	ledgers        map[string]*quota.Ledger
+	starts         map[string]int
+	partitioned    map[string]bool
+	down           map[string]bool
+	names          []string
+	admitted       []admission
+	lastHeartbeats time.Time
+	// partialEvery is the interval of partial updates, which all instances receive in addition to all totals; 0 for
+	// none.
+	partialEvery time.Duration
+	lastPartial  time.Time
+	lastShared   map[string]quota.Spent
+	// heartbeatEvery is the heartbeat interval. If urgent is set, an instance sends its totals at once when its
+	// ledger requires it.
+	heartbeatEvery time.Duration
+	urgent         bool
+	urgentUpdates  int
 }
 
 type admission struct {
@@ -44,7 +45,7 @@
 func newFleet(limit quota.Limit, count int) *fleet {
 	f := &fleet{
 		limit: limit, ledgers: map[string]*quota.Ledger{}, starts: map[string]int{},
-		cut: map[string]bool{}, down: map[string]bool{}, every: beat,
+		partitioned: map[string]bool{}, down: map[string]bool{}, heartbeatEvery: heartbeat,
 	}
 	for i := range count {
 		f.names = append(f.names, fmt.Sprint("instance", i))
@@ -70,38 +71,38 @@
 	f.down[name] = false
 }
 
-// setRate has all instances learn of another limit, a share of the highest.
-func (f *fleet) setRate(share float64) {
-	limit := quota.Limit{Rate: f.limit.Rate * share, Burst: f.limit.Burst * share}
+// setRate scales the limit of all instances to a fraction of the highest.
+func (f *fleet) setRate(fraction float64) {
+	limit := quota.Limit{Rate: f.limit.Rate * fraction, Burst: f.limit.Burst * fraction}
 	for _, ledger := range f.ledgers {
 		ledger.SetLimits(time.Now(), map[string]quota.Limit{workspace: limit})
 	}
 }
 
-const beat = 250 * time.Millisecond
+const heartbeat = 250 * time.Millisecond
 
-// pass lets time go by, with heartbeats between all that reach each other.
-func (f *fleet) pass(d time.Duration) {
+// advance lets time pass, with heartbeats between all instances that reach each other.
+func (f *fleet) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
-		if f.someEvery > 0 && time.Since(f.lastSome) >= f.someEvery {
-			f.lastSome = time.Now()
-			f.shareSome()
+		if f.partialEvery > 0 && time.Since(f.lastPartial) >= f.partialEvery {
+			f.lastPartial = time.Now()
+			f.sendPartial()
 		}
-		if time.Since(f.lastBeats) < f.every {
+		if time.Since(f.lastHeartbeats) < f.heartbeatEvery {
 			continue
 		}
-		f.lastBeats = time.Now()
+		f.lastHeartbeats = time.Now()
 		for _, from := range f.names {
-			f.tell(from, f.names)
+			f.send(from, f.names)
 		}
 	}
 }
 
-// tell has those of the named instances that an instance reaches hear what it admitted.
-func (f *fleet) tell(from string, names []string) {
+// send delivers an instance's totals to those of the named instances that it reaches, and their totals back.
+func (f *fleet) send(from string, names []string) {
 	for _, to := range names {
-		if from == to || f.cut[from] || f.cut[to] || f.down[from] || f.down[to] {
+		if from == to || f.partitioned[from] || f.partitioned[to] || f.down[from] || f.down[to] {
 			continue
 		}
 		incarnation := fmt.Sprint(from, f.starts[from])
@@ -110,18 +111,18 @@
 	}
 }
 
-// shareSome has all instances hear what each admitted lately.
-func (f *fleet) shareSome() {
+// sendPartial delivers each instance's recently changed totals to all others.
+func (f *fleet) sendPartial() {
 	for _, from := range f.names {
 		own := f.ledgers[from].Own()
-		some := own.Since(f.shared[from])
-		f.shared[from] = own
-		if len(some) == 0 {
+		partial := own.Since(f.lastShared[from])
+		f.lastShared[from] = own
+		if len(partial) == 0 {
 			continue
 		}
 		for _, to := range f.names {
 			if from != to {
-				f.ledgers[to].HearSome(time.Now(), from, fmt.Sprint(from, f.starts[from]), some)
+				f.ledgers[to].HearSome(time.Now(), from, fmt.Sprint(from, f.starts[from]), partial)
 			}
 		}
 	}
@@ -136,14 +137,14 @@
 		f.admitted = append(f.admitted, admission{at: time.Now(), cost: cost})
 	}
 	if names := f.ledgers[name].TellDue(time.Now()); len(names) > 0 && f.urgent {
-		f.told++
-		f.tell(name, names)
+		f.urgentUpdates++
+		f.send(name, names)
 	}
 	return ok
 }
 
-// most is the most that was admitted in any span of a length.
-func (f *fleet) most(span time.Duration) (most float64) {
+// maxAdmitted returns the most that was admitted in any period of the given length.
+func (f *fleet) maxAdmitted(span time.Duration) (most float64) {
 	for i, first := range f.admitted {
 		total := 0.0
 		for _, later := range f.admitted[i:] {
@@ -157,7 +158,7 @@
 	return most
 }
 
-// window, overshoot and slack are what operators allow.
+// window, overshoot and slack define what operators allow.
 const (
 	window    = 8 * time.Second
 	overshoot = 1.1
@@ -168,110 +169,112 @@
 	return (f.limit.Rate*window.Seconds()+f.limit.Burst)*overshoot + slack
 }
 
-// The balancer sends all callers of a workspace to one of eight instances. With equal shares seven eighths
-// of its rate would lie where nobody asks, and requests within the rate would be refused.
+// Guards against refusals within the rate when the load balancer sends all callers of a workspace to one of eight
+// instances. With equal shares, seven eighths of the rate would be assigned to instances that get no requests.
 func TestSkewedBalancerRefusesNobodyWithinTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 50_000, Burst: 50_000}, 8)
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		refused := 0
 		for range 400 {
 			if !f.admit("instance0", 2400) {
 				refused++
 			}
-			f.pass(60 * time.Millisecond) // 40,000 a second
+			f.advance(60 * time.Millisecond) // 40,000 a second
 		}
 		is.Equal(refused, 0)
 	})
 }
 
-// One workspace sends five times its rate, evenly to all instances. Each of them may admit against the
-// same tokens until it hears of the others; the debt has to be paid back before more is admitted.
+// Guards against spending above the rate when a workspace sends five times its rate, evenly to all instances. Each
+// instance may admit against the same tokens until it receives the others' totals; the debt must be paid before
+// more is admitted.
 func TestFloodStaysWithinTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 50_000, Burst: 50_000}, 8)
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		for i := range 1600 {
 			f.admit(f.names[i%len(f.names)], 2500)
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		is.True(f.most(window) <= f.allowed())
-		is.True(f.most(window) >= 0.9*f.limit.Rate*window.Seconds()) // and the rate is not left unused
+		is.True(f.maxAdmitted(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) >= 0.9*f.limit.Rate*window.Seconds()) // and the rate is not left unused
 	})
 }
 
-// A fleet of eighty exchanges heartbeats every two seconds, and a workspace sends seven times its rate to all of
-// them. In the two seconds until they hear of each other all would admit against the same tokens, several times
-// what was bought. So whoever admits while there is little left tells at once; a workspace with plenty left
-// causes no messages.
+// Guards against spending several times the rate in a fleet of eighty that exchanges heartbeats every two seconds,
+// when a workspace sends seven times its rate to all instances. Without urgent updates, all would admit against the
+// same tokens for those two seconds. Instances that admit from a low bucket must send their totals at once; a
+// workspace with a full bucket must cause no messages.
 func TestFloodStaysWithinTheRateOfALargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 60_000, Burst: 60_000}, 80)
-		f.every = 2 * time.Second
+		f.heartbeatEvery = 2 * time.Second
 		f.urgent = true
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.SilentAfter = 3 * f.heartbeatEvery
 		}
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		for i := range 200 {
 			f.admit(f.names[(i*37)%len(f.names)], 600) // 12,000 a second
-			f.pass(50 * time.Millisecond)
+			f.advance(50 * time.Millisecond)
 		}
-		is.Equal(f.told, 0)
+		is.Equal(f.urgentUpdates, 0)
 		for i := range 1600 {
 			f.admit(f.names[(i*37)%len(f.names)], 2100) // 420,000 a second
 			f.admit(f.names[(i*37+11)%len(f.names)], 2100)
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		t.Logf("%.0f in %s, %.0f allowed; %d times told at once", f.most(window), window, f.allowed(), f.told)
-		is.True(f.most(window) <= f.allowed())
-		is.True(f.most(window) >= 0.9*f.limit.Rate*window.Seconds())
-		is.True(f.told < 1500)
+		t.Logf("%.0f in %s, %.0f allowed; %d urgent updates", f.maxAdmitted(window), window, f.allowed(), f.urgentUpdates)
+		is.True(f.maxAdmitted(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) >= 0.9*f.limit.Rate*window.Seconds())
+		is.True(f.urgentUpdates < 1500)
 	})
 }
 
-// Guards against a large fleet in which each instance admits so little for a workspace that it does not let the others
-// know, and all together admit several times the rate.
+// Guards against a large fleet in which each instance admits so little for a workspace that it sends no urgent
+// update, while all together admit several times the rate.
 func TestFloodOverManyInstancesStaysWithinTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 500_000, Burst: 500_000}, 195)
-		f.every = 4900 * time.Millisecond
+		f.heartbeatEvery = 4900 * time.Millisecond
 		f.urgent = true
-		f.someEvery = time.Second
-		f.shared = make(map[string]quota.Spent)
+		f.partialEvery = time.Second
+		f.lastShared = make(map[string]quota.Spent)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.SilentAfter = 3 * f.heartbeatEvery
 		}
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 		for i := range 900 {
 			for j := range 15 { // 3,000,000 a second
 				f.admit(f.names[(i*15+j)*37%len(f.names)], 2000)
 			}
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		t.Logf("%.0f in %s, %.0f allowed; %d times told at once", f.most(window), window, f.allowed(), f.told)
-		is.True(f.most(window) <= f.allowed())
-		is.True(f.most(window) >= 0.9*f.limit.Rate*window.Seconds())
+		t.Logf("%.0f in %s, %.0f allowed; %d urgent updates", f.maxAdmitted(window), window, f.allowed(), f.urgentUpdates)
+		is.True(f.maxAdmitted(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) >= 0.9*f.limit.Rate*window.Seconds())
 	})
 }
 
-// Guards against a large fleet that admits too much for seconds after a limit was lowered, and then refuses everybody
-// until the debt is paid. Each instance sees few of the requests, and all hear of each other only every few seconds.
+// Guards against a large fleet that admits too much for seconds after a limit was lowered, and then refuses every
+// request until the debt is paid. Each instance sees few of the requests, and heartbeats between all are sent only
+// every few seconds.
 func TestLoweredLimitOfALargeFleetIsSpentEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 200_000, Burst: 200_000}, 60)
-		f.every = 4500 * time.Millisecond
-		f.someEvery = time.Second
-		f.shared = make(map[string]quota.Spent)
+		f.heartbeatEvery = 4500 * time.Millisecond
+		f.partialEvery = time.Second
+		f.lastShared = make(map[string]quota.Spent)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.SilentAfter = 3 * f.heartbeatEvery
 		}
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 		f.setRate(0.5)
 		const span = 24
 		admitted := make([]float64, span)
@@ -280,59 +283,59 @@
 				if name := f.names[(second*100+i)*37%len(f.names)]; f.admit(name, 1500) {
 					admitted[second] += 1500
 				}
-				f.pass(10 * time.Millisecond)
+				f.advance(10 * time.Millisecond)
 			}
 		}
 		t.Logf("admitted in each second: %.0f", admitted)
-		is.True(f.most(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) <= f.allowed())
 		for _, tokens := range admitted[2:] {
 			is.True(tokens >= 0.6*100_000)
 		}
 	})
 }
 
-// The callers of a workspace reach two of many instances. Those two need to hear of each other at once; telling
-// all the others would only load them.
-func TestOnlyThoseWhoAdmitAreTold(t *testing.T) {
+// Guards against needless messages when a workspace's callers reach only two of many instances. Those two must
+// receive each other's totals at once; sending them to all others would only cause load.
+func TestUrgentUpdatesGoOnlyToActivePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 1000, Burst: 1000}, 40)
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		is.True(f.admit("instance1", 700))
-		f.pass(time.Second) // a heartbeat
+		f.advance(time.Second) // a heartbeat
 		_, admitted := f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
-		is.Equal(len(f.ledgers["instance0"].TellDue(time.Now())), 39) // it has just begun
-		f.pass(2 * time.Second)
+		is.Equal(len(f.ledgers["instance0"].TellDue(time.Now())), 39) // it has just begun to admit
+		f.advance(2 * time.Second)
 		_, admitted = f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
 		is.Equal(f.ledgers["instance0"].TellDue(time.Now()), []string{"instance1"})
 	})
 }
 
-// An instance is cut off from the others while a workspace floods both sides. The cut one cannot know what
-// the others admit, and they cannot know what it does; each side keeps to its own part.
-func TestCutInstanceKeepsToItsPart(t *testing.T) {
+// Guards against spending above the rate when an instance is partitioned from the others while a workspace floods
+// both sides. Neither side knows what the other admits; each must stay within its own share.
+func TestPartitionedInstanceStaysWithinItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 50_000, Burst: 50_000}, 4)
-		f.pass(3 * time.Second)
-		f.cut["instance0"] = true
+		f.advance(3 * time.Second)
+		f.partitioned["instance0"] = true
 		for i := range 1600 {
 			f.admit(f.names[i%len(f.names)], 2500)
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		is.True(f.most(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) <= f.allowed())
 	})
 }
 
-// All instances are killed and start again at once, while a workspace floods them. None of them knows what
-// was admitted right before; with full buckets the burst would be given out a second time.
-func TestRestartOfAllGivesNoSecondBurst(t *testing.T) {
+// Guards against a burst that is granted twice when all instances are killed and restart at once under a flood.
+// None of them knows what was admitted right before; full buckets would grant the burst a second time.
+func TestFullRestartGrantsNoSecondBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 30_000, Burst: 60_000}, 6)
-		f.pass(4 * time.Second)
+		f.advance(4 * time.Second)
 		for i := range 1000 {
 			if i%300 == 299 {
 				for _, name := range f.names {
@@ -340,34 +343,34 @@
 				}
 			}
 			f.admit(f.names[i%len(f.names)], 2500)
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		is.True(f.most(window) <= f.allowed())
+		is.True(f.maxAdmitted(window) <= f.allowed())
 	})
 }
 
-// A request costs more than the workspace's burst. It is admitted while nothing is owed, as it could never
-// run otherwise, and the debt holds up the next ones.
+// Guards against a request that costs more than its workspace's burst and therefore never runs. It must be admitted
+// while there is no debt; its own debt then delays the next requests.
 func TestRequestAboveTheBurstRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 4000, Burst: 4000}, 1)
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		is.True(f.admit("instance0", 7000))
 		retryAfter, admitted := f.ledgers["instance0"].Admit(time.Now(), workspace, 100)
 		is.True(!admitted)
-		is.True(retryAfter >= 700*time.Millisecond) // 3,000 owed at 4,000 a second
-		f.pass(retryAfter)
-		is.True(f.admit("instance0", 100)) // the time to come back was true
+		is.True(retryAfter >= 700*time.Millisecond) // a debt of 3,000 at 4,000 a second
+		f.advance(retryAfter)
+		is.True(f.admit("instance0", 100)) // the retry time was accurate
 	})
 }
 
-// A request was admitted and then found no upstream. Its caller comes back and must not pay twice.
-func TestRefundGivesBack(t *testing.T) {
+// Guards against charging a request twice: it was admitted, found no upstream, and its caller retries.
+func TestRefundReturnsTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(quota.Limit{Rate: 1000, Burst: 1000}, 2)
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		is.True(f.admit("instance0", 1000))
 		is.True(!f.admit("instance0", 1000))
 		f.ledgers["instance0"].Refund(workspace, 1000)
@@ -376,20 +379,20 @@
 	})
 }
 
-// Instances are cut off, killed and started again at any moment while a workspace sends at any pace, and
-// its limit is lowered. Whatever happens, no span holds more than operators allow. The allowance counts
-// from the limit that was highest, and while nobody is heard the instances may each spend what was left.
+// Guards against spending above the allowance under arbitrary partitions, kills, restarts, request costs and limit
+// reductions. The allowance is computed from the highest limit, and while no peer is reachable each instance may
+// spend what was left.
 func TestNoSpanHoldsMoreThanAllowed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
 			count := rapid.IntRange(2, 8).Draw(rt, "instances")
 			f := newFleet(quota.Limit{Rate: 50_000, Burst: 50_000}, count)
-			f.pass(3 * time.Second)
+			f.advance(3 * time.Second)
 			for range rapid.IntRange(100, 400).Draw(rt, "steps") {
 				name := rapid.SampledFrom(f.names).Draw(rt, "who")
 				switch rapid.IntRange(0, 60).Draw(rt, "event") {
 				case 0:
-					f.cut[name] = !f.cut[name]
+					f.partitioned[name] = !f.partitioned[name]
 				case 1:
 					f.down[name] = true
 				case 2:
@@ -399,9 +402,9 @@
 				default:
 					f.admit(name, rapid.Float64Range(100, 5000).Draw(rt, "cost"))
 				}
-				f.pass(10 * time.Millisecond)
+				f.advance(10 * time.Millisecond)
 			}
-			if got := f.most(window); got > f.allowed() {
+			if got := f.maxAdmitted(window); got > f.allowed() {
 				return fmt.Sprintf("%.0f in %s, %.0f allowed", got, window, f.allowed())
 			}
 			return ""
@@ -412,9 +415,9 @@
 	})
 }
 
-// A workspace sends eight requests in the same moment, and two of them put it over its rate. Told only when its
-// debt is paid, the other six come back together: one is admitted, and five callers hear for the second time that
-// there is no room.
+// Guards against repeated refusals when a workspace sends eight requests at the same moment and two of them exceed
+// its rate. If the other six all got the end of the debt as their retry time, they would retry together: one would
+// be admitted and five refused again.
 func TestCallersComeBackInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -438,8 +441,9 @@
 	})
 }
 
-// A workspace sends many times its rate for seconds. A line for all who are refused would give its tokens to callers
-// who have waited too long to gain by them; who comes next is told a time at which he is still on time.
+// Guards against retry times that are too late to be of use when a workspace sends many times its rate for seconds.
+// A queue of all refused requests would give the tokens to callers that have waited too long; each caller must get
+// a retry time at which its request can still start on time.
 func TestNobodyIsToldToComeBackMuchTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
