--- a/internal/admission/rate/borrowing.go
+++ b/internal/admission/rate/borrowing.go
@@ -7,71 +7,72 @@
 	"time"
 )
 
-// This file is how tokens move between instances: whom a ledger asks, what it gives and takes in, and
-// how capacity goes back. The daemon carries the messages; each may be lost, late or repeated.
+// This file moves tokens between instances: which peers a ledger borrows from, what it lends and receives, and how
+// capacity is returned. The daemon sends the messages; each may be lost, delayed or repeated.
 
-// estimate is what a peer's bucket may have held at some moment. Short is when the peer last gave less
-// than it was asked for.
+// estimate is the estimated level of a peer's bucket at some time. shortAt is when the peer last lent less than
+// requested.
 type estimate struct {
-	tokens float64
-	at     time.Time
-	short  time.Time
+	level   float64
+	at      time.Time
+	shortAt time.Time
 }
 
 // ---------------------------------------------------------------------------------------------
 // Borrowing.
 
-// Plan lists whom to ask, in which order, for the tokens that the bucket lacks: those that may have
-// most first. It is empty when nothing lacks, or when all peers have just been found short. Made for a
-// skewed balancer, where one instance gets nearly all requests of a workspace.
+// Plan returns the borrow requests for the tokens that the bucket lacks, starting with the peers that are likely to
+// have the most. It is empty if no tokens are missing or if all peers were recently found short. It handles a
+// skewed load balancer, where one instance gets nearly all requests of a workspace.
 func (l *Ledger) Plan(workspace string, tokens float64) []Ask {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	b, err := l.usable(workspace)
+	b, err := l.usableBucket(workspace)
 	if err != nil || tokens > b.current().burst || tokens-b.level <= epsilon {
 		return nil
 	}
 	now := time.Now()
 	var peers []Identity
 	for _, peer := range l.peers() {
-		if now.Sub(b.estimates[peer].short) >= askAgain {
+		if now.Sub(b.estimates[peer].shortAt) >= shortBackoff {
 			peers = append(peers, peer)
 		}
 	}
 	l.rank(b, peers)
-	var asks []Ask
-	for _, peer := range peers[:min(len(peers), maxAsks)] {
-		asks = append(asks, Ask{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, Began: now})
+	var requests []Ask
+	for _, peer := range peers[:min(len(peers), maxBorrowPeers)] {
+		requests = append(requests, Ask{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, Began: now})
 	}
-	return asks
+	return requests
 }
 
-// TopUps lists asks that balance the buckets of the workspaces in use: refill that comes to a full
-// bucket is lost, though another has room for it or will soon need it. The daemon carries them out about
-// four times a second, apart from any request.
+// TopUps returns borrow requests that rebalance the buckets of the active workspaces: refill of a full bucket is
+// lost, even if another bucket has room for it or will soon need it. The daemon sends them about four times a
+// second, independent of any request.
 func (l *Ledger) TopUps() []Ask {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var asks []Ask
+	var requests []Ask
 	now := time.Now()
 	for name, b := range l.buckets {
-		if _, err := l.usable(name); err != nil || now.Sub(b.used) > inUse {
+		if _, err := l.usableBucket(name); err != nil || now.Sub(b.lastUsed) > activeWindow {
 			continue
 		}
-		room := max(b.own()-b.level-b.reserved, topUpLevel*b.capacity()-b.level)
-		if room < topUpRoom*b.capacity() {
+		room := max(b.own()-b.level-b.reserved, rebalanceMinLevel*b.capacity()-b.level)
+		if room < rebalanceMinRoom*b.capacity() {
 			continue
 		}
 		peers := l.peers()
 		l.rank(b, peers)
-		for _, peer := range peers[:min(len(peers), topUpAsks)] {
-			asks = append(asks, Ask{Workspace: name, Peer: peer, Tokens: room / topUpAsks, Spare: true, Began: now})
+		for _, peer := range peers[:min(len(peers), rebalancePeers)] {
+			requests = append(requests, Ask{Workspace: name, Peer: peer, Tokens: room / rebalancePeers, Spare: true, Began: now})
 		}
 	}
-	return asks
+	return requests
 }
 
-// rank orders peers by what they may have, most first, and those equal by which was asked longest ago.
+// rank sorts peers by their estimated level, highest first, and peers with equal estimates by when the estimate was
+// made, oldest first.
 func (l *Ledger) rank(b *bucket, peers []Identity) {
 	slices.SortStableFunc(peers, func(x, y Identity) int {
 		if byTokens := cmp.Compare(l.estimate(b, y), l.estimate(b, x)); byTokens != 0 {
@@ -81,101 +82,100 @@
 	})
 }
 
-// Available is how many tokens could be reserved here now, without borrowing.
+// Available returns how many tokens could be reserved here now without borrowing.
 func (l *Ledger) Available(workspace string) float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	b, err := l.usable(workspace)
+	b, err := l.usableBucket(workspace)
 	if err != nil {
 		return 0
 	}
 	return max(b.level, 0)
 }
 
-// Give lends tokens to a peer: at most what is in the bucket and what this instance owns. They are
-// deducted before the answer is sent, so that a lost answer cannot make them count twice.
+// Give lends tokens to a peer: at most the bucket's level and this instance's own capacity. They are deducted
+// before the response is sent, so that a lost response cannot make them count twice.
 func (l *Ledger) Give(workspace string, tokens float64, borrower Identity) Loan {
-	return l.lend(workspace, borrower, func(*bucket) float64 { return tokens })
+	return l.lendAtMost(workspace, borrower, func(*bucket) float64 { return tokens })
 }
 
-// GiveSpare answers an ask for spare tokens: it lends only those that the bucket can hardly hold any
-// longer.
+// GiveSpare answers a request for spare tokens: it lends only tokens for which the bucket will soon have no room.
 func (l *Ledger) GiveSpare(workspace string, tokens float64, borrower Identity) Loan {
-	return l.lend(workspace, borrower, func(b *bucket) float64 {
-		return min(tokens, b.level+b.reserved-spareAbove*b.own())
+	return l.lendAtMost(workspace, borrower, func(b *bucket) float64 {
+		return min(tokens, b.level+b.reserved-spareLevel*b.own())
 	})
 }
 
-func (l *Ledger) lend(workspace string, borrower Identity, most func(*bucket) float64) Loan {
+func (l *Ledger) lendAtMost(workspace string, borrower Identity, maxAmount func(*bucket) float64) Loan {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	b, err := l.usable(workspace)
+	b, err := l.usableBucket(workspace)
 	if err != nil {
 		return Loan{Lender: l.Self}
 	}
-	amount := min(most(b), b.level, b.own())
+	amount := min(maxAmount(b), b.level, b.own())
 	if amount <= epsilon {
 		return Loan{Lender: l.Self, Left: max(b.level, 0)}
 	}
-	l.loans++
-	id := l.Self.Incarnation + "/" + strconv.FormatInt(l.loans, 10)
+	l.lastLoan++
+	id := l.Self.Incarnation + "/" + strconv.FormatInt(l.lastLoan, 10)
 	b.level -= amount
-	hold := l.hold()
-	b.lent = append(b.lent, lent{
+	loanLifetime := l.loanLifetime()
+	b.lent = append(b.lent, lentLoan{
 		id: id, borrower: borrower, amount: amount,
-		until: time.Now().Add(hold + hold/holdMargin), revision: l.head.Revision,
+		until: time.Now().Add(loanLifetime + loanLifetime/clockMarginDivisor), revision: l.head.Revision,
 	})
-	b.sumUp()
+	b.updateTotals()
 	return Loan{ID: id, Lender: l.Self, Tokens: amount, Left: b.level}
 }
 
-// Receive takes in what a peer answered to an ask. An empty loan is news too: that peer has nothing.
-// What comes too late to be used is given back, and so is what a process lent that is no member any
-// more: its share goes to the others.
-func (l *Ledger) Receive(ask Ask, loan Loan) {
+// Receive processes a peer's response to a borrow request. An empty loan also updates the estimate: that peer has
+// nothing. A loan that arrives too late to be used is returned, and so is a loan from a process that is no longer a
+// member: its share goes to the others.
+func (l *Ledger) Receive(request Ask, loan Loan) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	b, found := l.buckets[ask.Workspace]
+	b, found := l.buckets[request.Workspace]
 	if !found {
 		return
 	}
 	l.advance(b)
 	now := time.Now()
-	b.learn(ask, loan, now)
+	b.updateEstimate(request, loan, now)
 	if loan.Tokens <= 0 {
 		return
 	}
-	in := borrowed{
+	received := borrowedLoan{
 		id: loan.ID, lender: loan.Lender, amount: loan.Tokens,
-		useUntil: ask.Began.Add(l.useWithin()), endsAt: ask.Began.Add(l.hold()), revision: l.head.Revision,
+		useUntil: request.Began.Add(l.useWithin()), endsAt: request.Began.Add(l.loanLifetime()), revision: l.head.Revision,
 	}
-	member := slices.Contains(l.head.Members, loan.Lender)
-	if !member || !now.Before(in.useUntil) || now.Sub(ask.Began) < 0 {
-		b.refuse(in)
+	isMember := slices.Contains(l.head.Members, loan.Lender)
+	if !isMember || !now.Before(received.useUntil) || now.Sub(request.Began) < 0 {
+		b.reject(received)
 		return
 	}
-	b.borrowed = append(b.borrowed, in)
-	b.sumUp()
+	b.borrowed = append(b.borrowed, received)
+	b.updateTotals()
 	b.level += loan.Tokens
-	b.giveBackSurplus()
+	b.returnSurplus()
 }
 
-// Returns lists what a peer should be told about its loans. The daemon sends it with its next message
-// to the peer, or soon, and calls Returned once the peer has answered; until then it is listed again.
+// Returns lists the pending returns for a peer. The daemon sends them with its next message to the peer, or shortly
+// after, and acknowledges them once the peer has replied; until then they are listed again.
 func (l *Ledger) Returns(peer Identity) []Return {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var list []Return
 	for _, b := range l.buckets {
 		l.advance(b)
-		for _, r := range b.returns[peer] {
+		for _, r := range b.pendingReturns[peer] {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// Returned says that the peer has taken the returns in.
+// Returned records that the peer has processed the returns.
 func (l *Ledger) Returned(peer Identity, returns []Return) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -184,13 +184,13 @@
 		if !found {
 			continue
 		}
-		if b.returns[peer][r.Loan] == r {
-			delete(b.returns[peer], r.Loan)
+		if b.pendingReturns[peer][r.Loan] == r {
+			delete(b.pendingReturns[peer], r.Loan)
 		}
 	}
 }
 
-// Release takes in what a borrower told about loans of this process.
+// Release processes a borrower's returns of loans that this process lent.
 func (l *Ledger) Release(borrower Identity, returns []Return) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -200,7 +200,7 @@
 			continue
 		}
 		l.advance(b)
-		b.takeBack(borrower, r)
+		b.applyReturn(borrower, r)
 	}
 }
 
@@ -211,27 +211,27 @@
 	return slices.DeleteFunc(slices.Clone(l.head.Members), func(id Identity) bool { return id == l.Self })
 }
 
-// estimate is what a peer may have now: what it had, plus its refill since, at most its share.
+// estimate returns a peer's estimated level: its last known level plus its refill since, at most its share.
 func (l *Ledger) estimate(b *bucket, peer Identity) float64 {
 	s := b.current()
-	part := 1 / float64(max(len(l.head.Members), 1))
-	known, found := b.estimates[peer]
+	fraction := 1 / float64(max(len(l.head.Members), 1))
+	last, found := b.estimates[peer]
 	if !found {
-		return s.burst * part
+		return s.burst * fraction
 	}
-	return min(s.burst*part, known.tokens+s.rate*part*time.Since(known.at).Seconds())
+	return min(s.burst*fraction, last.level+s.rate*fraction*time.Since(last.at).Seconds())
 }
 
-// learn notes what a peer has left. An empty loan without a lender means that it could not be asked.
-func (b *bucket) learn(ask Ask, loan Loan, now time.Time) {
-	after := estimate{tokens: loan.Left, at: now, short: b.estimates[ask.Peer].short}
-	if loan.Tokens < ask.Tokens-epsilon && !ask.Spare {
-		after.short = now
+// updateEstimate records a peer's level. An empty loan without a lender means that the peer could not be reached.
+func (b *bucket) updateEstimate(request Ask, loan Loan, now time.Time) {
+	after := estimate{level: loan.Left, at: now, shortAt: b.estimates[request.Peer].shortAt}
+	if loan.Tokens < request.Tokens-epsilon && !request.Spare {
+		after.shortAt = now
 	}
-	b.estimates[ask.Peer] = after
+	b.estimates[request.Peer] = after
 }
 
-func (b *bucket) forgetEstimates(members []Identity) {
+func (b *bucket) pruneEstimates(members []Identity) {
 	for peer := range b.estimates {
 		if !slices.Contains(members, peer) {
 			delete(b.estimates, peer)
--- a/internal/admission/rate/bucket.go
+++ b/internal/admission/rate/bucket.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// This file holds one workspace's bucket on one instance. Its rule, kept by every method: level and
-// reserved together are at most own + usable + draining, where own is the instance's share less what it
-// lent, usable the loans that may back new reservations, and draining the loans that back only
-// reservations made before. Draining is never more than what those still hold.
+// This file implements one workspace's bucket on one instance. Every method keeps this invariant: level and
+// reserved together are at most own + usable + draining. own is the instance's share less what it lent, usable the
+// loans that may back new reservations, and draining the loans that back only reservations made before. draining
+// never exceeds what those reservations still hold.
 
-// holdMargin is the part of a loan's life added before the lender takes the capacity back by itself,
-// for clocks that run at different rates.
-const holdMargin = 20
+// clockMarginDivisor defines the margin, as a part of a loan's lifetime, that is added before the lender takes the
+// capacity back without a return, for clocks that run at different rates.
+const clockMarginDivisor = 20
 
-// keepRoomFor is for how long the refill finds room without more being spent. It spans the gaps between
-// tokens of slow streams; no measured reason yet for the exact figure.
-const keepRoomFor = 250 * time.Millisecond
+// refillHeadroom is the period of refill for which room is kept without more being spent. It spans the gaps between
+// tokens of slow streams.
+const refillHeadroom = 250 * time.Millisecond
 
-// epsilon is the amount below which a difference is rounding and not tokens.
+// epsilon is the amount below which a difference counts as a rounding error.
 const epsilon = 1e-6
 
-// share is the instance's part of a workspace's limit as one head has it.
+// share is the instance's share of a workspace's limit under one head.
 type share struct {
 	revision int64
 	rate     float64
@@ -31,62 +31,62 @@
 	fraction float64
 }
 
-// linger keeps a smaller fraction for the capacity after the head that raised it is in force.
-type linger struct {
+// fractionCap limits the capacity to a smaller fraction after the head that raised the fraction is in force.
+type fractionCap struct {
 	fraction float64
 	revision int64
 	until    time.Time
 }
 
-// lent is a loan to a peer. Until is when the borrower cannot spend it any more.
-type lent struct {
+// lentLoan is a loan to a peer. until is when the borrower can certainly no longer spend it.
+type lentLoan struct {
 	id       string
 	borrower Identity
 	amount   float64
-	unspent  float64 // what the borrower gave back unspent, in all
+	unspent  float64 // total that the borrower returned unspent
 	until    time.Time
 	revision int64
 }
 
-// borrowed is a loan from a peer.
-type borrowed struct {
+// borrowedLoan is a loan from a peer.
+type borrowedLoan struct {
 	id       string
 	lender   Identity
 	amount   float64
-	unspent  float64 // what was given back unspent, in all
+	unspent  float64 // total returned unspent
 	useUntil time.Time
 	endsAt   time.Time
 	draining bool
 	revision int64
-	// round orders draining loans; backs is what is left of the reservations made before it.
-	round int
-	backs float64
+	// round orders draining loans; backed is what is left of the reservations made before it.
+	round  int
+	backed float64
 }
 
 type bucket struct {
-	workspace string
-	level     float64
-	reserved  float64
-	refilled  time.Time
-	used      time.Time
-	shares    []share
-	lingering []linger
-	lent      []lent
-	borrowed  []borrowed
-	sums      sums
-	round     int
-	open      *list.List // of *Reservation, in the order of their deadlines
-	returns   map[Identity]map[string]Return
-	estimates map[Identity]estimate
+	workspace        string
+	level            float64
+	reserved         float64
+	refilledAt       time.Time
+	lastUsed         time.Time
+	shares           []share
+	fractionCaps     []fractionCap
+	lent             []lentLoan
+	borrowed         []borrowedLoan
+	totals           loanTotals
+	drainRound       int
+	openReservations *list.List // of *Reservation, ordered by deadline
+	pendingReturns   map[Identity]map[string]Return
+	estimates        map[Identity]estimate
 }
 
 func newBucket(workspace string, now time.Time) *bucket {
 	return &bucket{
-		workspace: workspace,
-		refilled:  now,
-		open:      list.New(),
-		returns:   map[Identity]map[string]Return{},
-		estimates: map[Identity]estimate{},
+		workspace:        workspace,
+		refilledAt:       now,
+		openReservations: list.New(),
+		pendingReturns:   map[Identity]map[string]Return{},
+		estimates:        map[Identity]estimate{},
 	}
 }
 
@@ -98,12 +98,12 @@
 	return s == other
 }
 
-// current is the newest declared limit.
+// current returns the newest declared limit.
 func (b *bucket) current() share {
 	return b.shares[len(b.shares)-1]
 }
 
-// rate is the refill in tokens a second: the smallest of the shares that may be in force somewhere.
+// rate returns the refill in tokens a second: the smallest of the shares that may be in force somewhere.
 func (b *bucket) rate() float64 {
 	rate, fraction := b.current().rate, b.current().fraction
 	for _, s := range b.shares {
@@ -112,70 +112,72 @@
 	return rate * fraction
 }
 
-// capacity is the instance's share of the burst, before lending.
+// capacity returns the instance's share of the burst, before lending.
 func (b *bucket) capacity() float64 {
 	burst, fraction := b.current().burst, b.current().fraction
 	for _, s := range b.shares {
 		burst, fraction = min(burst, s.burst), min(fraction, s.fraction)
 	}
-	for _, l := range b.lingering {
+	for _, l := range b.fractionCaps {
 		fraction = min(fraction, l.fraction)
 	}
 	return burst * fraction
 }
 
-// sums are kept beside the loans, since each token asks for them; due is when the next loan runs out.
-type sums struct {
-	lent     float64
-	borrowed float64
-	draining float64
-	due      time.Time
+// loanTotals caches the totals of the loans, since each generated token needs them. nextExpiry is when the next
+// loan expires.
+type loanTotals struct {
+	lent       float64
+	borrowed   float64
+	draining   float64
+	nextExpiry time.Time
 }
 
-// sumUp drops the loans that are over and adds up the others. Every change of the loans ends with it.
-func (b *bucket) sumUp() {
-	b.lent = slices.DeleteFunc(b.lent, func(l lent) bool { return l.amount <= 0 })
-	b.borrowed = slices.DeleteFunc(b.borrowed, func(l borrowed) bool { return l.amount <= 0 })
-	b.sums = sums{}
+// updateTotals drops the loans that have ended and adds up the others. Every change of the loans ends with it.
+func (b *bucket) updateTotals() {
+	b.lent = slices.DeleteFunc(b.lent, func(l lentLoan) bool { return l.amount <= 0 })
+	b.borrowed = slices.DeleteFunc(b.borrowed, func(l borrowedLoan) bool { return l.amount <= 0 })
+	b.totals = loanTotals{}
 	for _, l := range b.lent {
-		b.sums.lent += l.amount
-		b.sums.sooner(l.until)
+		b.totals.lent += l.amount
+		b.totals.noteExpiry(l.until)
 	}
 	for _, l := range b.borrowed {
-		b.sums.borrowed += l.amount
+		b.totals.borrowed += l.amount
 		if l.draining {
-			b.sums.draining += l.amount
-			b.sums.sooner(l.endsAt)
+			b.totals.draining += l.amount
+			b.totals.noteExpiry(l.endsAt)
 			continue
 		}
-		b.sums.sooner(l.useUntil)
+		b.totals.noteExpiry(l.useUntil)
 	}
 }
 
-func (s *sums) sooner(at time.Time) {
-	if s.due.IsZero() || at.Before(s.due) {
-		s.due = at
+func (s *loanTotals) noteExpiry(at time.Time) {
+	if s.nextExpiry.IsZero() || at.Before(s.nextExpiry) {
+		s.nextExpiry = at
 	}
 }
 
-// own is the capacity that is neither lent nor borrowed.
+// own returns the capacity that is neither lent nor borrowed.
 func (b *bucket) own() float64 {
-	return max(b.capacity()-b.sums.lent, 0)
+	return max(b.capacity()-b.totals.lent, 0)
 }
 
-// settleShares drops the shares that are no longer in force anywhere. Their fraction lingers in the
-// capacity until every reservation made under them has ended: an instance whose share shrank cannot
-// take back what its running requests hold, and another must not fill up meanwhile.
-func (b *bucket) settleShares(inForce, settled int64, hold time.Duration, now time.Time) {
+// retireShares drops the shares that are no longer in force anywhere. Their fraction still caps the capacity until
+// every reservation made under them has ended: an instance whose share shrank cannot take back what its running
+// requests hold, and another instance must not fill up meanwhile.
+func (b *bucket) retireShares(inForce, settled int64, loanLifetime time.Duration, now time.Time) {
 	for len(b.shares) > 1 && b.shares[1].revision <= inForce {
 		if b.shares[0].fraction < b.shares[1].fraction {
-			b.lingering = append(b.lingering, linger{
-				fraction: b.shares[0].fraction, revision: b.shares[1].revision, until: now.Add(hold + hold/holdMargin),
+			b.fractionCaps = append(b.fractionCaps, fractionCap{
+				fraction: b.shares[0].fraction, revision: b.shares[1].revision,
+				until: now.Add(loanLifetime + loanLifetime/clockMarginDivisor),
 			})
 		}
 		b.shares = b.shares[1:]
 	}
-	b.lingering = slices.DeleteFunc(b.lingering, func(l linger) bool {
+	b.fractionCaps = slices.DeleteFunc(b.fractionCaps, func(l fractionCap) bool {
 		return l.revision <= settled || !now.Before(l.until)
 	})
 }
@@ -183,59 +185,59 @@
 // ---------------------------------------------------------------------------------------------
 // Time.
 
-// advance brings the bucket to now. Refill comes first, at the shares that held until now, into the
-// room that spending made; only then shares grow and loans are given back.
+// advance brings the bucket up to the current time. First it refills, at the shares that held until now, into the
+// room that spending made; only then shares grow and loans are returned.
 func (b *bucket) advance(now, freshUntil time.Time) {
 	b.voidOverdue(now)
 	b.expireLoans(now)
 	b.refill(now, freshUntil)
 }
 
-// refill counts the time since the last refill, as far as the knowledge was fresh. The rest is lost, also when
-// the knowledge turns out to have held: requests that end meanwhile make room, and refill from before would fill
-// it that an open bucket would long have run over with.
+// refill counts the time since the last refill during which the configuration was fresh. The rest is lost, even if
+// the configuration later proves to have been valid: requests that end meanwhile make room, and the lost refill
+// would fill that room although the bucket would have overflowed long before.
 func (b *bucket) refill(now, freshUntil time.Time) {
 	until := now
 	if freshUntil.Before(until) {
 		until = freshUntil
 	}
-	if until.After(b.refilled) {
-		grown := b.level + b.rate()*until.Sub(b.refilled).Seconds()
-		b.level = min(grown, max(b.level, b.room()))
+	if until.After(b.refilledAt) {
+		grown := b.level + b.rate()*until.Sub(b.refilledAt).Seconds()
+		b.level = min(grown, max(b.level, b.maxLevel()))
 	}
-	if now.After(b.refilled) {
-		b.refilled = now
+	if now.After(b.refilledAt) {
+		b.refilledAt = now
 	}
 }
 
-// room is the highest level that the capacity allows.
-func (b *bucket) room() float64 {
-	return max(b.own()+b.sums.borrowed-b.reserved, 0)
+// maxLevel returns the highest level that the capacity allows.
+func (b *bucket) maxLevel() float64 {
+	return max(b.own()+b.totals.borrowed-b.reserved, 0)
 }
 
-func (b *bucket) clip() {
-	b.level = min(b.level, b.room())
+func (b *bucket) capLevel() {
+	b.level = min(b.level, b.maxLevel())
 }
 
-// voidOverdue ends reservations that outlived Longest: their tokens no longer count as spendable.
+// voidOverdue ends reservations past their deadline: their tokens no longer count as spendable.
 func (b *bucket) voidOverdue(now time.Time) {
-	for e := b.open.Front(); e != nil; e = b.open.Front() {
+	for e := b.openReservations.Front(); e != nil; e = b.openReservations.Front() {
 		r := e.Value.(*Reservation)
 		if now.Before(r.deadline) {
 			return
 		}
-		b.unreserve(r, r.left)
+		b.unreserve(r, r.remaining)
 		r.close()
 	}
 }
 
-// expireLoans lets loans of both directions run out. A loan whose time for new reservations is over
-// goes on backing what was reserved before; the rest of it goes back.
+// expireLoans expires loans in both directions. A loan that may no longer back new reservations continues to back
+// the earlier ones; the rest of it is returned.
 func (b *bucket) expireLoans(now time.Time) {
-	if b.sums.due.IsZero() || now.Before(b.sums.due) {
+	if b.totals.nextExpiry.IsZero() || now.Before(b.totals.nextExpiry) {
 		return
 	}
-	b.lent = slices.DeleteFunc(b.lent, func(l lent) bool { return !now.Before(l.until) })
+	b.lent = slices.DeleteFunc(b.lent, func(l lentLoan) bool { return !now.Before(l.until) })
 	for i := range b.borrowed {
 		if l := &b.borrowed[i]; !l.draining && !now.Before(l.useUntil) {
 			b.drain(l)
@@ -243,34 +245,33 @@
 	}
 	for i := range b.borrowed {
 		if l := &b.borrowed[i]; !now.Before(l.endsAt) {
-			b.giveBack(l, l.amount)
+			b.returnPart(l, l.amount)
 		}
 	}
-	slices.SortStableFunc(b.borrowed, func(x, y borrowed) int { return cmp.Compare(x.round, y.round) })
-	b.sumUp()
-	b.clip()
+	slices.SortStableFunc(b.borrowed, func(x, y borrowedLoan) int { return cmp.Compare(x.round, y.round) })
+	b.updateTotals()
+	b.capLevel()
 }
 
-// drain ends a loan's time for new reservations. What it backs of those made before stays; the rest
-// goes back.
-func (b *bucket) drain(l *borrowed) {
-	kept := min(l.amount, max(b.reserved-b.sums.draining, 0))
-	b.round++
-	l.draining, l.round, l.backs = true, b.round, b.reserved
-	b.sums.draining += l.amount
-	b.giveBack(l, l.amount-kept)
+// drain stops a loan from backing new reservations. What backs earlier reservations stays; the rest is returned.
+func (b *bucket) drain(l *borrowedLoan) {
+	kept := min(l.amount, max(b.reserved-b.totals.draining, 0))
+	b.drainRound++
+	l.draining, l.round, l.backed = true, b.drainRound, b.reserved
+	b.totals.draining += l.amount
+	b.returnPart(l, l.amount-kept)
 }
 
 // ---------------------------------------------------------------------------------------------
 // Loans.
 
-// giveBackSurplus returns borrowed capacity that the bucket's own can hold, so that lenders can fill
-// up again at once and not only when the loan's life is over. It keeps room for a little of the
-// bucket's own refill: a bucket that gave all room away after each token found none for the refill that
-// came before the next, and the fleet lost 15% of the rate that way.
-func (b *bucket) giveBackSurplus() {
-	surplus := b.own() + b.sums.borrowed - max(b.level, 0) - b.reserved
-	surplus = min(surplus-b.rate()*keepRoomFor.Seconds(), b.sums.borrowed)
+// returnSurplus returns borrowed capacity that the bucket's own capacity can replace, so that lenders can refill at
+// once and not only when the loan expires. It keeps room for a little of the bucket's own refill: a bucket that
+// returned all room after each token had none left for the refill before the next token, and the fleet lost 15% of
+// the rate that way.
+func (b *bucket) returnSurplus() {
+	surplus := b.own() + b.totals.borrowed - max(b.level, 0) - b.reserved
+	surplus = min(surplus-b.rate()*refillHeadroom.Seconds(), b.totals.borrowed)
 	if surplus <= epsilon {
 		return
 	}
@@ -279,18 +280,18 @@
 			l := &b.borrowed[i]
 			if l.draining == draining && surplus > 0 {
 				amount := min(surplus, l.amount)
-				b.giveBack(l, amount)
+				b.returnPart(l, amount)
 				surplus -= amount
 			}
 		}
 	}
-	b.sumUp()
+	b.updateTotals()
 }
 
-// giveBack returns a part of a loan. Tokens that have no room without it go back too: a request that
-// did not get all it needed, or needed less than it reserved, would otherwise destroy them. The caller
-// sums up afterwards.
-func (b *bucket) giveBack(l *borrowed, amount float64) {
+// returnPart returns a part of a loan. Tokens that have no room without it are returned too: a request that did not
+// get all the tokens it needed, or needed fewer than it reserved, would otherwise destroy them. The caller must
+// call updateTotals afterwards.
+func (b *bucket) returnPart(l *borrowedLoan, amount float64) {
 	if amount <= 0 {
 		return
 	}
@@ -298,51 +299,51 @@
 		amount = l.amount
 	}
 	l.amount -= amount
-	b.sums.borrowed -= amount
+	b.totals.borrowed -= amount
 	if l.draining {
-		b.sums.draining -= amount
+		b.totals.draining -= amount
 	}
-	unspent := min(max(b.level-b.room(), 0), amount)
+	unspent := min(max(b.level-b.maxLevel(), 0), amount)
 	b.level -= unspent
 	l.unspent += unspent
-	if b.returns[l.lender] == nil {
-		b.returns[l.lender] = map[string]Return{}
+	if b.pendingReturns[l.lender] == nil {
+		b.pendingReturns[l.lender] = map[string]Return{}
 	}
-	b.returns[l.lender][l.id] = Return{
+	b.pendingReturns[l.lender][l.id] = Return{
 		Workspace: b.workspace, Loan: l.id, Remaining: l.amount, Unspent: l.unspent,
 	}
 }
 
-// refuse returns a loan that was never taken in, capacity and tokens.
-func (b *bucket) refuse(l borrowed) {
-	if b.returns[l.lender] == nil {
-		b.returns[l.lender] = map[string]Return{}
+// reject returns a loan that was never used, both capacity and tokens.
+func (b *bucket) reject(l borrowedLoan) {
+	if b.pendingReturns[l.lender] == nil {
+		b.pendingReturns[l.lender] = map[string]Return{}
 	}
-	b.returns[l.lender][l.id] = Return{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
+	b.pendingReturns[l.lender][l.id] = Return{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
 }
 
-// takeBack takes in what a borrower told about a loan; what was told before counts only once.
-func (b *bucket) takeBack(borrower Identity, r Return) {
+// applyReturn processes a borrower's return of a loan. What earlier returns reported is counted only once.
+func (b *bucket) applyReturn(borrower Identity, r Return) {
 	for i := range b.lent {
 		l := &b.lent[i]
 		if l.id != r.Loan || l.borrower != borrower {
 			continue
 		}
-		credit := min(max(r.Unspent-l.unspent, 0), l.amount)
-		l.unspent += credit
+		newlyReturned := min(max(r.Unspent-l.unspent, 0), l.amount)
+		l.unspent += newlyReturned
 		l.amount = min(l.amount, max(r.Remaining, 0))
-		b.level += credit
+		b.level += newlyReturned
 	}
-	b.sumUp()
-	b.clip()
+	b.updateTotals()
+	b.capLevel()
 }
 
-// unreserve takes tokens out of a reservation, whether spent, refunded or void. The draining loans up to
-// any one of them together never exceed what is left of the reservations made before it; so each is
-// back when the last of those has ended.
+// unreserve takes tokens out of a reservation, whether spent, refunded or void. The sum of the draining loans up to
+// and including any one of them never exceeds what is left of the reservations made before it, so each is fully
+// returned when the last of those reservations has ended.
 func (b *bucket) unreserve(r *Reservation, tokens float64) {
 	b.reserved = max(b.reserved-tokens, 0)
-	if b.sums.draining <= 0 {
+	if b.totals.draining <= 0 {
 		return
 	}
 	sum := 0.0
@@ -351,13 +352,13 @@
 		if !l.draining {
 			continue
 		}
-		if r.round < l.round {
-			l.backs -= tokens
+		if r.drainRound < l.round {
+			l.backed -= tokens
 		}
-		if excess := sum + l.amount - max(l.backs, 0); excess > 0 {
-			b.giveBack(l, min(excess, l.amount))
+		if excess := sum + l.amount - max(l.backed, 0); excess > 0 {
+			b.returnPart(l, min(excess, l.amount))
 		}
 		sum += l.amount
 	}
-	b.sumUp()
+	b.updateTotals()
 }
--- a/internal/admission/rate/faults_test.go
+++ b/internal/admission/rate/faults_test.go
@@ -10,67 +10,67 @@
 	"lacewingrock.example/lacewingrock/internal/admission/rate"
 )
 
-// within runs a check on a fleet whose buckets are full.
-func within(t *testing.T, limit rate.Limit, names []string, check func(is *is.I, w *world)) {
+// withFleet runs a check on a fleet whose buckets are full.
+func withFleet(t *testing.T, limit rate.Limit, names []string, check func(is *is.I, w *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(limit)
+		w := newSimulation(limit)
 		w.grow(names...)
-		w.pass(time.Minute)
+		w.advance(time.Minute)
 		check(is.New(t), w)
 	})
 }
 
-func small() rate.Limit { return rate.Limit{Workspace: workspace, Rate: 20, Burst: 100} }
+func smallLimit() rate.Limit { return rate.Limit{Workspace: workspace, Rate: 20, Burst: 100} }
 
-func never() bool { return false }
+func neverLost() bool { return false }
 
-// spendAll reserves and generates all that can be had now.
-func (w *world) spendAll() {
+// spendAll reserves and generates all tokens that are available now.
+func (w *simulation) spendAll() {
 	for _, n := range w.live() {
 		_ = w.reserve(n, n.ledger.Available(workspace))
 	}
 	for _, r := range w.running {
 		w.generate(r, r.left)
 	}
-	w.finish()
+	w.dropFinished()
 }
 
-// An instance borrows for a long request, which is given up just before its time is over; the refund
-// goes into another long request. If the borrowed capacity backed that one too, the lender would long
-// have filled up again, and both would spend the same tokens.
+// Guards against tokens spent by both borrower and lender. An instance borrows for a long request, which is
+// cancelled just before its deadline; the refund is used for another long request. If the borrowed capacity backed
+// that one too, the lender would have refilled long before, and both would spend the same tokens.
 func TestBorrowedCapacityBacksNoLaterRequest(t *testing.T) {
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a := w.nodes[0]
-		w.borrow(a, 90, never)
+		w.borrow(a, 90, neverLost)
 		is.NoErr(w.reserve(a, 90))
-		w.pass(longest - 100*time.Millisecond)
+		w.advance(maxReservationTime - 100*time.Millisecond)
 		w.settle(w.running[0])
 		_ = w.reserve(a, a.ledger.Available(workspace))
-		w.pass(longest - 100*time.Millisecond)
-		is.True(w.line.over(w) < tolerance)
+		w.advance(maxReservationTime - 100*time.Millisecond)
+		is.True(w.oracle.excess(w) < tolerance)
 	})
 }
 
-// A lender's answer hangs in the network until the lender has taken its tokens back. If they were used
-// all the same, they would be spent on both sides.
+// Guards against a loan that is used after its lender has taken the tokens back, because the lender's response was
+// delayed in the network. Both sides would spend the tokens.
 func TestLateLoanIsNotUsed(t *testing.T) {
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a, b := w.nodes[0], w.nodes[1]
 		is.NoErr(w.reserve(a, 50))
 		ask := a.ledger.Plan(workspace, 50)[0]
 		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
 		is.True(loan.Tokens > 40)
-		w.pass(hold + 5*time.Second)
+		w.advance(loanLifetime + 5*time.Second)
 		a.ledger.Receive(ask, loan)
-		is.True(w.line.over(w) < tolerance)
+		is.True(w.oracle.excess(w) < tolerance)
 	})
 }
 
-// The message that gives a part of a loan back is repeated, since its answer was lost. If it counted
-// twice, the lender would hold tokens that nobody has.
+// Guards against a repeated return that counts twice: its response was lost, so it was sent again. The lender would
+// hold tokens that do not exist.
 func TestRepeatedReturnCountsOnce(t *testing.T) {
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a, b := w.nodes[0], w.nodes[1]
 		ask := rate.Ask{Workspace: workspace, Peer: b.ledger.Self, Tokens: 40, Began: time.Now()}
 		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
@@ -83,78 +83,78 @@
 	})
 }
 
-// A process starts and is made a member before it has read anything. If it took its share at once, the
-// others would still be spending it.
+// Guards against a process that uses its share at once when it is made a member before it has read the
+// configuration. The others would still be spending that share.
 func TestJoiningProcessStartsEmpty(t *testing.T) {
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		c := w.start("c")
 		v := w.stored()
 		w.swap(v.head.WithMember(c.member), v.limit)
 		for range 40 {
 			w.read(c)()
-			is.True(w.line.over(w) < tolerance)
-			w.pass(beatEvery)
-			is.True(w.line.over(w) < tolerance)
+			is.True(w.oracle.excess(w) < tolerance)
+			w.advance(heartbeatInterval)
+			is.True(w.oracle.excess(w) < tolerance)
 		}
-		w.pass(20 * time.Second)
-		is.True(c.ledger.Available(workspace) > 33) // its share comes once the others have let go of it
+		w.advance(20 * time.Second)
+		is.True(c.ledger.Available(workspace) > 33) // its share arrives once the others have released it
 	})
 }
 
-// An instance freezes, is taken for dead and removed, wakes and joins again before it has read the head
-// without it. Its old share has gone to the others meanwhile; if it kept it, all would spend it twice.
+// Guards against a share that is spent twice. An instance freezes, is declared failed and removed, wakes and joins
+// again before it has read the head without it. Its old share has been given to the others meanwhile.
 func TestProcessAddedAgainLosesItsOldShare(t *testing.T) {
-	within(t, small(), []string{"a", "b", "c"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b", "c"}, func(is *is.I, w *simulation) {
 		c := w.nodes[2]
 		c.frozen = true
-		w.pass(5 * time.Second)
+		w.advance(5 * time.Second)
 		w.leave(w.nodes[0], c)
-		w.pass(time.Minute)
+		w.advance(time.Minute)
 		c.frozen = false
 		v := w.stored()
 		w.swap(v.head.WithMember(c.member), v.limit)
 		for range 10 {
 			w.read(c)()
-			is.True(w.line.over(w) < tolerance)
-			w.pass(beatEvery)
+			is.True(w.oracle.excess(w) < tolerance)
+			w.advance(heartbeatInterval)
 		}
 	})
 }
 
-// An instance is frozen while another joins and takes over part of its refill. If it counted the time
-// it slept at its old rate, the workspace would get more than its rate for as long as it slept.
+// Guards against refill for the time an instance was frozen, while another instance joined and took over part of
+// its refill. The workspace would get more than its rate for as long as the freeze lasted.
 func TestNoRefillWhileFrozen(t *testing.T) {
 	limit := rate.Limit{Workspace: workspace, Rate: 20, Burst: 3000}
-	within(t, limit, []string{"a", "b", "c"}, func(is *is.I, w *world) {
-		w.pass(3 * time.Minute)
+	withFleet(t, limit, []string{"a", "b", "c"}, func(is *is.I, w *simulation) {
+		w.advance(3 * time.Minute)
 		w.spendAll()
 		c := w.nodes[2]
 		c.frozen = true
 		w.grow("d")
 		for range 60 {
-			w.pass(time.Second)
+			w.advance(time.Second)
 			w.spendAll()
 		}
 		c.frozen = false
-		w.pass(beatEvery)
+		w.advance(heartbeatInterval)
 		is.True(c.tracker.Fresh() == nil)
-		is.True(w.line.over(w) < tolerance)
+		is.True(w.oracle.excess(w) < tolerance)
 	})
 }
 
-// A request is neither settled nor cancelled, because whatever served it is stuck. Its tokens would be
-// held for ever, and the workspace refused within its rate.
+// Guards against tokens that stay reserved for ever when a request is neither settled nor cancelled because its
+// server is stuck. The workspace would be refused within its rate.
 func TestOverdueReservationIsVoid(t *testing.T) {
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a := w.nodes[0]
 		is.NoErr(w.reserve(a, 50))
-		w.pass(longest + 5*time.Second)
+		w.advance(maxReservationTime + 5*time.Second)
 		is.True(a.ledger.Available(workspace) > 49)
 	})
 }
 
-// A request that costs more than the workspace may ever spend at once would be retried for ever if it
-// were refused like one that comes too early.
+// Guards against endless retries of a request that costs more than the workspace may ever spend at once: it must be
+// refused with another code than one that comes too early.
 func TestRefusalsHaveStableCodes(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -162,37 +162,37 @@
 		tokens    float64
 		code      string
 	}{
-		{"more than the burst", workspace, 101, rate.CodeTooLarge},
-		{"more than is here", workspace, 80, rate.CodeRate},
+		{"more than the burst", workspace, 101, rate.CodeExceedsBurst},
+		{"more than is here", workspace, 80, rate.CodeRateLimited},
 		{"no such workspace", "nobody", 1, rate.CodeUnknownWorkspace},
 	}
-	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		for _, tt := range tests {
 			_, err := w.nodes[0].ledger.Reserve(tt.workspace, tt.tokens)
 			is.Equal(err.(rate.Refusal).Code(), tt.code)
 		}
-		w.nodes[0].cut, w.nodes[0].isolated = true, true
-		w.pass(bound)
+		w.nodes[0].storeUnreachable, w.nodes[0].isolated = true, true
+		w.advance(bound)
 		_, err := w.nodes[0].ledger.Reserve(workspace, 1)
 		is.Equal(err.(rate.Refusal).Code(), rate.CodeStale)
 	})
 }
 
-// An instance is cut off from its peers and the store until it may not act on its head any more. A request of it
-// goes on meanwhile and spends, and then it is reached again. If the time of the cut counted as refill after all,
-// it would fill the room that the request has just made, although the bucket was full before: the tokens of that
-// request would be there twice.
+// Guards against tokens that exist twice after a partition. An instance cannot reach its peers and the store until
+// it may no longer act on its head. One of its requests continues and spends, and then the partition ends. If the
+// time of the partition counted as refill, it would fill the room that the request has just made, although the
+// bucket was full before.
 func TestNoRefillForTheTimeBeforeASpending(t *testing.T) {
-	within(t, small(), []string{"a", "b", "c", "d"}, func(is *is.I, w *world) {
+	withFleet(t, smallLimit(), []string{"a", "b", "c", "d"}, func(is *is.I, w *simulation) {
 		a := w.nodes[0]
 		is.NoErr(w.reserve(a, 10))
-		a.cut, a.isolated = true, true
-		w.pass(bound + time.Second)
+		a.storeUnreachable, a.isolated = true, true
+		w.advance(bound + time.Second)
 		is.True(a.tracker.Fresh() != nil)
 		w.generate(w.running[0], 10)
-		a.cut, a.isolated = false, false
-		w.pass(time.Millisecond)
+		a.storeUnreachable, a.isolated = false, false
+		w.advance(time.Millisecond)
 		is.True(a.tracker.Fresh() == nil)
-		is.True(w.line.over(w) < tolerance)
+		is.True(w.oracle.excess(w) < tolerance)
 	})
 }
--- a/internal/admission/rate/fuzz_test.go
+++ b/internal/admission/rate/fuzz_test.go
@@ -13,28 +13,28 @@
 
 const (
 	stepsPerCheck = 150
-	tolerance     = 1e-3 // of a token, for rounding
+	tolerance     = 1e-3 // in tokens, for rounding errors
 )
 
-// Instances come and go, freeze and wake, lose each other and the store, and lose messages, while
-// operators change the workspace's rate and burst. If any of that let the same tokens be spent twice,
-// the co-operative would pay its supplier for tokens that no member bought; the workspace itself would
-// notice nothing. The oracle is one bucket from which every token that an engine makes is taken.
+// Guards against tokens that are spent twice, while instances join, leave, freeze and wake, lose their connections
+// to each other and to the store, and lose messages, and while operators change the workspace's rate and burst. The
+// co-operative would pay its supplier for tokens that no member bought, and the workspace would not notice. The
+// oracle is one bucket from which every token that an engine generates is taken.
 func TestFleetNeverSpendsOverTheLine(t *testing.T) {
 	steps, spent, checks := 0, 0.0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
-			w := newWorld(rate.Limit{Workspace: workspace, Rate: 20, Burst: 100})
+			w := newSimulation(rate.Limit{Workspace: workspace, Rate: 20, Burst: 100})
 			w.grow("a", "b", "c", "d")
-			w.pass(20 * time.Second)
+			w.advance(20 * time.Second)
 			for range stepsPerCheck {
 				w.step(rt)
 				steps++
-				if over := w.line.over(w); over > tolerance {
-					return fmt.Sprintf("%.3f tokens can be spent over the line", over)
+				if excess := w.oracle.excess(w); excess > tolerance {
+					return fmt.Sprintf("%.3f tokens can be spent above the limit", excess)
 				}
 			}
-			spent += w.line.spent
+			spent += w.oracle.spent
 			checks++
 			return ""
 		})
@@ -42,10 +42,10 @@
 			rt.Fatal(fault)
 		}
 	})
-	t.Logf("%d checks, %d steps, %.0f tokens spent, 0 over the line", checks, steps, spent)
+	t.Logf("%d checks, %d steps, %.0f tokens spent, 0 above the limit", checks, steps, spent)
 }
 
-func (w *world) step(rt *rapid.T) {
+func (w *simulation) step(rt *rapid.T) {
 	n := rapid.SampledFrom(w.nodes).Draw(rt, "node")
 	peer := rapid.SampledFrom(w.nodes).Draw(rt, "peer")
 	action := rapid.SampledFrom(actions).Draw(rt, "action")
@@ -56,24 +56,25 @@
 	return float64(rapid.IntRange(1, 60).Draw(rt, "tokens"))
 }
 
-type action func(w *world, rt *rapid.T, n, peer *node)
+type action func(w *simulation, rt *rapid.T, n, peer *node)
 
 var actions = []action{
 	doReserve, doReserve, doReserve, doDrain, doDrain, doGenerate, doGenerate, doSettle, doSettle,
-	doBorrow, doBorrow, doBorrow, doTopUp, doGiveBack, doGiveBack, doPass, doPass, doPass, doPassLong,
-	doLateRead, doLateBeat, doDeliverOne, doLoseOne, doFreeze, doWake, doWake, doWake, doCut, doHeal, doHeal,
+	doBorrow, doBorrow, doBorrow, doRebalance, doReturnLoans, doReturnLoans, doAdvance, doAdvance, doAdvance, doAdvanceLong,
+	doLateRead, doLateHeartbeat, doDeliverOne, doLoseOne, doFreeze, doWake, doWake, doWake, doPartition,
+	doEndPartition, doEndPartition,
 	doOutage, doRecover, doRecover, doKill, doStart, doJoin, doJoin, doLeave, doChangeRate,
-	doMend, doMend, doTend, doTend, doTend, doDrain, doPass, doPass,
+	doEndFaults, doEndFaults, doManageMembers, doManageMembers, doManageMembers, doDrain, doAdvance, doAdvance,
 }
 
-func doReserve(w *world, rt *rapid.T, n, _ *node) {
+func doReserve(w *simulation, rt *rapid.T, n, _ *node) {
 	if !n.dead && !n.frozen {
 		_ = w.reserve(n, amount(rt))
 	}
 }
 
-// doDrain takes all that can be taken anywhere and spends it in the same moment.
-func doDrain(w *world, _ *rapid.T, _, _ *node) {
+// doDrain reserves all tokens available on any instance and spends them at the same moment.
+func doDrain(w *simulation, _ *rapid.T, _, _ *node) {
 	for _, n := range w.live() {
 		for tokens := 64.0; tokens >= 1; tokens /= 2 {
 			for w.reserve(n, tokens) == nil {
@@ -83,22 +84,22 @@
 	for _, r := range w.running {
 		w.generate(r, r.left)
 	}
-	w.finish()
+	w.dropFinished()
 }
 
-func doGenerate(w *world, rt *rapid.T, _, _ *node) {
+func doGenerate(w *simulation, rt *rapid.T, _, _ *node) {
 	if len(w.running) > 0 {
 		w.generate(rapid.SampledFrom(w.running).Draw(rt, "request"), amount(rt))
 	}
 }
 
-func doSettle(w *world, rt *rapid.T, _, _ *node) {
+func doSettle(w *simulation, rt *rapid.T, _, _ *node) {
 	if len(w.running) > 0 {
 		w.settle(rapid.SampledFrom(w.running).Draw(rt, "request"))
 	}
 }
 
-func doBorrow(w *world, rt *rapid.T, n, _ *node) {
+func doBorrow(w *simulation, rt *rapid.T, n, _ *node) {
 	if n.dead || n.frozen {
 		return
 	}
@@ -107,83 +108,85 @@
 	_ = w.reserve(n, tokens)
 }
 
-func doTopUp(w *world, _ *rapid.T, n, _ *node) {
+func doRebalance(w *simulation, _ *rapid.T, n, _ *node) {
 	if !n.dead && !n.frozen {
-		w.topUp(n)
+		w.rebalance(n)
 	}
 }
 
-func doGiveBack(w *world, _ *rapid.T, n, peer *node) {
+func doReturnLoans(w *simulation, _ *rapid.T, n, peer *node) {
 	if !n.dead && !n.frozen && !peer.dead && !peer.frozen && n != peer {
-		w.giveBack(n, peer)
+		w.deliverReturns(n, peer)
 	}
 }
 
-func doPass(w *world, rt *rapid.T, _, _ *node) {
-	w.pass(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "millis")) * time.Millisecond)
+func doAdvance(w *simulation, rt *rapid.T, _, _ *node) {
+	w.advance(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "millis")) * time.Millisecond)
 }
 
-func doPassLong(w *world, rt *rapid.T, _, _ *node) {
-	w.pass(time.Duration(rapid.IntRange(2, 15).Draw(rt, "seconds")) * time.Second)
+func doAdvanceLong(w *simulation, rt *rapid.T, _, _ *node) {
+	w.advance(time.Duration(rapid.IntRange(2, 15).Draw(rt, "seconds")) * time.Second)
 }
 
-func doLateRead(w *world, _ *rapid.T, n, _ *node) {
+func doLateRead(w *simulation, _ *rapid.T, n, _ *node) {
 	if w.readable(n) {
-		w.waiting = append(w.waiting, w.read(n))
+		w.inTransit = append(w.inTransit, w.read(n))
 	}
 }
 
-func doLateBeat(w *world, _ *rapid.T, n, peer *node) {
+func doLateHeartbeat(w *simulation, _ *rapid.T, n, peer *node) {
 	if !n.dead && n != peer {
-		w.waiting = append(w.waiting, w.beat(n, peer))
+		w.inTransit = append(w.inTransit, w.heartbeat(n, peer))
 	}
 }
 
-func doDeliverOne(w *world, rt *rapid.T, _, _ *node) {
-	if len(w.waiting) > 0 {
-		i := rapid.IntRange(0, len(w.waiting)-1).Draw(rt, "message")
-		message := w.waiting[i]
+func doDeliverOne(w *simulation, rt *rapid.T, _, _ *node) {
+	if len(w.inTransit) > 0 {
+		i := rapid.IntRange(0, len(w.inTransit)-1).Draw(rt, "message")
+		message := w.inTransit[i]
 		if message() {
-			w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+			w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 		}
 	}
 }
 
-func doLoseOne(w *world, rt *rapid.T, _, _ *node) {
-	if len(w.waiting) > 0 {
-		i := rapid.IntRange(0, len(w.waiting)-1).Draw(rt, "message")
-		w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+func doLoseOne(w *simulation, rt *rapid.T, _, _ *node) {
+	if len(w.inTransit) > 0 {
+		i := rapid.IntRange(0, len(w.inTransit)-1).Draw(rt, "message")
+		w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 	}
 }
 
-func doFreeze(_ *world, _ *rapid.T, n, _ *node) { n.frozen = true }
+func doFreeze(_ *simulation, _ *rapid.T, n, _ *node) { n.frozen = true }
 
-func doWake(w *world, _ *rapid.T, n, _ *node) {
+func doWake(w *simulation, _ *rapid.T, n, _ *node) {
 	n.frozen = false
 	for _, r := range w.running {
 		w.report(r)
 	}
 }
 
-func doCut(_ *world, rt *rapid.T, n, _ *node) {
-	n.cut = true
+func doPartition(_ *simulation, rt *rapid.T, n, _ *node) {
+	n.storeUnreachable = true
 	n.isolated = rapid.Bool().Draw(rt, "isolated")
 }
 
-func doHeal(_ *world, _ *rapid.T, n, _ *node) { n.cut, n.isolated = false, false }
+func doEndPartition(_ *simulation, _ *rapid.T, n, _ *node) {
+	n.storeUnreachable, n.isolated = false, false
+}
 
-func doOutage(w *world, _ *rapid.T, _, _ *node) { w.down = true }
+func doOutage(w *simulation, _ *rapid.T, _, _ *node) { w.down = true }
 
-func doRecover(w *world, _ *rapid.T, _, _ *node) { w.down = false }
+func doRecover(w *simulation, _ *rapid.T, _, _ *node) { w.down = false }
 
-// doKill kills an instance of several; its requests go on at the engines to their deadline.
-func doKill(w *world, _ *rapid.T, n, _ *node) {
+// doKill kills an instance if several are live; its requests continue on the engines until their deadline.
+func doKill(w *simulation, _ *rapid.T, n, _ *node) {
 	if len(w.live()) > 2 {
 		n.dead = true
 	}
 }
 
-func doStart(w *world, rt *rapid.T, _, _ *node) {
+func doStart(w *simulation, rt *rapid.T, _, _ *node) {
 	if len(w.live()) < 5 {
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(rt, "name")
 		for _, n := range w.nodes {
@@ -193,24 +196,24 @@
 	}
 }
 
-func doJoin(w *world, _ *rapid.T, n, _ *node) {
+func doJoin(w *simulation, _ *rapid.T, n, _ *node) {
 	if w.readable(n) {
 		w.join(n)
 	}
 }
 
-// doMend ends every trouble but death, and lets some time pass.
-func doMend(w *world, rt *rapid.T, n, peer *node) {
+// doEndFaults ends every fault except the death of instances, and lets some time pass.
+func doEndFaults(w *simulation, rt *rapid.T, n, peer *node) {
 	w.down = false
 	for _, each := range w.nodes {
 		doWake(w, rt, each, peer)
-		doHeal(w, rt, each, peer)
+		doEndPartition(w, rt, each, peer)
 	}
-	doPassLong(w, rt, n, peer)
+	doAdvanceLong(w, rt, n, peer)
 }
 
-// doTend does what the daemons do about members: the ones outside join, the dead are removed.
-func doTend(w *world, rt *rapid.T, _, _ *node) {
+// doManageMembers does the daemons' member management: instances that are not members join, dead ones are removed.
+func doManageMembers(w *simulation, rt *rapid.T, _, _ *node) {
 	for _, n := range w.live() {
 		for _, other := range w.nodes {
 			if other.dead && w.readable(n) {
@@ -218,17 +221,17 @@
 			}
 		}
 		doJoin(w, rt, n, nil)
-		w.pass(500 * time.Millisecond)
+		w.advance(500 * time.Millisecond)
 	}
 }
 
-func doLeave(w *world, _ *rapid.T, n, peer *node) {
+func doLeave(w *simulation, _ *rapid.T, n, peer *node) {
 	if w.readable(n) && (peer == n || peer.dead || peer.frozen || peer.isolated) {
 		w.leave(n, peer)
 	}
 }
 
-func doChangeRate(w *world, rt *rapid.T, _, _ *node) {
+func doChangeRate(w *simulation, rt *rapid.T, _, _ *node) {
 	if !w.down {
 		limit := w.stored().limit
 		limit.Rate = float64(rapid.SampledFrom([]int{5, 20, 40}).Draw(rt, "rate"))
--- a/internal/admission/rate/ledger.go
+++ b/internal/admission/rate/ledger.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Ledger keeps the buckets of one instance. Set the exported fields before the first call. It is safe
-// for concurrent use, starts no goroutine and makes no call.
+// Ledger keeps the buckets of one instance. Set the exported fields before the first call. It is safe for
+// concurrent use, starts no goroutines and makes no remote calls.
 type Ledger struct {
-	// Self is this process.
+	// Self identifies this process.
 	Self Identity
-	// Knowledge tells how far the installed head may be relied on.
+	// Knowledge reports whether the installed head may be relied on.
 	Knowledge Knowledge
-	// UseWithin is how long borrowed tokens may back new reservations; equal on all instances.
+	// UseWithin is how long borrowed tokens may back new reservations. It must be equal on all instances.
 	UseWithin time.Duration
-	// Longest is how long a reservation may last; equal on all instances.
+	// Longest is the maximum duration of a reservation. It must be equal on all instances.
 	Longest time.Duration
 
-	mutex   sync.Mutex
-	head    Head
-	buckets map[string]*bucket
-	settled int64
-	loans   int64
+	mutex    sync.Mutex
+	head     Head
+	buckets  map[string]*bucket
+	settled  int64
+	lastLoan int64
 }
 
 // ---------------------------------------------------------------------------------------------
 // Heads.
 
-// Install takes a head in. Call it before the head is installed in the Knowledge, so that the last
-// stretch of time under the old head still counts. A head that is not newer changes nothing.
+// Install installs a head. Call it before the same head is installed in the freshness tracker, so that the time
+// under the old head up to now still counts. A head that is not newer changes nothing.
 func (l *Ledger) Install(head Head) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -40,7 +40,7 @@
 	now := time.Now()
 	for _, b := range l.buckets {
 		l.advance(b)
-		b.refilled = now
+		b.refilledAt = now
 	}
 	l.head = head
 	l.head.Members, l.head.Limits = slices.Clone(head.Members), slices.Clone(head.Limits)
@@ -56,31 +56,30 @@
 		if !declared[name] {
 			b.shares = append(b.shares, share{revision: head.Revision})
 		}
-		b.forgetEstimates(l.head.Members)
-		b.clip()
-		b.giveBackSurplus()
+		b.pruneEstimates(l.head.Members)
+		b.capLevel()
+		b.returnSurplus()
 	}
 }
 
-// declare gives a workspace its share under the new head. One that appears while this process runs has
-// been spent by nobody yet and starts full; all others start empty, since their tokens may lie with
-// members that this process knows nothing of.
-// The same goes for a process that was taken out of the members and added again: others may hold its
-// old share meanwhile.
+// declare assigns a workspace its share under the new head. A workspace that is declared while this process runs
+// has not been spent by any instance yet and starts full. All others start empty, since their tokens may be held by
+// members that this process has no information about. The same applies to a process that was removed from the
+// members and added again: others may hold its old share meanwhile.
 func (l *Ledger) declare(limit Limit, before Head, now time.Time) {
 	next := share{revision: l.head.Revision, rate: limit.Rate, burst: limit.Burst, fraction: l.fraction()}
-	nothing := share{revision: before.Revision, rate: limit.Rate, burst: limit.Burst}
+	emptyShare := share{revision: before.Revision, rate: limit.Rate, burst: limit.Burst}
 	b, found := l.buckets[limit.Workspace]
 	switch {
 	case found && l.head.Since > before.Revision:
-		b.shares = append(b.shares, nothing, next)
+		b.shares = append(b.shares, emptyShare, next)
 	case found && b.current().equal(next):
 		return
 	case found:
 		b.shares = append(b.shares, next)
 	case before.Revision == 0:
 		b = newBucket(limit.Workspace, now)
-		b.shares = []share{nothing, next}
+		b.shares = []share{emptyShare, next}
 	default:
 		b = newBucket(limit.Workspace, now)
 		b.shares = []share{next}
@@ -89,7 +88,7 @@
 	l.buckets[limit.Workspace] = b
 }
 
-// fraction is this process's part of each limit under the installed head.
+// fraction returns this process's fraction of each limit under the installed head.
 func (l *Ledger) fraction() float64 {
 	if !slices.Contains(l.head.Members, l.Self) {
 		return 0
@@ -100,34 +99,34 @@
 // ---------------------------------------------------------------------------------------------
 // Requests.
 
-// Reserve takes the most a request may cost out of the bucket, or refuses with a Refusal. Nothing waits.
-// Made for a workspace at several times its rate: a refusal costs no message and one map lookup, so
-// that the workspace's excess does not slow the others down.
+// Reserve takes the maximum cost of a request out of the bucket, or refuses with a Refusal. It does not wait. A
+// refusal costs no message and one map lookup, so that the excess of a workspace at several times its rate does not
+// slow down the others.
 func (l *Ledger) Reserve(workspace string, tokens float64) (reservation *Reservation, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	b, err := l.usable(workspace)
+	b, err := l.usableBucket(workspace)
 	if err != nil {
 		return nil, err
 	}
-	b.used = time.Now()
+	b.lastUsed = time.Now()
 	if burst := b.current().burst; tokens > burst {
 		return nil, &TooLargeError{Tokens: tokens, Burst: burst}
 	}
 	if missing := tokens - b.level; missing > epsilon {
-		return nil, l.short(b, missing)
+		return nil, l.shortError(b, missing)
 	}
 	b.level -= tokens
 	b.reserved += tokens
 	reservation = &Reservation{
-		ledger: l, bucket: b, left: tokens, deadline: time.Now().Add(l.longest()),
-		round: b.round, revision: l.head.Revision,
+		ledger: l, bucket: b, remaining: tokens, deadline: time.Now().Add(l.longest()),
+		drainRound: b.drainRound, revision: l.head.Revision,
 	}
-	reservation.element = b.open.PushBack(reservation)
+	reservation.element = b.openReservations.PushBack(reservation)
 	return reservation, nil
 }
 
-func (l *Ledger) short(b *bucket, missing float64) *ShortError {
+func (l *Ledger) shortError(b *bucket, missing float64) *ShortError {
 	fleetRate := b.rate()
 	elsewhere := 0.0
 	for _, peer := range l.peers() {
@@ -146,23 +145,23 @@
 	}
 }
 
-// usable finds a workspace's bucket and brings it to now, or refuses.
-func (l *Ledger) usable(workspace string) (b *bucket, err error) {
+// usableBucket returns a workspace's bucket, advanced to the current time, or a Refusal.
+func (l *Ledger) usableBucket(workspace string) (b *bucket, err error) {
 	if cause := l.Knowledge.Fresh(); cause != nil {
 		return nil, &StaleError{Cause: cause, RetryAfter: time.Second}
 	}
 	if revision, _ := l.Knowledge.FreshUntil(); revision > l.head.Revision {
-		return nil, &StaleError{Cause: errBehind, RetryAfter: time.Second}
+		return nil, &StaleError{Cause: errHeadNotInstalled, RetryAfter: time.Second}
 	}
 	b, found := l.buckets[workspace]
 	if !found || b.current().burst <= 0 {
-		return nil, &UnknownError{Workspace: workspace}
+		return nil, &UnknownWorkspaceError{Workspace: workspace}
 	}
 	l.advance(b)
 	return b, nil
 }
 
-// advance brings a bucket to now.
+// advance brings a bucket up to the current time.
 func (l *Ledger) advance(b *bucket) {
 	now := time.Now()
 	revision, until := l.Knowledge.FreshUntil()
@@ -170,8 +169,8 @@
 		until = time.Time{}
 	}
 	b.advance(now, until)
-	b.settleShares(l.Knowledge.InForce(), l.settled, l.hold(), now)
-	b.giveBackSurplus()
+	b.retireShares(l.Knowledge.InForce(), l.settled, l.loanLifetime(), now)
+	b.returnSurplus()
 }
 
 func (l *Ledger) useWithin() time.Duration {
@@ -188,8 +187,8 @@
 	return Longest
 }
 
-// hold is the whole life of a loan: it may back reservations made within useWithin, and each of those
-// ends within longest.
-func (l *Ledger) hold() time.Duration {
+// loanLifetime returns the maximum lifetime of a loan: it may back new reservations for the use window, and each of
+// those ends within the maximum duration of a reservation.
+func (l *Ledger) loanLifetime() time.Duration {
 	return l.useWithin() + l.longest()
 }
--- a/internal/admission/rate/rate.go
+++ b/internal/admission/rate/rate.go
@@ -1,24 +1,23 @@
-// Package rate holds each workspace to its rate and burst over all instances together. Each instance
-// keeps a Ledger: one bucket of tokens for each workspace, with the instance's share of capacity and
-// refill. The daemon reserves the most a request may cost before it is queued, spends the reservation
-// as tokens are generated and settles it once at the end; when the tokens lie on other instances it
-// borrows them there.
+// Package rate enforces each workspace's rate and burst across all instances. Each instance keeps a Ledger: one
+// token bucket per workspace, with the instance's share of capacity and refill. The daemon reserves the maximum
+// cost of a request before queueing it, spends the reservation as tokens are generated, and settles it once at the
+// end. If the tokens are on other instances, it borrows them.
 //
-// What must hold: over any interval, the tokens spent in the fleet are at most burst + rate * time. It
-// holds because at each moment the tokens that can still be spent anywhere (in buckets, reserved, or
-// lent and under way) are at most the burst, and because they grow by at most the rate:
+// Invariant: over any interval, the tokens spent in the fleet are at most burst + rate * time. It holds because at
+// each moment the tokens that can still be spent anywhere (in buckets, reserved, or lent and in transit) are at
+// most the burst, and because they grow by at most the rate:
 //
-//   - a bucket's tokens plus its reservations never exceed its capacity, so a bucket does not fill up
-//     behind a long reservation and then spend both at once;
-//   - a lender deducts tokens and capacity first; a lost answer loses them for a while, and can create
-//     none. The lender takes the capacity back when the borrower says that it needs it no longer, or
-//     when the borrower cannot spend it any more whatever happened to it;
-//   - between two heads each instance uses the smaller of its two shares until the newer head is in
-//     force everywhere, and its capacity grows only when every reservation made under larger shares of
-//     others has certainly ended;
-//   - refill counts only time in which the instance's knowledge was fresh: a frozen or cut off instance
-//     does not collect a share that others have taken over meanwhile;
-//   - a process starts with empty buckets, except for workspaces declared while it runs.
+//   - A bucket's tokens plus its reservations never exceed its capacity, so a bucket does not refill behind a
+//     long reservation and then spend both at once.
+//   - A lender deducts tokens and capacity first. A lost response loses them for a while but cannot create any.
+//     The lender takes the capacity back when the borrower reports that it no longer needs it, or when the
+//     borrower certainly can no longer spend it.
+//   - Between two heads each instance uses the smaller of its two shares until the newer head is in force
+//     everywhere. Its capacity grows only when every reservation made under larger shares of other instances has
+//     certainly ended.
+//   - Refill counts only time in which the instance's configuration was fresh: a frozen or partitioned instance
+//     does not accrue a share that others have taken over meanwhile.
+//   - A process starts with empty buckets, except for workspaces declared while it runs.
 package rate
 
 import (
@@ -28,46 +27,47 @@
 	"github.com/pkg/errors"
 )
 
-// UseWithin is how long borrowed tokens may back new reservations when a Ledger states nothing,
-// counted from when they were asked for. It must cover a round of asking; no measured reason yet.
+// UseWithin is how long borrowed tokens may back new reservations, counted from when they were requested, unless
+// the Ledger sets its own value. It must cover one round of borrow requests.
 const UseWithin = 3 * time.Second
 
-// Longest is the longest a reservation may last when a Ledger states nothing. The daemon cancels a
+// Longest is the maximum duration of a reservation unless the Ledger sets its own value. The daemon cancels a
 // request that runs longer, since its tokens are no longer accounted for.
 const Longest = 2 * time.Minute
 
-// askAgain is how long a peer that gave less than it was asked for is left alone. Made for a workspace
-// at several times its rate, each refusal of which would otherwise cost a message to every peer. It has
-// to be short: the peer gets tokens back whenever a request ends that used less than it reserved.
-const askAgain = 50 * time.Millisecond
+// shortBackoff is how long no borrow request is sent to a peer that lent less than requested. Without it, each
+// refusal of a workspace at several times its rate would cost a message to every peer. It must be short: the peer
+// gets tokens back whenever a request ends that used less than it reserved.
+const shortBackoff = 50 * time.Millisecond
 
-// topUpRoom, topUpLevel and spareAbove rule the balancing of buckets, as parts of an instance's own
-// capacity: a bucket with that much room, or below that level, asks for tokens, and a bucket gives those
-// above that fill. topUpAsks is how many peers are asked. At nine tenths
-// of the rate, without balancing, 2% of the refill came to buckets that were full while others were
-// empty.
+// rebalanceMinRoom, rebalanceMinLevel and spareLevel control the rebalancing of buckets, as fractions of an
+// instance's own capacity: a bucket that has at least rebalanceMinRoom of room, or is that far below
+// rebalanceMinLevel, requests tokens, and a bucket lends the tokens above spareLevel. rebalancePeers is the number
+// of peers that get a request. Without rebalancing, at nine tenths of the rate, 2% of the refill was lost to full
+// buckets while others were empty.
 const (
-	topUpRoom  = 0.1
-	topUpLevel = 0.5
-	topUpAsks  = 3
-	spareAbove = 0.75
+	rebalanceMinRoom  = 0.1
+	rebalanceMinLevel = 0.5
+	rebalancePeers    = 3
+	spareLevel        = 0.75
 )
 
-// inUse is for how long after its last request a workspace's bucket is balanced.
-const inUse = time.Second
+// activeWindow is how long after its last request a workspace's bucket is rebalanced.
+const activeWindow = time.Second
 
-// maxAsks bounds the peers in one plan.
-const maxAsks = 16
+// maxBorrowPeers bounds the number of peers in one plan.
+const maxBorrowPeers = 16
 
-// Codes of refusals, stable for callers.
+// Codes of refusals. They are stable for callers.
 const (
-	CodeTooLarge         = "request_exceeds_burst"
-	CodeRate             = "rate_limit_exceeded"
+	CodeExceedsBurst     = "request_exceeds_burst"
+	CodeRateLimited      = "rate_limit_exceeded"
 	CodeUnknownWorkspace = "unknown_workspace"
 	CodeStale            = "instance_not_fresh"
 )
 
-// Identity is one process: a restart is another one, which has lent and borrowed nothing.
+// Identity identifies one process. After a restart an instance has a new identity, which has lent and borrowed
+// nothing.
 type Identity struct {
 	Name        string
 	Incarnation string
@@ -80,8 +80,8 @@
 	Burst     float64
 }
 
-// Head is what the ledger needs of the configuration's head. Since is the revision that added this
-// process to the members, 0 when it is none.
+// Head is the part of the configuration's head that the ledger needs. Since is the revision that added this process
+// to the members, or 0 if it is not a member.
 type Head struct {
 	Revision int64
 	Since    int64
@@ -89,18 +89,18 @@
 	Limits   []Limit
 }
 
-// Knowledge tells how far the installed head may be relied on. *freshness.Tracker is one.
+// Knowledge reports whether the installed head may be relied on. *freshness.Tracker implements it.
 type Knowledge interface {
-	// Fresh answers nil while the instance may act on its head.
+	// Fresh returns nil while the instance may act on its head.
 	Fresh() error
-	// FreshUntil returns the installed revision and until when it may be used as things stand.
+	// FreshUntil returns the installed revision and until when it may be used if nothing newer is confirmed.
 	FreshUntil() (revision int64, until time.Time)
 	// InForce returns the highest revision that is in force everywhere.
 	InForce() int64
 }
 
-// Loan is what a lender gave: tokens with the capacity to hold them. ID is the lender's own; Left is
-// what remains in its bucket.
+// Loan is what a lender lent: tokens with the capacity to hold them, an ID that is unique for the lender, and the
+// level that remains in the lender's bucket.
 type Loan struct {
 	ID     string
 	Lender Identity
@@ -108,9 +108,9 @@
 	Left   float64
 }
 
-// Ask is one step of a plan to borrow: whom to ask and for how many tokens at the most. Began is when
-// the plan was made; what is received much later is not used. Spare asks only for what the peer's
-// bucket can hardly hold any longer.
+// Ask is one borrow request of a plan: the peer, the maximum number of tokens, and when the plan was made; a loan
+// that arrives much later is not used. A request for spare tokens gets only tokens for which the peer's bucket
+// will soon have no room.
 type Ask struct {
 	Workspace string
 	Peer      Identity
@@ -119,9 +119,8 @@
 	Began     time.Time
 }
 
-// Return tells a lender how much of a loan the borrower may still spend, and how much of it came back
-// unspent in all. It may be repeated and may arrive in any order: the smallest Remaining and the
-// largest Unspent count.
+// Return reports to a lender how much of a loan the borrower may still spend, and how much of it in total came back
+// unspent. Returns may be repeated and arrive in any order: the smallest Remaining and the largest Unspent count.
 type Return struct {
 	Workspace string
 	Loan      string
@@ -129,8 +128,7 @@
 	Unspent   float64
 }
 
-// Refusal is sealed: TooLargeError, ShortError, UnknownError and StaleError are all there are. Nothing
-// of a refused request was run.
+// Refusal is a sealed type; the error types below are all its variants. Nothing of a refused request was run.
 type Refusal interface {
 	error
 	// Code is stable for callers.
@@ -144,28 +142,30 @@
 	Burst  float64
 }
 
-// ShortError refuses a request for want of tokens. Missing is how many; RetryAfter is when they will be
-// there at the workspace's rate. WithinRate tells whether the fleet, as far as this instance knows, has
-// the tokens: such a refusal is wrongful, and is counted as one. The rest are inputs of the decision, for the log.
+// ShortError refuses a request for lack of tokens. Missing is how many tokens are missing; RetryAfter is when they
+// will have accrued at the workspace's rate. WithinRate reports whether the fleet has the tokens, as far as this
+// instance can estimate; such a refusal is wrongful and is counted as one. The other fields are inputs of the
+// decision, for the log.
 type ShortError struct {
 	Missing    float64
 	RetryAfter time.Duration
 	WithinRate bool
 
-	// Level is what the bucket has, Own its capacity less what is lent, and Elsewhere what the peers may have.
+	// The bucket's level, its capacity less what is lent, and the estimated tokens of the peers.
 	Level     float64
 	Own       float64
 	Elsewhere float64
-	// PendingShares are the shares of older heads that bind the bucket until the newest is in force everywhere.
+	// PendingShares is the number of shares of older heads that limit the bucket until the newest head is in force
+	// everywhere.
 	PendingShares int
 }
 
-// UnknownError refuses a workspace that the installed head does not declare.
-type UnknownError struct {
+// UnknownWorkspaceError refuses a workspace that the installed head does not declare.
+type UnknownWorkspaceError struct {
 	Workspace string
 }
 
-// StaleError refuses because the instance's knowledge is too old to know its share.
+// StaleError refuses a request because the instance's configuration is too old to determine its share.
 type StaleError struct {
 	Cause      error
 	RetryAfter time.Duration
@@ -179,28 +179,28 @@
 	return fmt.Sprintf("rate: short of %.0f tokens, retry after %v", e.Missing, e.RetryAfter)
 }
 
-func (e *UnknownError) Error() string { return "rate: no workspace " + e.Workspace }
+func (e *UnknownWorkspaceError) Error() string { return "rate: no workspace " + e.Workspace }
 
 func (e *StaleError) Error() string { return "rate: " + e.Cause.Error() }
 
-// Unwrap returns why the knowledge is stale.
+// Unwrap returns why the configuration is stale.
 func (e *StaleError) Unwrap() error { return e.Cause }
 
-// Code is CodeTooLarge.
-func (*TooLargeError) Code() string { return CodeTooLarge }
+// Code returns CodeExceedsBurst.
+func (*TooLargeError) Code() string { return CodeExceedsBurst }
 
-// Code is CodeRate.
-func (*ShortError) Code() string { return CodeRate }
+// Code returns CodeRateLimited.
+func (*ShortError) Code() string { return CodeRateLimited }
 
-// Code is CodeUnknownWorkspace.
-func (*UnknownError) Code() string { return CodeUnknownWorkspace }
+// Code returns CodeUnknownWorkspace.
+func (*UnknownWorkspaceError) Code() string { return CodeUnknownWorkspace }
 
-// Code is CodeStale.
+// Code returns CodeStale.
 func (*StaleError) Code() string { return CodeStale }
 
-func (*TooLargeError) sealed() {}
-func (*ShortError) sealed()    {}
-func (*UnknownError) sealed()  {}
-func (*StaleError) sealed()    {}
+func (*TooLargeError) sealed()         {}
+func (*ShortError) sealed()            {}
+func (*UnknownWorkspaceError) sealed() {}
+func (*StaleError) sealed()            {}
 
-var errBehind = errors.New("the ledger has not taken in the installed head")
+var errHeadNotInstalled = errors.New("ledger has not installed the current head")
--- a/internal/admission/rate/world_test.go
+++ b/internal/admission/rate/world_test.go
@@ -11,87 +11,89 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/membership"
 )
 
-// This file is a fleet in one process on the paused clock: real ledgers and real freshness, with the
-// store, the messages and the engines played by hand, so that any of them can be lost, late or stopped.
+// This file simulates a fleet in one process with a fake clock: real ledgers and real freshness trackers, with a
+// simulated store, messages and engines, so that any of them can be lost, delayed or stopped.
 
 const (
-	workspace = "markers"
-	bound     = 3 * time.Second
-	useWithin = time.Second
-	longest   = 6 * time.Second
-	hold      = (useWithin + longest) * 21 / 20
-	beatEvery = 250 * time.Millisecond
+	workspace          = "markers"
+	bound              = 3 * time.Second
+	loanUseWindow      = time.Second
+	maxReservationTime = 6 * time.Second
+	loanLifetime       = (loanUseWindow + maxReservationTime) * 21 / 20
+	heartbeatInterval  = 250 * time.Millisecond
 )
 
-// version is the head as the store has it, with the limit that it declares.
+// version is the head as stored, with the limit that it declares.
 type version struct {
 	head  head.Head
 	limit rate.Limit
 }
 
 type node struct {
-	member   head.Member
-	ledger   *rate.Ledger
-	tracker  *freshness.Tracker
-	dead     bool
-	frozen   bool
-	cut      bool // from the store
-	isolated bool // from its peers
+	member           head.Member
+	ledger           *rate.Ledger
+	tracker          *freshness.Tracker
+	dead             bool
+	frozen           bool
+	storeUnreachable bool
+	isolated         bool // unreachable for its peers
 }
 
-// running is a request at an engine, which goes on generating whatever happens to the instance.
-type running struct {
+// runningRequest is a request at an engine, which continues to generate whatever happens to the instance.
+type runningRequest struct {
 	node        *node
 	reservation *rate.Reservation
 	left        float64
-	owed        float64
+	unreported  float64
 	unused      float64 // what is left when the request ends
 }
 
-type world struct {
-	versions []version
-	down     bool
-	nodes    []*node
-	running  []*running
-	waiting  []func() bool // messages under way; each tells whether it was delivered
-	births   int
-	line     line
+type simulation struct {
+	versions  []version
+	down      bool
+	nodes     []*node
+	running   []*runningRequest
+	inTransit []func() bool // messages in transit; each returns whether it was delivered
+	starts    int
+	oracle    oracleBucket
 }
 
-func newWorld(limit rate.Limit) *world {
-	w := &world{versions: []version{{limit: limit}}}
+func newSimulation(limit rate.Limit) *simulation {
+	w := &simulation{versions: []version{{limit: limit}}}
 	w.swap(head.Head{}, limit)
-	w.line = line{level: limit.Burst, at: time.Now(), rate: limit.Rate}
+	w.oracle = oracleBucket{level: limit.Burst, at: time.Now(), rate: limit.Rate}
 	return w
 }
 
-func (w *world) stored() version { return w.versions[len(w.versions)-1] }
+func (w *simulation) stored() version { return w.versions[len(w.versions)-1] }
 
-func (w *world) swap(h head.Head, limit rate.Limit) {
+func (w *simulation) swap(h head.Head, limit rate.Limit) {
 	w.versions = append(w.versions, version{head: h.WithSwap(fmt.Sprint(len(w.versions))), limit: limit})
 }
 
 // ---------------------------------------------------------------------------------------------
 // Instances.
 
-func (w *world) start(name string) *node {
-	w.births++
-	m := head.Member{Name: name, Incarnation: fmt.Sprint(name, "#", w.births), Address: name}
+func (w *simulation) start(name string) *node {
+	w.starts++
+	m := head.Member{Name: name, Incarnation: fmt.Sprint(name, "#", w.starts), Address: name}
 	self := freshness.Member{Name: m.Name, Incarnation: m.Incarnation}
 	n := &node{member: m, tracker: &freshness.Tracker{Self: self, Bound: bound}}
 	n.ledger = &rate.Ledger{
 		Self:      rate.Identity{Name: m.Name, Incarnation: m.Incarnation},
-		Knowledge: n.tracker, UseWithin: useWithin, Longest: longest,
+		Knowledge: n.tracker, UseWithin: loanUseWindow, Longest: maxReservationTime,
 	}
 	w.nodes = append(w.nodes, n)
 	return n
 }
 
-func (w *world) live() []*node {
+func (w *simulation) live() []*node {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.dead || n.frozen })
 }
 
-func (w *world) readable(n *node) bool { return !w.down && !n.cut && !n.dead && !n.frozen }
+func (w *simulation) readable(n *node) bool {
+	return !w.down && !n.storeUnreachable && !n.dead && !n.frozen
+}
 
 func (n *node) install(v version) {
 	h := rate.Head{Revision: v.head.Revision, Limits: []rate.Limit{v.limit}}
@@ -107,8 +109,8 @@
 	n.tracker.Install(f)
 }
 
-// read returns the delivery of a read of the store that is made now.
-func (w *world) read(n *node) func() bool {
+// read returns the delivery of a store read that starts now.
+func (w *simulation) read(n *node) func() bool {
 	began := time.Now()
 	if !w.readable(n) {
 		n.tracker.ReadFailed(began)
@@ -121,8 +123,8 @@
 	})
 }
 
-// beat returns the two deliveries of a heartbeat asked now.
-func (w *world) beat(from, to *node) func() bool {
+// heartbeat returns the delivery of a heartbeat that is sent now; it queues the delivery of the reply.
+func (w *simulation) heartbeat(from, to *node) func() bool {
 	asked := time.Now()
 	return w.toNode(to, func() {
 		revision, age := to.tracker.Confirmed()
@@ -130,11 +132,11 @@
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
 			Asked:  asked, Revision: revision, ConfirmedAge: age,
 		}
-		w.waiting = append(w.waiting, w.toNode(from, func() { from.tracker.Replied(reply) }))
+		w.inTransit = append(w.inTransit, w.toNode(from, func() { from.tracker.Replied(reply) }))
 	})
 }
 
-func (w *world) toNode(n *node, deliver func()) func() bool {
+func (w *simulation) toNode(n *node, deliver func()) func() bool {
 	return func() bool {
 		if n.frozen && !n.dead {
 			return false
@@ -146,8 +148,8 @@
 	}
 }
 
-// join and leave are swaps by one instance, on the head as stored, with what that instance knows.
-func (w *world) join(n *node) {
+// join and leave change the stored head by compare-and-swap, based on what the given instance has installed.
+func (w *simulation) join(n *node) {
 	v := w.stored()
 	next, step, err := membership.Join(v.head, n.member, n.tracker.InForce())
 	if err == nil && step != membership.StepNone {
@@ -156,17 +158,17 @@
 }
 
 // grow starts instances one after the other and waits until each is a member.
-func (w *world) grow(names ...string) {
+func (w *simulation) grow(names ...string) {
 	for _, name := range names {
 		n := w.start(name)
 		for n.tracker.Fresh() != nil {
-			w.pass(time.Second)
+			w.advance(time.Second)
 			w.join(n)
 		}
 	}
 }
 
-func (w *world) leave(by, gone *node) {
+func (w *simulation) leave(by, gone *node) {
 	v := w.stored()
 	next, step, err := membership.Leave(v.head, gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
 	if by != gone {
@@ -181,29 +183,29 @@
 // ---------------------------------------------------------------------------------------------
 // Time and messages.
 
-// deliver passes on everything under way.
-func (w *world) deliver() {
-	for len(w.waiting) > 0 {
-		batch := w.waiting
-		w.waiting = nil
+// deliver delivers all messages in transit.
+func (w *simulation) deliver() {
+	for len(w.inTransit) > 0 {
+		batch := w.inTransit
+		w.inTransit = nil
 		var stuck []func() bool
 		for _, message := range batch {
 			if !message() {
 				stuck = append(stuck, message)
 			}
 		}
-		if len(w.waiting) == 0 {
-			w.waiting = stuck
+		if len(w.inTransit) == 0 {
+			w.inTransit = stuck
 			return
 		}
-		w.waiting = append(w.waiting, stuck...)
+		w.inTransit = append(w.inTransit, stuck...)
 	}
 }
 
-// pass lets time run, with the heartbeats and reads that the daemon would make.
-func (w *world) pass(d time.Duration) {
+// advance lets time pass, with the heartbeats and reads that the daemon would make.
+func (w *simulation) advance(d time.Duration) {
 	for d > 0 {
-		step := min(d, beatEvery)
+		step := min(d, heartbeatInterval)
 		time.Sleep(step)
 		d -= step
 		w.exchange()
@@ -211,107 +213,107 @@
 }
 
 // exchange is one round of heartbeats and of the reads that are due.
-func (w *world) exchange() {
-	w.line.advance(w)
+func (w *simulation) exchange() {
+	w.oracle.advance(w)
 	for _, n := range w.live() {
-		n.ledger.Available(workspace) // the daemon's regular calls bring the buckets to now
+		n.ledger.Available(workspace) // the daemon's regular calls advance the buckets
 		if n.tracker.ShouldReadStore() {
 			w.read(n)()
 		}
 		for _, peer := range w.live() {
 			if peer != n && !peer.isolated && !n.isolated {
-				w.beat(n, peer)()
+				w.heartbeat(n, peer)()
 			}
 		}
 	}
 	w.deliver()
-	w.finish()
+	w.dropFinished()
 }
 
-// finish drops the requests past their deadline: engines end within it.
-func (w *world) finish() {
-	w.running = slices.DeleteFunc(w.running, func(r *running) bool {
-		return r.left <= 0 && r.owed == 0 || !time.Now().Before(r.reservation.Deadline())
+// dropFinished drops the requests past their deadline: engines end them in time.
+func (w *simulation) dropFinished() {
+	w.running = slices.DeleteFunc(w.running, func(r *runningRequest) bool {
+		return r.left <= 0 && r.unreported == 0 || !time.Now().Before(r.reservation.Deadline())
 	})
 }
 
 // ---------------------------------------------------------------------------------------------
 // Requests.
 
-func (w *world) reserve(n *node, tokens float64) error {
+func (w *simulation) reserve(n *node, tokens float64) error {
 	reservation, err := n.ledger.Reserve(workspace, tokens)
 	if err == nil {
-		w.running = append(w.running, &running{node: n, reservation: reservation, left: tokens})
+		w.running = append(w.running, &runningRequest{node: n, reservation: reservation, left: tokens})
 	}
 	return err
 }
 
-// generate lets the engine make tokens; the instance hears of them unless it is frozen or dead.
-func (w *world) generate(r *running, tokens float64) {
+// generate makes the engine generate tokens; they are reported to the instance unless it is frozen or dead.
+func (w *simulation) generate(r *runningRequest, tokens float64) {
 	tokens = min(tokens, r.left)
 	if !time.Now().Before(r.reservation.Deadline()) {
 		return
 	}
 	r.left -= tokens
-	r.owed += tokens
-	w.line.spend(w, tokens)
+	r.unreported += tokens
+	w.oracle.spend(w, tokens)
 	w.report(r)
 }
 
-func (w *world) report(r *running) {
+func (w *simulation) report(r *runningRequest) {
 	if !r.node.frozen && !r.node.dead {
-		r.reservation.Spend(r.owed)
-		r.owed = 0
+		r.reservation.Spend(r.unreported)
+		r.unreported = 0
 	}
 }
 
-func (w *world) settle(r *running) {
+func (w *simulation) settle(r *runningRequest) {
 	if r.node.frozen || r.node.dead {
 		return
 	}
 	w.report(r)
 	r.reservation.Settle(0)
 	r.left = 0
-	w.finish()
+	w.dropFinished()
 }
 
-// borrow asks as the daemon does: by the plan, until the missing tokens have come. The answer of each
-// peer may be lost.
-func (w *world) borrow(n *node, tokens float64, lost func() bool) {
-	for _, ask := range n.ledger.Plan(workspace, tokens) {
-		peer := w.find(ask.Peer)
+// borrow borrows as the daemon does: by the plan, until the missing tokens have arrived. The response of each peer
+// may be lost.
+func (w *simulation) borrow(n *node, tokens float64, lost func() bool) {
+	for _, request := range n.ledger.Plan(workspace, tokens) {
+		peer := w.find(request.Peer)
 		if peer == nil || n.isolated || peer.isolated {
-			n.ledger.Receive(ask, rate.Loan{Lender: ask.Peer})
+			n.ledger.Receive(request, rate.Loan{Lender: request.Peer})
 			continue
 		}
-		ask.Tokens = min(ask.Tokens, tokens-n.ledger.Available(workspace))
-		if ask.Tokens <= 0 {
+		request.Tokens = min(request.Tokens, tokens-n.ledger.Available(workspace))
+		if request.Tokens <= 0 {
 			return
 		}
-		loan := peer.ledger.Give(workspace, ask.Tokens, n.ledger.Self)
+		loan := peer.ledger.Give(workspace, request.Tokens, n.ledger.Self)
 		if !lost() {
-			n.ledger.Receive(ask, loan)
+			n.ledger.Receive(request, loan)
 		}
 	}
 }
 
-// topUp balances an instance's bucket.
-func (w *world) topUp(n *node) {
-	for _, ask := range n.ledger.TopUps() {
-		if peer := w.find(ask.Peer); peer != nil && !n.isolated && !peer.isolated {
-			n.ledger.Receive(ask, peer.ledger.GiveSpare(workspace, ask.Tokens, n.ledger.Self))
+// rebalance rebalances an instance's bucket.
+func (w *simulation) rebalance(n *node) {
+	for _, request := range n.ledger.TopUps() {
+		if peer := w.find(request.Peer); peer != nil && !n.isolated && !peer.isolated {
+			n.ledger.Receive(request, peer.ledger.GiveSpare(workspace, request.Tokens, n.ledger.Self))
 		}
 	}
 }
 
-// giveBack passes on the returns between two instances.
-func (w *world) giveBack(from, to *node) {
+// deliverReturns delivers the pending returns from one instance to another.
+func (w *simulation) deliverReturns(from, to *node) {
 	returns := from.ledger.Returns(to.ledger.Self)
 	to.ledger.Release(from.ledger.Self, returns)
 	from.ledger.Returned(to.ledger.Self, returns)
 }
 
-func (w *world) find(id rate.Identity) *node {
+func (w *simulation) find(id rate.Identity) *node {
 	for _, n := range w.live() {
 		if n.ledger.Self == id {
 			return n
@@ -322,11 +324,11 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// line is the oracle: one bucket for the whole fleet, filled with the burst, from which every token
-// that any engine generates is taken. It must never fall below what can still be spent. Between two limits it is the larger
-// one that counts, for the rate until the newer is in force everywhere and for the burst until the
-// requests admitted before have ended too.
-type line struct {
+// oracleBucket is the oracle: one bucket for the whole fleet, filled with the burst, from which every token that
+// any engine generates is taken. Its level must never fall below what can still be spent. Between two limits the
+// larger one counts: for the rate until the newer is in force everywhere, and for the burst until the requests
+// admitted before have ended as well.
+type oracleBucket struct {
 	level   float64
 	at      time.Time
 	rate    float64
@@ -340,7 +342,7 @@
 	until time.Time
 }
 
-func (l *line) advance(w *world) {
+func (l *oracleBucket) advance(w *simulation) {
 	now := time.Now()
 	l.level += l.rate * now.Sub(l.at).Seconds()
 	l.at = now
@@ -353,7 +355,7 @@
 		if v.head.Revision >= l.inForce {
 			rateNow, burstNow = max(rateNow, v.limit.Rate), max(burstNow, v.limit.Burst)
 		} else if v.head.Revision >= before {
-			l.bursts = append(l.bursts, oldBurst{burst: v.limit.Burst, until: now.Add(hold)})
+			l.bursts = append(l.bursts, oldBurst{burst: v.limit.Burst, until: now.Add(loanLifetime)})
 		}
 	}
 	for _, old := range l.bursts {
@@ -365,7 +367,7 @@
 	l.level = min(l.level, burstNow)
 }
 
-func (l *line) spend(w *world, tokens float64) {
+func (l *oracleBucket) spend(w *simulation, tokens float64) {
 	if !l.at.Equal(time.Now()) {
 		l.advance(w)
 	}
@@ -373,11 +375,11 @@
 	l.spent += tokens
 }
 
-// over is by how much the line would be crossed if all that can be reserved now were reserved and
-// all that is reserved were generated, in this moment.
-func (l *line) over(w *world) float64 {
+// excess returns by how much the limit would be exceeded if all tokens that can be reserved now were reserved and
+// all reserved tokens were generated at this moment.
+func (l *oracleBucket) excess(w *simulation) float64 {
 	l.advance(w)
-	w.finish()
+	w.dropFinished()
 	could := 0.0
 	for _, n := range w.live() {
 		could += n.ledger.Available(workspace)
