--- a/internal/admission/claim/codec.go
+++ b/internal/admission/claim/codec.go
@@ -85,8 +85,8 @@
 	case stateUnknown:
 		return Unknown{}, nil
 	case stateRan:
-		answer := Answer{Status: w.Status, ContentType: w.ContentType, Body: w.Answer}
-		return Ran{Answer: answer, Kept: w.Kept, StoreKey: w.Stored}, nil
+		response := Answer{Status: w.Status, ContentType: w.ContentType, Body: w.Answer}
+		return Ran{Answer: response, Kept: w.Kept, StoreKey: w.Stored}, nil
 	}
 	return nil, errors.Errorf("unknown claim state %q", w.State)
 }
--- a/internal/admission/claim/fuzz_test.go
+++ b/internal/admission/claim/fuzz_test.go
@@ -84,7 +84,7 @@
 	killsInstances bool
 	fault          string
 	lastRun        map[string]time.Time
-	answers        map[string]string // of runs, by key and body
+	responses      map[string]string // of runs, by key and body
 	orphaned       map[string]bool   // keys whose holder died or whose outcome is unknown
 	runs           int
 	replays        int
@@ -94,7 +94,7 @@
 func newSimulation(seed uint64) *simulation {
 	w := &simulation{
 		store: newFaultyStore(seed), lastRun: map[string]time.Time{},
-		answers: map[string]string{}, orphaned: map[string]bool{},
+		responses: map[string]string{}, orphaned: map[string]bool{},
 		decisions: make(chan claimResult, 2*stepsPerCheck),
 	}
 	for range 3 {
@@ -183,7 +183,7 @@
 		}
 	case claim.Replay:
 		w.replays++
-		if want := w.answers[c.key+c.body]; want == "" || want != string(decision.Answer.Body) {
+		if want := w.responses[c.key+c.body]; want == "" || want != string(decision.Answer.Body) {
 			w.fault = fmt.Sprintf("replayed %q, expected %q", decision.Answer.Body, want)
 		}
 	}
@@ -226,8 +226,8 @@
 	case !c.sent || !c.ran:
 		_ = c.ticket.NotRun(ctx)
 	case rapid.Bool().Draw(rt, "answered"):
-		w.answers[c.key+c.body] = fmt.Sprint("booked ", w.runs)
-		_ = c.ticket.Ran(ctx, claim.Answer{Status: 200, Body: []byte(w.answers[c.key+c.body])})
+		w.responses[c.key+c.body] = fmt.Sprint("booked ", w.runs)
+		_ = c.ticket.Ran(ctx, claim.Answer{Status: 200, Body: []byte(w.responses[c.key+c.body])})
 	default:
 		w.orphaned[c.key] = true
 		_ = c.ticket.Unknown(ctx)
--- a/internal/admission/claim/registry.go
+++ b/internal/admission/claim/registry.go
@@ -176,17 +176,17 @@
 var errStopped = errors.New("claim: registry stopped before the outcome was written")
 
 // ranOutcome decides where a response body is kept.
-func (r *Registry) ranOutcome(answer Answer, claimID string) (ran Ran, body []byte) {
+func (r *Registry) ranOutcome(response Answer, claimID string) (ran Ran, body []byte) {
 	switch {
-	case len(answer.Body) <= maxInlineBody:
-		return Ran{Answer: answer, Kept: true}, nil
-	case len(answer.Body) <= maxStoredBody:
-		body = answer.Body
-		answer.Body = nil
-		return Ran{Answer: answer, Kept: true, StoreKey: responsePrefix + claimID}, body
+	case len(response.Body) <= maxInlineBody:
+		return Ran{Answer: response, Kept: true}, nil
+	case len(response.Body) <= maxStoredBody:
+		body = response.Body
+		response.Body = nil
+		return Ran{Answer: response, Kept: true, StoreKey: responsePrefix + claimID}, body
 	}
-	answer.Body = nil
-	return Ran{Answer: answer}, nil
+	response.Body = nil
+	return Ran{Answer: response}, nil
 }
 
 func (r *Registry) createWorkers() {
--- a/internal/admission/claim/ticket.go
+++ b/internal/admission/claim/ticket.go
@@ -69,11 +69,11 @@
 }
 
 // Ran records that the call ran, with its response. It returns as NotRun does.
-func (t *Ticket) Ran(ctx context.Context, answer Answer) error {
+func (t *Ticket) Ran(ctx context.Context, response Answer) error {
 	if err := t.close(phaseDispatched); err != nil {
 		return err
 	}
-	outcome, body := t.registry.ranOutcome(answer, t.claimID)
+	outcome, body := t.registry.ranOutcome(response, t.claimID)
 	return t.registry.recordOutcome(ctx, outcomeOperation{keyHash: t.keyHash, claimID: t.claimID, outcome: outcome}, body)
 }
 
--- a/internal/admission/rate/faults_test.go
+++ b/internal/admission/rate/faults_test.go
@@ -58,11 +58,11 @@
 	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a, b := w.nodes[0], w.nodes[1]
 		is.NoErr(w.reserve(a, 50))
-		ask := a.ledger.Plan(workspace, 50)[0]
-		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
+		request := a.ledger.Plan(workspace, 50)[0]
+		loan := b.ledger.Give(workspace, request.Tokens, a.ledger.Self)
 		is.True(loan.Tokens > 40)
 		w.advance(loanLifetime + 5*time.Second)
-		a.ledger.Receive(ask, loan)
+		a.ledger.Receive(request, loan)
 		is.True(w.oracle.excess(w) < tolerance)
 	})
 }
@@ -72,8 +72,8 @@
 func TestRepeatedReturnCountsOnce(t *testing.T) {
 	withFleet(t, smallLimit(), []string{"a", "b"}, func(is *is.I, w *simulation) {
 		a, b := w.nodes[0], w.nodes[1]
-		ask := rate.Ask{Workspace: workspace, Peer: b.ledger.Self, Tokens: 40, Began: time.Now()}
-		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
+		request := rate.Ask{Workspace: workspace, Peer: b.ledger.Self, Tokens: 40, Began: time.Now()}
+		loan := b.ledger.Give(workspace, request.Tokens, a.ledger.Self)
 		w.spendAll()
 		returns := []rate.Return{{Workspace: workspace, Loan: loan.ID, Remaining: 20, Unspent: 20}}
 		for range 3 {
