--- a/internal/admission/claim/claim.go
+++ b/internal/admission/claim/claim.go
@@ -38,8 +38,8 @@
 	ErrNotDispatched = errors.New("claim: outcome given for a call that was not dispatched")
 )
 
-// Answer is an upstream's response, stored for replay.
-type Answer struct {
+// Response is an upstream's response, stored for replay.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -61,7 +61,7 @@
 // Ran means that the call ran. Kept is false if the response was too large to keep. StoreKey is the store key of
 // the response body if the body is not kept in the claim itself.
 type Ran struct {
-	Answer   Answer
+	Response Response
 	Kept     bool
 	StoreKey string
 }
@@ -90,7 +90,7 @@
 // Replay means that the call ran before, and holds its response. Kept is false if the response was too large to
 // keep.
 type Replay struct {
-	Answer   Answer
+	Response Response
 	Kept     bool
 	storeKey string
 }
@@ -100,11 +100,11 @@
 	RetryAfter time.Duration
 }
 
-// RanUnknown means that a call with the key may have run and that its outcome can no longer be determined.
-type RanUnknown struct{}
+// OutcomeUnknown means that a call with the key may have run and that its outcome can no longer be determined.
+type OutcomeUnknown struct{}
 
-// DifferentBody means that the key was used for a call with another body.
-type DifferentBody struct{}
+// BodyMismatch means that the key was used for a call with another body.
+type BodyMismatch struct{}
 
 // Refuse means that nothing was claimed and nothing was run.
 type Refuse struct {
@@ -122,12 +122,12 @@
 	ReasonAbandoned Reason = "claim_given_up"
 )
 
-func (Proceed) sealedDecision()       {}
-func (Replay) sealedDecision()        {}
-func (InProgress) sealedDecision()    {}
-func (RanUnknown) sealedDecision()    {}
-func (DifferentBody) sealedDecision() {}
-func (Refuse) sealedDecision()        {}
+func (Proceed) sealedDecision()        {}
+func (Replay) sealedDecision()         {}
+func (InProgress) sealedDecision()     {}
+func (OutcomeUnknown) sealedDecision() {}
+func (BodyMismatch) sealedDecision()   {}
+func (Refuse) sealedDecision()         {}
 
 // ---------------------------------------------------------------------------------------------
 
--- a/internal/admission/claim/group.go
+++ b/internal/admission/claim/group.go
@@ -157,16 +157,16 @@
 		return nil
 	}
 	if r.Body != op.bodyHash {
-		return DifferentBody{}
+		return BodyMismatch{}
 	}
 	switch state := r.State.(type) {
 	case Ran:
-		return Replay{Answer: state.Answer, Kept: state.Kept, storeKey: state.StoreKey}
+		return Replay{Response: state.Response, Kept: state.Kept, storeKey: state.StoreKey}
 	case Unknown:
-		return RanUnknown{}
+		return OutcomeUnknown{}
 	}
 	if limits.now.Sub(r.ClaimedAt) > limits.maxRunTime {
-		return RanUnknown{}
+		return OutcomeUnknown{}
 	}
 	return InProgress{RetryAfter: time.Second}
 }
--- a/internal/admission/claim/registry.go
+++ b/internal/admission/claim/registry.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return Refuse{Reason: ReasonStore, RetryAfter: time.Second}
 	}
-	replay.Answer.Body = entry.Value
+	replay.Response.Body = entry.Value
 	return replay
 }
 
@@ -176,17 +176,17 @@
 var errStopped = errors.New("claim: registry stopped before the outcome was written")
 
 // ranOutcome decides where a response body is kept.
-func (r *Registry) ranOutcome(response Answer, claimID string) (ran Ran, body []byte) {
+func (r *Registry) ranOutcome(response Response, claimID string) (ran Ran, body []byte) {
 	switch {
 	case len(response.Body) <= maxInlineBody:
-		return Ran{Answer: response, Kept: true}, nil
+		return Ran{Response: response, Kept: true}, nil
 	case len(response.Body) <= maxStoredBody:
 		body = response.Body
 		response.Body = nil
-		return Ran{Answer: response, Kept: true, StoreKey: responsePrefix + claimID}, body
+		return Ran{Response: response, Kept: true, StoreKey: responsePrefix + claimID}, body
 	}
 	response.Body = nil
-	return Ran{Answer: response}, nil
+	return Ran{Response: response}, nil
 }
 
 func (r *Registry) createWorkers() {
--- a/internal/admission/claim/registry_test.go
+++ b/internal/admission/claim/registry_test.go
@@ -43,17 +43,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			withRegistry(t, func(is *is.I, w *simulation, r *claim.Registry) {
-				response := claim.Answer{Status: 201, ContentType: "application/json", Body: bytes.Repeat([]byte("x"), tt.size)}
+				response := claim.Response{Status: 201, ContentType: "application/json", Body: bytes.Repeat([]byte("x"), tt.size)}
 				is.NoErr(claimAndDispatch(is, r, "k").Ran(context.Background(), response))
 				decision, err := w.instances[1].registry.Claim(context.Background(), "crew", "k", "ten")
 				is.NoErr(err)
 				replay := decision.(claim.Replay)
 				is.Equal(replay.Kept, tt.kept)
-				is.Equal(replay.Answer.Status, 201)
+				is.Equal(replay.Response.Status, 201)
 				if tt.kept {
-					is.Equal(replay.Answer.Body, response.Body)
+					is.Equal(replay.Response.Body, response.Body)
 				}
-				_, isOther := mustClaim(is, r, "k", "twenty").(claim.DifferentBody)
+				_, isOther := mustClaim(is, r, "k", "twenty").(claim.BodyMismatch)
 				is.True(isOther)
 			})
 		})
@@ -94,7 +94,7 @@
 // the outcomes of running calls.
 func TestFullGroupRefuses(t *testing.T) {
 	withRegistry(t, func(is *is.I, w *simulation, r *claim.Registry) {
-		response := claim.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), 500)}
+		response := claim.Response{Status: 200, Body: bytes.Repeat([]byte("x"), 500)}
 		made, refused := 0, ""
 		for wave := 0; refused == ""; wave++ {
 			for _, decision := range claimConcurrently(r, wave) {
--- a/internal/admission/claim/ticket.go
+++ b/internal/admission/claim/ticket.go
@@ -69,7 +69,7 @@
 }
 
 // Ran records that the call ran, with its response. It returns as NotRun does.
-func (t *Ticket) Ran(ctx context.Context, response Answer) error {
+func (t *Ticket) Ran(ctx context.Context, response Response) error {
 	if err := t.close(phaseDispatched); err != nil {
 		return err
 	}
--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -25,22 +25,22 @@
 	Burst float64
 }
 
-// Spent is the total that an instance has admitted for each workspace since it started.
-type Spent map[string]float64
+// Totals is the total that an instance has admitted for each workspace since it started.
+type Totals map[string]float64
 
 // Ledger is one instance's estimate of all buckets. Set Self before use. It is not safe for concurrent use.
 type Ledger struct {
 	Self string
-	// SilentAfter is how long a peer may be silent before a share is reserved for it; it depends on the heartbeat
+	// PeerTimeout is how long a peer may be silent before a share is reserved for it; it depends on the heartbeat
 	// interval. Values below minPeerTimeout have no effect.
-	SilentAfter time.Duration
+	PeerTimeout time.Duration
 
 	limits  map[string]Limit
 	buckets map[string]*bucket
-	own     Spent
+	own     Totals
 	peers   map[string]*peer
 	// sentTotals are this instance's totals when it last sent them urgently.
-	sentTotals Spent
+	sentTotals Totals
 	// sentToAll is when the totals were last sent urgently to all peers because of a workspace, and not only to the
 	// peers that admit for it.
 	sentToAll map[string]time.Time
@@ -67,9 +67,9 @@
 	lastSeen    time.Time
 	// totals is nil until the peer has sent all its totals; partialTotals holds those of some workspaces received
 	// before.
-	totals        Spent
-	partialTotals Spent
-	reserved      Spent
+	totals        Totals
+	partialTotals Totals
+	reserved      Totals
 	// lastAdmitted is when a received total of a workspace last showed that the peer had admitted something.
 	lastAdmitted map[string]time.Time
 }
@@ -104,16 +104,16 @@
 	for _, name := range names {
 		p := l.peers[name]
 		if p == nil {
-			p = &peer{lastSeen: now, reserved: Spent{}, lastAdmitted: make(map[string]time.Time)}
+			p = &peer{lastSeen: now, reserved: Totals{}, lastAdmitted: make(map[string]time.Time)}
 		}
 		peers[name] = p
 	}
 	l.peers = peers
 }
 
-// Hear merges a peer's totals. The share that was reserved for the peer while it was silent is replaced by what it
+// MergeTotals merges a peer's totals. The share that was reserved for the peer while it was silent is replaced by what it
 // really admitted.
-func (l *Ledger) Hear(now time.Time, name, incarnation string, totals Spent) {
+func (l *Ledger) MergeTotals(now time.Time, name, incarnation string, totals Totals) {
 	l.initialize()
 	p := l.peers[name]
 	if p == nil {
@@ -140,17 +140,17 @@
 	}
 	p.totals = maps.Clone(totals)
 	if p.totals == nil {
-		p.totals = Spent{}
+		p.totals = Totals{}
 	}
-	p.reserved = Spent{}
+	p.reserved = Totals{}
 }
 
-// HearSome merges a peer's totals of some workspaces: those for which it has admitted recently.
+// MergePartialTotals merges a peer's totals of some workspaces: those for which it has admitted recently.
 //
 // In a large fleet, instances exchange all totals only every few seconds. Without partial updates, all instances
 // would admit a workspace that exceeds its rate until they receive each other's totals, and would then admit
 // nothing until the debt is paid.
-func (l *Ledger) HearSome(now time.Time, name, incarnation string, totals Spent) {
+func (l *Ledger) MergePartialTotals(now time.Time, name, incarnation string, totals Totals) {
 	p := l.peers[name]
 	if p == nil {
 		return
@@ -179,7 +179,7 @@
 		return
 	}
 	if p.partialTotals == nil {
-		p.partialTotals = Spent{}
+		p.partialTotals = Totals{}
 	}
 	p.partialTotals[workspace] = total
 }
@@ -227,7 +227,7 @@
 	activeWindow = 8 * time.Second
 )
 
-// TellDue returns the peers to which this instance must send its totals at once, and marks the totals as sent.
+// TakeUrgentRecipients returns the peers to which this instance must send its totals at once, and marks the totals as sent.
 // These are the peers that admit for the same workspace, and from time to time all peers. A workspace's callers
 // reach only some of the instances, and sending to all peers each time would cost a large fleet more than all its
 // heartbeats. But instances that start to admit must first become known to the others and receive their totals; the
@@ -235,7 +235,7 @@
 //
 // In a large fleet heartbeats are sent only every few seconds. If a workspace sends many times its rate to all
 // instances, each would admit against the same tokens until the next heartbeat.
-func (l *Ledger) TellDue(now time.Time) (names []string) {
+func (l *Ledger) TakeUrgentRecipients(now time.Time) (names []string) {
 	for workspace, total := range l.own {
 		if l.isLow(workspace) && total-l.sentTotals[workspace] >= l.unsentLimit(now, workspace)*l.limits[workspace].Rate {
 			l.sentTotals = maps.Clone(l.own)
@@ -266,12 +266,12 @@
 	return names
 }
 
-// Own returns this instance's totals.
-func (l *Ledger) Own() Spent { return maps.Clone(l.own) }
+// OwnTotals returns this instance's totals.
+func (l *Ledger) OwnTotals() Totals { return maps.Clone(l.own) }
 
-// Since returns the totals that differ from those before.
-func (s Spent) Since(before Spent) Spent {
-	changed := Spent{}
+// ChangedSince returns the totals that differ from those before.
+func (s Totals) ChangedSince(before Totals) Totals {
+	changed := Totals{}
 	for workspace, total := range s {
 		if total != before[workspace] {
 			changed[workspace] = total
@@ -368,7 +368,7 @@
 }
 
 func (l *Ledger) isSilent(now time.Time, p *peer) bool {
-	return now.Sub(p.lastSeen) > max(l.SilentAfter, minPeerTimeout)
+	return now.Sub(p.lastSeen) > max(l.PeerTimeout, minPeerTimeout)
 }
 
 // deduct subtracts what was admitted elsewhere from the level.
@@ -385,7 +385,7 @@
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 		l.peers = make(map[string]*peer)
-		l.own = Spent{}
+		l.own = Totals{}
 		l.sentToAll = make(map[string]time.Time)
 	}
 }
--- a/internal/admission/quota/quota_test.go
+++ b/internal/admission/quota/quota_test.go
@@ -29,7 +29,7 @@
 	// none.
 	partialEvery time.Duration
 	lastPartial  time.Time
-	lastShared   map[string]quota.Spent
+	lastShared   map[string]quota.Totals
 	// heartbeatEvery is the heartbeat interval. If urgent is set, an instance sends its totals at once when its
 	// ledger requires it.
 	heartbeatEvery time.Duration
@@ -106,23 +106,23 @@
 			continue
 		}
 		incarnation := fmt.Sprint(from, f.starts[from])
-		f.ledgers[to].Hear(time.Now(), from, incarnation, f.ledgers[from].Own())
-		f.ledgers[from].Hear(time.Now(), to, fmt.Sprint(to, f.starts[to]), f.ledgers[to].Own())
+		f.ledgers[to].MergeTotals(time.Now(), from, incarnation, f.ledgers[from].OwnTotals())
+		f.ledgers[from].MergeTotals(time.Now(), to, fmt.Sprint(to, f.starts[to]), f.ledgers[to].OwnTotals())
 	}
 }
 
 // sendPartial delivers each instance's recently changed totals to all others.
 func (f *fleet) sendPartial() {
 	for _, from := range f.names {
-		own := f.ledgers[from].Own()
-		partial := own.Since(f.lastShared[from])
+		own := f.ledgers[from].OwnTotals()
+		partial := own.ChangedSince(f.lastShared[from])
 		f.lastShared[from] = own
 		if len(partial) == 0 {
 			continue
 		}
 		for _, to := range f.names {
 			if from != to {
-				f.ledgers[to].HearSome(time.Now(), from, fmt.Sprint(from, f.starts[from]), partial)
+				f.ledgers[to].MergePartialTotals(time.Now(), from, fmt.Sprint(from, f.starts[from]), partial)
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 	if ok {
 		f.admitted = append(f.admitted, admission{at: time.Now(), cost: cost})
 	}
-	if names := f.ledgers[name].TellDue(time.Now()); len(names) > 0 && f.urgent {
+	if names := f.ledgers[name].TakeUrgentRecipients(time.Now()); len(names) > 0 && f.urgent {
 		f.urgentUpdates++
 		f.send(name, names)
 	}
@@ -215,7 +215,7 @@
 		f.heartbeatEvery = 2 * time.Second
 		f.urgent = true
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.heartbeatEvery
+			ledger.PeerTimeout = 3 * f.heartbeatEvery
 		}
 		f.advance(3 * time.Second)
 		for i := range 200 {
@@ -244,9 +244,9 @@
 		f.heartbeatEvery = 4900 * time.Millisecond
 		f.urgent = true
 		f.partialEvery = time.Second
-		f.lastShared = make(map[string]quota.Spent)
+		f.lastShared = make(map[string]quota.Totals)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.heartbeatEvery
+			ledger.PeerTimeout = 3 * f.heartbeatEvery
 		}
 		f.advance(5 * time.Second)
 		for i := range 900 {
@@ -270,9 +270,9 @@
 		f := newFleet(quota.Limit{Rate: 200_000, Burst: 200_000}, 60)
 		f.heartbeatEvery = 4500 * time.Millisecond
 		f.partialEvery = time.Second
-		f.lastShared = make(map[string]quota.Spent)
+		f.lastShared = make(map[string]quota.Totals)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.heartbeatEvery
+			ledger.PeerTimeout = 3 * f.heartbeatEvery
 		}
 		f.advance(5 * time.Second)
 		f.setRate(0.5)
@@ -305,11 +305,11 @@
 		f.advance(time.Second) // a heartbeat
 		_, admitted := f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
-		is.Equal(len(f.ledgers["instance0"].TellDue(time.Now())), 39) // it has just begun to admit
+		is.Equal(len(f.ledgers["instance0"].TakeUrgentRecipients(time.Now())), 39) // it has just begun to admit
 		f.advance(2 * time.Second)
 		_, admitted = f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
-		is.Equal(f.ledgers["instance0"].TellDue(time.Now()), []string{"instance1"})
+		is.Equal(f.ledgers["instance0"].TakeUrgentRecipients(time.Now()), []string{"instance1"})
 	})
 }
 
@@ -375,7 +375,7 @@
 		is.True(!f.admit("instance0", 1000))
 		f.ledgers["instance0"].Refund(workspace, 1000)
 		is.True(f.admit("instance0", 1000))
-		is.Equal(f.ledgers["instance0"].Own()[workspace], 1000.0)
+		is.Equal(f.ledgers["instance0"].OwnTotals()[workspace], 1000.0)
 	})
 }
 
--- a/internal/admission/rate/borrowing.go
+++ b/internal/admission/rate/borrowing.go
@@ -21,10 +21,10 @@
 // ---------------------------------------------------------------------------------------------
 // Borrowing.
 
-// Plan returns the borrow requests for the tokens that the bucket lacks, starting with the peers that are likely to
+// PlanBorrowing returns the borrow requests for the tokens that the bucket lacks, starting with the peers that are likely to
 // have the most. It is empty if no tokens are missing or if all peers were recently found short. It handles a
 // skewed load balancer, where one instance gets nearly all requests of a workspace.
-func (l *Ledger) Plan(workspace string, tokens float64) []Ask {
+func (l *Ledger) PlanBorrowing(workspace string, tokens float64) []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	b, err := l.usableBucket(workspace)
@@ -39,20 +39,20 @@
 		}
 	}
 	l.rank(b, peers)
-	var requests []Ask
+	var requests []BorrowRequest
 	for _, peer := range peers[:min(len(peers), maxBorrowPeers)] {
-		requests = append(requests, Ask{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, Began: now})
+		requests = append(requests, BorrowRequest{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, PlannedAt: now})
 	}
 	return requests
 }
 
-// TopUps returns borrow requests that rebalance the buckets of the active workspaces: refill of a full bucket is
+// PlanRebalancing returns borrow requests that rebalance the buckets of the active workspaces: refill of a full bucket is
 // lost, even if another bucket has room for it or will soon need it. The daemon sends them about four times a
 // second, independent of any request.
-func (l *Ledger) TopUps() []Ask {
+func (l *Ledger) PlanRebalancing() []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var requests []Ask
+	var requests []BorrowRequest
 	now := time.Now()
 	for name, b := range l.buckets {
 		if _, err := l.usableBucket(name); err != nil || now.Sub(b.lastUsed) > activeWindow {
@@ -65,7 +65,7 @@
 		peers := l.peers()
 		l.rank(b, peers)
 		for _, peer := range peers[:min(len(peers), rebalancePeers)] {
-			requests = append(requests, Ask{Workspace: name, Peer: peer, Tokens: room / rebalancePeers, Spare: true, Began: now})
+			requests = append(requests, BorrowRequest{Workspace: name, Peer: peer, Tokens: room / rebalancePeers, SpareOnly: true, PlannedAt: now})
 		}
 	}
 	return requests
@@ -93,14 +93,14 @@
 	return max(b.level, 0)
 }
 
-// Give lends tokens to a peer: at most the bucket's level and this instance's own capacity. They are deducted
+// Lend lends tokens to a peer: at most the bucket's level and this instance's own capacity. They are deducted
 // before the response is sent, so that a lost response cannot make them count twice.
-func (l *Ledger) Give(workspace string, tokens float64, borrower Identity) Loan {
+func (l *Ledger) Lend(workspace string, tokens float64, borrower Identity) Loan {
 	return l.lendAtMost(workspace, borrower, func(*bucket) float64 { return tokens })
 }
 
-// GiveSpare answers a request for spare tokens: it lends only tokens for which the bucket will soon have no room.
-func (l *Ledger) GiveSpare(workspace string, tokens float64, borrower Identity) Loan {
+// LendSpare answers a request for spare tokens: it lends only tokens for which the bucket will soon have no room.
+func (l *Ledger) LendSpare(workspace string, tokens float64, borrower Identity) Loan {
 	return l.lendAtMost(workspace, borrower, func(b *bucket) float64 {
 		return min(tokens, b.level+b.reserved-spareLevel*b.own())
 	})
@@ -115,7 +115,7 @@
 	}
 	amount := min(maxAmount(b), b.level, b.own())
 	if amount <= epsilon {
-		return Loan{Lender: l.Self, Left: max(b.level, 0)}
+		return Loan{Lender: l.Self, LenderLevel: max(b.level, 0)}
 	}
 	l.lastLoan++
 	id := l.Self.Incarnation + "/" + strconv.FormatInt(l.lastLoan, 10)
@@ -126,13 +126,13 @@
 		until: time.Now().Add(loanLifetime + loanLifetime/clockMarginDivisor), revision: l.head.Revision,
 	})
 	b.updateTotals()
-	return Loan{ID: id, Lender: l.Self, Tokens: amount, Left: b.level}
+	return Loan{ID: id, Lender: l.Self, Tokens: amount, LenderLevel: b.level}
 }
 
-// Receive processes a peer's response to a borrow request. An empty loan also updates the estimate: that peer has
+// ReceiveLoan processes a peer's response to a borrow request. An empty loan also updates the estimate: that peer has
 // nothing. A loan that arrives too late to be used is returned, and so is a loan from a process that is no longer a
 // member: its share goes to the others.
-func (l *Ledger) Receive(request Ask, loan Loan) {
+func (l *Ledger) ReceiveLoan(request BorrowRequest, loan Loan) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	b, found := l.buckets[request.Workspace]
@@ -147,10 +147,10 @@
 	}
 	received := borrowedLoan{
 		id: loan.ID, lender: loan.Lender, amount: loan.Tokens,
-		useUntil: request.Began.Add(l.useWithin()), endsAt: request.Began.Add(l.loanLifetime()), revision: l.head.Revision,
+		useUntil: request.PlannedAt.Add(l.loanUseWindow()), endsAt: request.PlannedAt.Add(l.loanLifetime()), revision: l.head.Revision,
 	}
 	isMember := slices.Contains(l.head.Members, loan.Lender)
-	if !isMember || !now.Before(received.useUntil) || now.Sub(request.Began) < 0 {
+	if !isMember || !now.Before(received.useUntil) || now.Sub(request.PlannedAt) < 0 {
 		b.reject(received)
 		return
 	}
@@ -160,12 +160,12 @@
 	b.returnSurplus()
 }
 
-// Returns lists the pending returns for a peer. The daemon sends them with its next message to the peer, or shortly
+// PendingReturns lists the pending returns for a peer. The daemon sends them with its next message to the peer, or shortly
 // after, and acknowledges them once the peer has replied; until then they are listed again.
-func (l *Ledger) Returns(peer Identity) []Return {
+func (l *Ledger) PendingReturns(peer Identity) []LoanReturn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var list []Return
+	var list []LoanReturn
 	for _, b := range l.buckets {
 		l.advance(b)
 		for _, r := range b.pendingReturns[peer] {
@@ -175,8 +175,8 @@
 	return list
 }
 
-// Returned records that the peer has processed the returns.
-func (l *Ledger) Returned(peer Identity, returns []Return) {
+// AcknowledgeReturns records that the peer has processed the returns.
+func (l *Ledger) AcknowledgeReturns(peer Identity, returns []LoanReturn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range returns {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Release processes a borrower's returns of loans that this process lent.
-func (l *Ledger) Release(borrower Identity, returns []Return) {
+// ApplyReturns processes a borrower's returns of loans that this process lent.
+func (l *Ledger) ApplyReturns(borrower Identity, returns []LoanReturn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range returns {
@@ -223,9 +223,9 @@
 }
 
 // updateEstimate records a peer's level. An empty loan without a lender means that the peer could not be reached.
-func (b *bucket) updateEstimate(request Ask, loan Loan, now time.Time) {
-	after := estimate{level: loan.Left, at: now, shortAt: b.estimates[request.Peer].shortAt}
-	if loan.Tokens < request.Tokens-epsilon && !request.Spare {
+func (b *bucket) updateEstimate(request BorrowRequest, loan Loan, now time.Time) {
+	after := estimate{level: loan.LenderLevel, at: now, shortAt: b.estimates[request.Peer].shortAt}
+	if loan.Tokens < request.Tokens-epsilon && !request.SpareOnly {
 		after.shortAt = now
 	}
 	b.estimates[request.Peer] = after
--- a/internal/admission/rate/bucket.go
+++ b/internal/admission/rate/bucket.go
@@ -76,7 +76,7 @@
 	totals           loanTotals
 	drainRound       int
 	openReservations *list.List // of *Reservation, ordered by deadline
-	pendingReturns   map[Identity]map[string]Return
+	pendingReturns   map[Identity]map[string]LoanReturn
 	estimates        map[Identity]estimate
 }
 
@@ -85,7 +85,7 @@
 		workspace:        workspace,
 		refilledAt:       now,
 		openReservations: list.New(),
-		pendingReturns:   map[Identity]map[string]Return{},
+		pendingReturns:   map[Identity]map[string]LoanReturn{},
 		estimates:        map[Identity]estimate{},
 	}
 }
@@ -307,9 +307,9 @@
 	b.level -= unspent
 	l.unspent += unspent
 	if b.pendingReturns[l.lender] == nil {
-		b.pendingReturns[l.lender] = map[string]Return{}
+		b.pendingReturns[l.lender] = map[string]LoanReturn{}
 	}
-	b.pendingReturns[l.lender][l.id] = Return{
+	b.pendingReturns[l.lender][l.id] = LoanReturn{
 		Workspace: b.workspace, Loan: l.id, Remaining: l.amount, Unspent: l.unspent,
 	}
 }
@@ -317,13 +317,13 @@
 // reject returns a loan that was never used, both capacity and tokens.
 func (b *bucket) reject(l borrowedLoan) {
 	if b.pendingReturns[l.lender] == nil {
-		b.pendingReturns[l.lender] = map[string]Return{}
+		b.pendingReturns[l.lender] = map[string]LoanReturn{}
 	}
-	b.pendingReturns[l.lender][l.id] = Return{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
+	b.pendingReturns[l.lender][l.id] = LoanReturn{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
 }
 
 // applyReturn processes a borrower's return of a loan. What earlier returns reported is counted only once.
-func (b *bucket) applyReturn(borrower Identity, r Return) {
+func (b *bucket) applyReturn(borrower Identity, r LoanReturn) {
 	for i := range b.lent {
 		l := &b.lent[i]
 		if l.id != r.Loan || l.borrower != borrower {
--- a/internal/admission/rate/ledger.go
+++ b/internal/admission/rate/ledger.go
@@ -11,12 +11,12 @@
 type Ledger struct {
 	// Self identifies this process.
 	Self Identity
-	// Knowledge reports whether the installed head may be relied on.
-	Knowledge Knowledge
-	// UseWithin is how long borrowed tokens may back new reservations. It must be equal on all instances.
-	UseWithin time.Duration
-	// Longest is the maximum duration of a reservation. It must be equal on all instances.
-	Longest time.Duration
+	// Freshness reports whether the installed head may be relied on.
+	Freshness Freshness
+	// LoanUseWindow is how long borrowed tokens may back new reservations. It must be equal on all instances.
+	LoanUseWindow time.Duration
+	// MaxReservationTime is the maximum duration of a reservation. It must be equal on all instances.
+	MaxReservationTime time.Duration
 
 	mutex    sync.Mutex
 	head     Head
@@ -111,22 +111,22 @@
 	}
 	b.lastUsed = time.Now()
 	if burst := b.current().burst; tokens > burst {
-		return nil, &TooLargeError{Tokens: tokens, Burst: burst}
+		return nil, &ExceedsBurstError{Tokens: tokens, Burst: burst}
 	}
 	if missing := tokens - b.level; missing > epsilon {
-		return nil, l.shortError(b, missing)
+		return nil, l.insufficientTokens(b, missing)
 	}
 	b.level -= tokens
 	b.reserved += tokens
 	reservation = &Reservation{
-		ledger: l, bucket: b, remaining: tokens, deadline: time.Now().Add(l.longest()),
+		ledger: l, bucket: b, remaining: tokens, deadline: time.Now().Add(l.maxReservationTime()),
 		drainRound: b.drainRound, revision: l.head.Revision,
 	}
 	reservation.element = b.openReservations.PushBack(reservation)
 	return reservation, nil
 }
 
-func (l *Ledger) shortError(b *bucket, missing float64) *ShortError {
+func (l *Ledger) insufficientTokens(b *bucket, missing float64) *InsufficientTokensError {
 	fleetRate := b.rate()
 	elsewhere := 0.0
 	for _, peer := range l.peers() {
@@ -139,18 +139,18 @@
 	if fleetRate > 0 {
 		wait = time.Duration(max(missing-elsewhere, 0) / fleetRate * float64(time.Second))
 	}
-	return &ShortError{
+	return &InsufficientTokensError{
 		Missing: missing, RetryAfter: max(wait, time.Millisecond), WithinRate: elsewhere >= missing,
-		Level: b.level, Own: b.own(), Elsewhere: elsewhere, PendingShares: len(b.shares) - 1,
+		Level: b.level, OwnCapacity: b.own(), PeerTokens: elsewhere, PendingShares: len(b.shares) - 1,
 	}
 }
 
 // usableBucket returns a workspace's bucket, advanced to the current time, or a Refusal.
 func (l *Ledger) usableBucket(workspace string) (b *bucket, err error) {
-	if cause := l.Knowledge.Fresh(); cause != nil {
+	if cause := l.Freshness.Fresh(); cause != nil {
 		return nil, &StaleError{Cause: cause, RetryAfter: time.Second}
 	}
-	if revision, _ := l.Knowledge.FreshUntil(); revision > l.head.Revision {
+	if revision, _ := l.Freshness.FreshUntil(); revision > l.head.Revision {
 		return nil, &StaleError{Cause: errHeadNotInstalled, RetryAfter: time.Second}
 	}
 	b, found := l.buckets[workspace]
@@ -164,31 +164,31 @@
 // advance brings a bucket up to the current time.
 func (l *Ledger) advance(b *bucket) {
 	now := time.Now()
-	revision, until := l.Knowledge.FreshUntil()
+	revision, until := l.Freshness.FreshUntil()
 	if revision > l.head.Revision {
 		until = time.Time{}
 	}
 	b.advance(now, until)
-	b.retireShares(l.Knowledge.InForce(), l.settled, l.loanLifetime(), now)
+	b.retireShares(l.Freshness.InForce(), l.settled, l.loanLifetime(), now)
 	b.returnSurplus()
 }
 
-func (l *Ledger) useWithin() time.Duration {
-	if l.UseWithin > 0 {
-		return l.UseWithin
+func (l *Ledger) loanUseWindow() time.Duration {
+	if l.LoanUseWindow > 0 {
+		return l.LoanUseWindow
 	}
-	return UseWithin
+	return LoanUseWindow
 }
 
-func (l *Ledger) longest() time.Duration {
-	if l.Longest > 0 {
-		return l.Longest
+func (l *Ledger) maxReservationTime() time.Duration {
+	if l.MaxReservationTime > 0 {
+		return l.MaxReservationTime
 	}
-	return Longest
+	return MaxReservationTime
 }
 
 // loanLifetime returns the maximum lifetime of a loan: it may back new reservations for the use window, and each of
 // those ends within the maximum duration of a reservation.
 func (l *Ledger) loanLifetime() time.Duration {
-	return l.useWithin() + l.longest()
+	return l.loanUseWindow() + l.maxReservationTime()
 }
--- a/internal/admission/rate/rate.go
+++ b/internal/admission/rate/rate.go
@@ -27,13 +27,13 @@
 	"github.com/pkg/errors"
 )
 
-// UseWithin is how long borrowed tokens may back new reservations, counted from when they were requested, unless
+// LoanUseWindow is how long borrowed tokens may back new reservations, counted from when they were requested, unless
 // the Ledger sets its own value. It must cover one round of borrow requests.
-const UseWithin = 3 * time.Second
+const LoanUseWindow = 3 * time.Second
 
-// Longest is the maximum duration of a reservation unless the Ledger sets its own value. The daemon cancels a
+// MaxReservationTime is the maximum duration of a reservation unless the Ledger sets its own value. The daemon cancels a
 // request that runs longer, since its tokens are no longer accounted for.
-const Longest = 2 * time.Minute
+const MaxReservationTime = 2 * time.Minute
 
 // shortBackoff is how long no borrow request is sent to a peer that lent less than requested. Without it, each
 // refusal of a workspace at several times its rate would cost a message to every peer. It must be short: the peer
@@ -89,8 +89,8 @@
 	Limits   []Limit
 }
 
-// Knowledge reports whether the installed head may be relied on. *freshness.Tracker implements it.
-type Knowledge interface {
+// Freshness reports whether the installed head may be relied on. *freshness.Tracker implements it.
+type Freshness interface {
 	// Fresh returns nil while the instance may act on its head.
 	Fresh() error
 	// FreshUntil returns the installed revision and until when it may be used if nothing newer is confirmed.
@@ -102,26 +102,26 @@
 // Loan is what a lender lent: tokens with the capacity to hold them, an ID that is unique for the lender, and the
 // level that remains in the lender's bucket.
 type Loan struct {
-	ID     string
-	Lender Identity
-	Tokens float64
-	Left   float64
+	ID          string
+	Lender      Identity
+	Tokens      float64
+	LenderLevel float64
 }
 
-// Ask is one borrow request of a plan: the peer, the maximum number of tokens, and when the plan was made; a loan
+// BorrowRequest is one borrow request of a plan: the peer, the maximum number of tokens, and when the plan was made; a loan
 // that arrives much later is not used. A request for spare tokens gets only tokens for which the peer's bucket
 // will soon have no room.
-type Ask struct {
+type BorrowRequest struct {
 	Workspace string
 	Peer      Identity
 	Tokens    float64
-	Spare     bool
-	Began     time.Time
+	SpareOnly bool
+	PlannedAt time.Time
 }
 
-// Return reports to a lender how much of a loan the borrower may still spend, and how much of it in total came back
+// LoanReturn reports to a lender how much of a loan the borrower may still spend, and how much of it in total came back
 // unspent. Returns may be repeated and arrive in any order: the smallest Remaining and the largest Unspent count.
-type Return struct {
+type LoanReturn struct {
 	Workspace string
 	Loan      string
 	Remaining float64
@@ -136,25 +136,25 @@
 	sealed()
 }
 
-// TooLargeError refuses a request that costs more than the workspace's burst; it can never be admitted.
-type TooLargeError struct {
+// ExceedsBurstError refuses a request that costs more than the workspace's burst; it can never be admitted.
+type ExceedsBurstError struct {
 	Tokens float64
 	Burst  float64
 }
 
-// ShortError refuses a request for lack of tokens. Missing is how many tokens are missing; RetryAfter is when they
+// InsufficientTokensError refuses a request for lack of tokens. Missing is how many tokens are missing; RetryAfter is when they
 // will have accrued at the workspace's rate. WithinRate reports whether the fleet has the tokens, as far as this
 // instance can estimate; such a refusal is wrongful and is counted as one. The other fields are inputs of the
 // decision, for the log.
-type ShortError struct {
+type InsufficientTokensError struct {
 	Missing    float64
 	RetryAfter time.Duration
 	WithinRate bool
 
 	// The bucket's level, its capacity less what is lent, and the estimated tokens of the peers.
-	Level     float64
-	Own       float64
-	Elsewhere float64
+	Level       float64
+	OwnCapacity float64
+	PeerTokens  float64
 	// PendingShares is the number of shares of older heads that limit the bucket until the newest head is in force
 	// everywhere.
 	PendingShares int
@@ -171,11 +171,11 @@
 	RetryAfter time.Duration
 }
 
-func (e *TooLargeError) Error() string {
+func (e *ExceedsBurstError) Error() string {
 	return fmt.Sprintf("rate: %.0f tokens are more than the burst of %.0f", e.Tokens, e.Burst)
 }
 
-func (e *ShortError) Error() string {
+func (e *InsufficientTokensError) Error() string {
 	return fmt.Sprintf("rate: short of %.0f tokens, retry after %v", e.Missing, e.RetryAfter)
 }
 
@@ -187,10 +187,10 @@
 func (e *StaleError) Unwrap() error { return e.Cause }
 
 // Code returns CodeExceedsBurst.
-func (*TooLargeError) Code() string { return CodeExceedsBurst }
+func (*ExceedsBurstError) Code() string { return CodeExceedsBurst }
 
 // Code returns CodeRateLimited.
-func (*ShortError) Code() string { return CodeRateLimited }
+func (*InsufficientTokensError) Code() string { return CodeRateLimited }
 
 // Code returns CodeUnknownWorkspace.
 func (*UnknownWorkspaceError) Code() string { return CodeUnknownWorkspace }
@@ -198,9 +198,9 @@
 // Code returns CodeStale.
 func (*StaleError) Code() string { return CodeStale }
 
-func (*TooLargeError) sealed()         {}
-func (*ShortError) sealed()            {}
-func (*UnknownWorkspaceError) sealed() {}
-func (*StaleError) sealed()            {}
+func (*ExceedsBurstError) sealed()       {}
+func (*InsufficientTokensError) sealed() {}
+func (*UnknownWorkspaceError) sealed()   {}
+func (*StaleError) sealed()              {}
 
 var errHeadNotInstalled = errors.New("ledger has not installed the current head")
--- a/internal/admission/rate/simulation_test.go
+++ b/internal/admission/rate/simulation_test.go
@@ -81,7 +81,7 @@
 	n := &node{member: m, tracker: &freshness.Tracker{Self: self, Bound: bound}}
 	n.ledger = &rate.Ledger{
 		Self:      rate.Identity{Name: m.Name, Incarnation: m.Incarnation},
-		Knowledge: n.tracker, UseWithin: loanUseWindow, Longest: maxReservationTime,
+		Freshness: n.tracker, LoanUseWindow: loanUseWindow, MaxReservationTime: maxReservationTime,
 	}
 	w.nodes = append(w.nodes, n)
 	return n
@@ -280,37 +280,37 @@
 // borrow borrows as the daemon does: by the plan, until the missing tokens have arrived. The response of each peer
 // may be lost.
 func (w *simulation) borrow(n *node, tokens float64, lost func() bool) {
-	for _, request := range n.ledger.Plan(workspace, tokens) {
+	for _, request := range n.ledger.PlanBorrowing(workspace, tokens) {
 		peer := w.find(request.Peer)
 		if peer == nil || n.isolated || peer.isolated {
-			n.ledger.Receive(request, rate.Loan{Lender: request.Peer})
+			n.ledger.ReceiveLoan(request, rate.Loan{Lender: request.Peer})
 			continue
 		}
 		request.Tokens = min(request.Tokens, tokens-n.ledger.Available(workspace))
 		if request.Tokens <= 0 {
 			return
 		}
-		loan := peer.ledger.Give(workspace, request.Tokens, n.ledger.Self)
+		loan := peer.ledger.Lend(workspace, request.Tokens, n.ledger.Self)
 		if !lost() {
-			n.ledger.Receive(request, loan)
+			n.ledger.ReceiveLoan(request, loan)
 		}
 	}
 }
 
 // rebalance rebalances an instance's bucket.
 func (w *simulation) rebalance(n *node) {
-	for _, request := range n.ledger.TopUps() {
+	for _, request := range n.ledger.PlanRebalancing() {
 		if peer := w.find(request.Peer); peer != nil && !n.isolated && !peer.isolated {
-			n.ledger.Receive(request, peer.ledger.GiveSpare(workspace, request.Tokens, n.ledger.Self))
+			n.ledger.ReceiveLoan(request, peer.ledger.LendSpare(workspace, request.Tokens, n.ledger.Self))
 		}
 	}
 }
 
 // deliverReturns delivers the pending returns from one instance to another.
 func (w *simulation) deliverReturns(from, to *node) {
-	returns := from.ledger.Returns(to.ledger.Self)
-	to.ledger.Release(from.ledger.Self, returns)
-	from.ledger.Returned(to.ledger.Self, returns)
+	returns := from.ledger.PendingReturns(to.ledger.Self)
+	to.ledger.ApplyReturns(from.ledger.Self, returns)
+	from.ledger.AcknowledgeReturns(to.ledger.Self, returns)
 }
 
 func (w *simulation) find(id rate.Identity) *node {
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -77,7 +77,7 @@
 	d.sweeper = &repository.Sweeper{Repository: d.repository, Chosen: d.isBroker}
 	d.listing = &listing.Client{Address: platform.ListAddress}
 	d.tracker = &freshness.Tracker{Self: trackerMember(d.self), Bound: d.Settings.Freshness.Bound}
-	d.ledger = &rate.Ledger{Self: d.identity(), Knowledge: d.tracker}
+	d.ledger = &rate.Ledger{Self: d.identity(), Freshness: d.tracker}
 	d.claims = &claim.Registry{Store: d.store}
 	d.detector.detector = &membership.Detector{Self: d.self.Name}
 }
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -103,7 +103,7 @@
 	defer cancel()
 	lender := rate.Identity{Name: member.Name, Incarnation: member.Incarnation}
 	beat := d.beat(ctx)
-	beat.Returns = d.ledger.Returns(lender)
+	beat.Returns = d.ledger.PendingReturns(lender)
 	asked := time.Now()
 	answer, err := d.directory.Ping(ctx, member.Address, beat)
 	if err != nil {
@@ -113,7 +113,7 @@
 		return
 	}
 	if answer.Incarnation == member.Incarnation {
-		d.ledger.Returned(lender, beat.Returns)
+		d.ledger.AcknowledgeReturns(lender, beat.Returns)
 	}
 	d.tracker.Replied(freshness.Reply{
 		Member:       freshness.Member{Name: answer.Instance, Incarnation: answer.Incarnation},
--- a/internal/entry/daemon/knowledge.go
+++ b/internal/entry/daemon/knowledge.go
@@ -186,7 +186,7 @@
 			}
 		}
 		d.settlement.tell(d.identity(), d.settlement.toTell(d.ledger.OldestRevision()))
-		d.ledger.Settled(d.settlement.revision())
+		d.ledger.MarkSettled(d.settlement.revision())
 		if d.staleFor() > d.Settings.Limits.StaleStream {
 			d.pipeline.Running.EndAll()
 		}
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -24,7 +24,7 @@
 func (h handler) Beat(beat peer.Beat) peer.Beat {
 	d := h.daemon
 	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
-	d.ledger.Release(sender, beat.Returns)
+	d.ledger.ApplyReturns(sender, beat.Returns)
 	d.tracker.Told(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
 	d.learn(time.Now(), beat)
 	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
@@ -35,9 +35,9 @@
 // LendTokens lends what this instance's share has.
 func (h handler) LendTokens(request peer.TokenRequest) rate.Loan {
 	if request.Spare {
-		return h.daemon.ledger.GiveSpare(request.Workspace, request.Tokens, request.Borrower)
+		return h.daemon.ledger.LendSpare(request.Workspace, request.Tokens, request.Borrower)
 	}
-	return h.daemon.ledger.Give(request.Workspace, request.Tokens, request.Borrower)
+	return h.daemon.ledger.Lend(request.Workspace, request.Tokens, request.Borrower)
 }
 
 // Place waits for a place on an upstream held here.
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -92,7 +92,7 @@
 		repository: &repository.Repository{Store: kv, Writer: "i1/a"},
 		tracker:    &freshness.Tracker{Self: freshness.Member{Name: self.Name, Incarnation: self.Incarnation}},
 	}
-	f.ledger = &rate.Ledger{Self: self, Knowledge: f.tracker}
+	f.ledger = &rate.Ledger{Self: self, Freshness: f.tracker}
 	f.place = f.grant
 	f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome { return answer(sink) }
 	f.cancel = func() error { return nil }
--- a/internal/entry/pipeline/meter_charge_test.go
+++ b/internal/entry/pipeline/meter_charge_test.go
@@ -26,7 +26,7 @@
 		self := freshness.Member{Name: "i", Incarnation: "1", Since: 1}
 		identity := rate.Identity{Name: "i", Incarnation: "1"}
 		tracker := &freshness.Tracker{Self: self}
-		ledger := &rate.Ledger{Self: identity, Knowledge: tracker}
+		ledger := &rate.Ledger{Self: identity, Freshness: tracker}
 		members := []rate.Identity{identity}
 		install := func(head rate.Head) {
 			ledger.Install(head)
--- a/internal/entry/pipeline/meter_test.go
+++ b/internal/entry/pipeline/meter_test.go
@@ -33,7 +33,7 @@
 func reservationOf(t testing.TB, tokens float64, members int, settled bool) *rate.Reservation {
 	t.Helper()
 	tracker := &freshness.Tracker{Self: freshness.Member{Name: "i0", Incarnation: "1", Since: 1}, Bound: time.Hour}
-	ledger := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Knowledge: tracker}
+	ledger := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Freshness: tracker}
 	heads := freshness.Head{Revision: 1, Epoch: 1}
 	limits := rate.Head{Revision: 2, Since: 1, Limits: []rate.Limit{{Workspace: "w", Rate: 1e12, Burst: 1e12}}}
 	for i := range members {
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -129,10 +129,10 @@
 	case claim.InProgress:
 		return service.Answer{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
 			WithRetryAfter(d.RetryAfter)
-	case claim.RanUnknown:
+	case claim.OutcomeUnknown:
 		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
 			"a call with this idempotency key may have run; its outcome is not known")
-	case claim.DifferentBody:
+	case claim.BodyMismatch:
 		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
 			"this idempotency key was used for another call")
 	case claim.Refuse:
@@ -152,8 +152,8 @@
 		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
 			"the call ran; its answer was too large to be kept").WithRun(refusal.Ran)
 	}
-	answer := service.Answer{Status: d.Answer.Status, Body: d.Answer.Body, Header: map[string][]string{}}
-	answer.Header.Set("Content-Type", d.Answer.ContentType)
+	answer := service.Answer{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
+	answer.Header.Set("Content-Type", d.Response.ContentType)
 	answer.Header.Set("Idempotency-Replayed", "true")
 	return answer, nil
 }
@@ -172,7 +172,7 @@
 	switch o := p.Services.Do(context.WithoutCancel(ctx), address, call).(type) {
 	case service.Ran:
 		p.record(func(ctx context.Context) error {
-			return ticket.Ran(ctx, claim.Answer{
+			return ticket.Ran(ctx, claim.Response{
 				Status:      o.Answer.Status,
 				ContentType: o.Answer.Header.Get("Content-Type"),
 				Body:        o.Answer.Body,
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -73,7 +73,7 @@
 		})
 	}
 	for _, back := range wire.GetReturns() {
-		b.Returns = append(b.Returns, rate.Return{
+		b.Returns = append(b.Returns, rate.LoanReturn{
 			Workspace: back.GetWorkspace(),
 			Loan:      back.GetLoan(),
 			Remaining: back.GetRemaining(),
--- a/internal/fleet/peer/directory.go
+++ b/internal/fleet/peer/directory.go
@@ -61,10 +61,10 @@
 		return rate.Loan{}, err
 	}
 	return rate.Loan{
-		ID:     wire.GetLoan(),
-		Lender: rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
-		Tokens: wire.GetTokens(),
-		Left:   wire.GetLeft(),
+		ID:          wire.GetLoan(),
+		Lender:      rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
+		Tokens:      wire.GetTokens(),
+		LenderLevel: wire.GetLeft(),
 	}, nil
 }
 
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -144,8 +144,8 @@
 			Crashes:     count.Draw(t, "crashes"), Cleared: count.Draw(t, "cleared"),
 		}
 	})
-	returned = rapid.Custom(func(t *rapid.T) rate.Return {
-		return rate.Return{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
+	returned = rapid.Custom(func(t *rapid.T) rate.LoanReturn {
+		return rate.LoanReturn{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
 	})
 	beat = rapid.Custom(func(t *rapid.T) peer.Beat {
 		return peer.Beat{
@@ -223,7 +223,7 @@
 	same("Ping", err, sentBeat, handler.beat, gotBeat)
 
 	tokens := peer.TokenRequest{Workspace: name.Draw(t, "workspace"), Tokens: amount.Draw(t, "tokens"), Borrower: identity.Draw(t, "borrower"), Spare: rapid.Bool().Draw(t, "spare")}
-	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), Left: amount.Draw(t, "left")}
+	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), LenderLevel: amount.Draw(t, "left")}
 	loan, err := directory.AskTokens(ctx, address, tokens)
 	same("AskTokens", err, tokens, handler.loan, loan)
 
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -253,7 +253,7 @@
 			retryAfter, admitted = a.Ledger.Admit(now, j.workspace.Name, j.cost)
 		}
 		if admitted {
-			shareSpent = len(a.Ledger.TellDue(now)) > 0
+			shareSpent = len(a.Ledger.TakeUrgentRecipients(now)) > 0
 		}
 	})
 	if shareSpent {
--- a/internal/measure/capacity/series.go
+++ b/internal/measure/capacity/series.go
@@ -132,7 +132,7 @@
 func (known) InForce() int64                 { return 1 }
 
 func ledger(size Size) *rate.Ledger {
-	l := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Knowledge: known{}}
+	l := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Freshness: known{}}
 	h := rate.Head{Revision: 1, Since: 0}
 	for i := range size.Instances {
 		h.Members = append(h.Members, rate.Identity{Name: fmt.Sprint("i", i), Incarnation: "1"})
