--- a/internal/admission/claim/claim.go
+++ b/internal/admission/claim/claim.go
@@ -38,7 +38,7 @@
 	ErrNotDispatched = errors.New("claim: outcome given for a call that was not dispatched")
 )
 
-// Response is an upstream's response, stored for replay.
+// Response is an upstream's response as stored for replay.
 type Response struct {
 	Status      int
 	ContentType string
--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -25,7 +25,7 @@
 	Burst float64
 }
 
-// Totals is the total that an instance has admitted for each workspace since it started.
+// Totals are the costs that an instance has admitted in total for each workspace since it started.
 type Totals map[string]float64
 
 // Ledger is one instance's estimate of all buckets. Set Self before use. It is not safe for concurrent use.
@@ -111,8 +111,8 @@
 	l.peers = peers
 }
 
-// MergeTotals merges a peer's totals. The share that was reserved for the peer while it was silent is replaced by what it
-// really admitted.
+// MergeTotals merges a peer's totals. The share that was reserved for the peer while it was silent is replaced by
+// what it really admitted.
 func (l *Ledger) MergeTotals(now time.Time, name, incarnation string, totals Totals) {
 	l.initialize()
 	p := l.peers[name]
@@ -227,11 +227,11 @@
 	activeWindow = 8 * time.Second
 )
 
-// TakeUrgentRecipients returns the peers to which this instance must send its totals at once, and marks the totals as sent.
-// These are the peers that admit for the same workspace, and from time to time all peers. A workspace's callers
-// reach only some of the instances, and sending to all peers each time would cost a large fleet more than all its
-// heartbeats. But instances that start to admit must first become known to the others and receive their totals; the
-// replies to an update to all do that.
+// TakeUrgentRecipients returns the peers to which this instance must send its totals at once, and marks the totals
+// as sent. These are the peers that admit for the same workspace, and from time to time all peers. A workspace's
+// callers reach only some of the instances, and sending to all peers each time would cost a large fleet more than
+// all its heartbeats. But instances that start to admit must first become known to the others and receive their
+// totals; the replies to an update to all do that.
 //
 // In a large fleet heartbeats are sent only every few seconds. If a workspace sends many times its rate to all
 // instances, each would admit against the same tokens until the next heartbeat.
--- a/internal/admission/rate/borrowing.go
+++ b/internal/admission/rate/borrowing.go
@@ -21,9 +21,9 @@
 // ---------------------------------------------------------------------------------------------
 // Borrowing.
 
-// PlanBorrowing returns the borrow requests for the tokens that the bucket lacks, starting with the peers that are likely to
-// have the most. It is empty if no tokens are missing or if all peers were recently found short. It handles a
-// skewed load balancer, where one instance gets nearly all requests of a workspace.
+// PlanBorrowing returns the borrow requests for the tokens that the bucket lacks, starting with the peers that are
+// likely to have the most. It is empty if no tokens are missing or if all peers were recently found short. It
+// handles a skewed load balancer, where one instance gets nearly all requests of a workspace.
 func (l *Ledger) PlanBorrowing(workspace string, tokens float64) []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -46,9 +46,9 @@
 	return requests
 }
 
-// PlanRebalancing returns borrow requests that rebalance the buckets of the active workspaces: refill of a full bucket is
-// lost, even if another bucket has room for it or will soon need it. The daemon sends them about four times a
-// second, independent of any request.
+// PlanRebalancing returns borrow requests that rebalance the buckets of the active workspaces: refill of a full
+// bucket is lost, even if another bucket has room for it or will soon need it. The daemon sends them about four
+// times a second, independent of any request.
 func (l *Ledger) PlanRebalancing() []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -65,7 +65,8 @@
 		peers := l.peers()
 		l.rank(b, peers)
 		for _, peer := range peers[:min(len(peers), rebalancePeers)] {
-			requests = append(requests, BorrowRequest{Workspace: name, Peer: peer, Tokens: room / rebalancePeers, SpareOnly: true, PlannedAt: now})
+			requests = append(requests,
+				BorrowRequest{Workspace: name, Peer: peer, Tokens: room / rebalancePeers, SpareOnly: true, PlannedAt: now})
 		}
 	}
 	return requests
@@ -147,7 +148,8 @@
 	}
 	received := borrowedLoan{
 		id: loan.ID, lender: loan.Lender, amount: loan.Tokens,
-		useUntil: request.PlannedAt.Add(l.loanUseWindow()), endsAt: request.PlannedAt.Add(l.loanLifetime()), revision: l.head.Revision,
+		useUntil: request.PlannedAt.Add(l.loanUseWindow()), endsAt: request.PlannedAt.Add(l.loanLifetime()),
+		revision: l.head.Revision,
 	}
 	isMember := slices.Contains(l.head.Members, loan.Lender)
 	if !isMember || !now.Before(received.useUntil) || now.Sub(request.PlannedAt) < 0 {
@@ -160,8 +162,8 @@
 	b.returnSurplus()
 }
 
-// PendingReturns lists the pending returns for a peer. The daemon sends them with its next message to the peer, or shortly
-// after, and acknowledges them once the peer has replied; until then they are listed again.
+// PendingReturns lists the pending returns for a peer. The daemon sends them with its next message to the peer, or
+// shortly after, and acknowledges them once the peer has replied; until then they are listed again.
 func (l *Ledger) PendingReturns(peer Identity) []LoanReturn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/admission/rate/rate.go
+++ b/internal/admission/rate/rate.go
@@ -31,8 +31,8 @@
 // the Ledger sets its own value. It must cover one round of borrow requests.
 const LoanUseWindow = 3 * time.Second
 
-// MaxReservationTime is the maximum duration of a reservation unless the Ledger sets its own value. The daemon cancels a
-// request that runs longer, since its tokens are no longer accounted for.
+// MaxReservationTime is the maximum duration of a reservation unless the Ledger sets its own value. The daemon
+// cancels a request that runs longer, since its tokens are no longer accounted for.
 const MaxReservationTime = 2 * time.Minute
 
 // shortBackoff is how long no borrow request is sent to a peer that lent less than requested. Without it, each
@@ -108,9 +108,9 @@
 	LenderLevel float64
 }
 
-// BorrowRequest is one borrow request of a plan: the peer, the maximum number of tokens, and when the plan was made; a loan
-// that arrives much later is not used. A request for spare tokens gets only tokens for which the peer's bucket
-// will soon have no room.
+// BorrowRequest is one request of a plan to borrow: the peer, the maximum number of tokens, and when the plan was
+// made; a loan that arrives much later is not used. A request for spare tokens gets only tokens for which the
+// peer's bucket will soon have no room.
 type BorrowRequest struct {
 	Workspace string
 	Peer      Identity
@@ -142,10 +142,10 @@
 	Burst  float64
 }
 
-// InsufficientTokensError refuses a request for lack of tokens. Missing is how many tokens are missing; RetryAfter is when they
-// will have accrued at the workspace's rate. WithinRate reports whether the fleet has the tokens, as far as this
-// instance can estimate; such a refusal is wrongful and is counted as one. The other fields are inputs of the
-// decision, for the log.
+// InsufficientTokensError refuses a request for lack of tokens. Missing is how many tokens are missing; RetryAfter
+// is when they will have accrued at the workspace's rate. WithinRate reports whether the fleet has the tokens, as
+// far as this instance can estimate; such a refusal is wrongful and is counted as one. The other fields are inputs
+// of the decision, for the log.
 type InsufficientTokensError struct {
 	Missing    float64
 	RetryAfter time.Duration
