--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -22,35 +22,35 @@
 	return string(found.Value)
 }
 
-// A peer's answer was under way while the store's own watch brought a newer value. If the late one were
-// taken over, the instance would go back to a configuration that it had already left.
+// A peer's answer is in flight while the store's watch delivers a newer value. If the late answer were applied, the
+// instance would return to an older configuration.
 func TestOlderValueIsDropped(t *testing.T) {
 	is := is.New(t)
 	var r replica.Replica
-	_, joined := r.Merge(replica.Batch{Snapshot: true, Through: 10, Items: []replica.Item{item("a", "old", 5)}})
-	is.True(joined)
-	_, joined = r.Merge(replica.Batch{After: 10, Through: 12, Items: []replica.Item{item("a", "new", 12)}})
-	is.True(joined)
-	changed, joined := r.Merge(replica.Batch{After: 8, Through: 11, Items: []replica.Item{item("a", "late", 11)}})
-	is.True(joined)
+	_, contiguous := r.Merge(replica.Batch{Snapshot: true, Through: 10, Items: []replica.Item{item("a", "old", 5)}})
+	is.True(contiguous)
+	_, contiguous = r.Merge(replica.Batch{After: 10, Through: 12, Items: []replica.Item{item("a", "new", 12)}})
+	is.True(contiguous)
+	changed, contiguous := r.Merge(replica.Batch{After: 8, Through: 11, Items: []replica.Item{item("a", "late", 11)}})
+	is.True(contiguous)
 	is.Equal(len(changed), 0)
 	is.Equal(value(&r, "a"), "new")
 	is.Equal(r.Revision(), int64(12))
 }
 
-// An instance missed changes and then hears of later ones. If it joined them, a revoked key in the gap
-// would work for ever; it has to ask for the whole.
-func TestGapIsNotJoined(t *testing.T) {
+// An instance missed changes and then receives later ones. If it merged them, a key revoked in the gap would work
+// forever; it has to request a snapshot.
+func TestBatchAfterAGapIsNotMerged(t *testing.T) {
 	is := is.New(t)
 	var r replica.Replica
 	r.Merge(replica.Batch{Snapshot: true, Through: 10})
-	_, joined := r.Merge(replica.Batch{After: 11, Through: 13, Items: []replica.Item{item("a", "x", 13)}})
-	is.True(!joined)
+	_, contiguous := r.Merge(replica.Batch{After: 11, Through: 13, Items: []replica.Item{item("a", "x", 13)}})
+	is.True(!contiguous)
 	is.Equal(r.Revision(), int64(10))
 }
 
-// The store forgot its history, and a key was removed in the part that is gone. The snapshot that follows
-// lacks the key, and an upstream that left must not be used for lack of a word that it did.
+// The store compacted its history, and with it the removal of a key. The snapshot that follows lacks the key, so the
+// replica must remove it: otherwise an upstream that left would still be used.
 func TestSnapshotRemovesWhatItLacks(t *testing.T) {
 	is := is.New(t)
 	var r replica.Replica
@@ -61,24 +61,25 @@
 	is.Equal(value(&r, "kept"), "y")
 	is.Equal(value(&r, "new"), "z")
 	changed, _ = r.Merge(replica.Batch{Snapshot: true, Through: 12, Items: []replica.Item{item("kept", "y", 4)}})
-	is.Equal(len(changed), 0) // a late one takes nothing back
+	is.Equal(len(changed), 0) // a late snapshot reverts nothing
 	is.Equal(value(&r, "new"), "z")
 }
 
-// An instance starts with a snapshot, in which a removed key is simply missing. A peer's answer that was
-// asked for before then brings the key's last value; the upstream that left would be used again.
+// An instance starts with a snapshot, in which a removed key is missing. A peer's answer to an earlier request then
+// contains the key's last value. If it were applied, the upstream that left would be used again.
 func TestLateAnswerDoesNotBringARemovedKeyBack(t *testing.T) {
 	is := is.New(t)
 	var r replica.Replica
 	r.Merge(replica.Batch{Snapshot: true, Through: 3})
-	_, joined := r.Merge(replica.Batch{After: 0, Through: 1, Items: []replica.Item{item("a", "x", 1)}})
-	is.True(joined)
+	_, contiguous := r.Merge(replica.Batch{After: 0, Through: 1, Items: []replica.Item{item("a", "x", 1)}})
+	is.True(contiguous)
 	is.Equal(value(&r, "a"), "")
 }
 
-// A key comes and goes while an instance is away, and the snapshot by which it returns does not show it. A
-// peer that saw the key come must not be told "nothing has changed" by that instance, or it keeps the key.
-func TestAfterASnapshotOlderPeersGetOne(t *testing.T) {
+// A key is set and removed while an instance is disconnected, and the snapshot with which it catches up does not show
+// it. A peer that saw the key set must get a snapshot from that instance: with an empty list of changes it would keep
+// the key.
+func TestPeerBehindASnapshotGetsASnapshot(t *testing.T) {
 	is := is.New(t)
 	var returned, peer replica.Replica
 	returned.Merge(replica.Batch{Snapshot: true, Through: 1})
@@ -90,9 +91,9 @@
 	is.Equal(peer.Revision(), int64(4))
 }
 
-// Many keys were removed since a peer was last in touch, more than are remembered. It gets a snapshot, not
-// a list of changes that leaves removals out.
-func TestFarBehindGetsSnapshot(t *testing.T) {
+// More keys were removed since a peer's last update than there are tombstones. It gets a snapshot, not a list of changes
+// that lacks removals.
+func TestReplicaFarBehindGetsASnapshot(t *testing.T) {
 	is := is.New(t)
 	var ahead, behind replica.Replica
 	start := replica.Batch{Snapshot: true, Through: 1, Items: []replica.Item{item("first", "x", 1)}}
@@ -109,13 +110,13 @@
 	batch := ahead.Since(behind.Revision())
 	is.True(batch.Snapshot)
 	is.Equal(len(batch.Items), 1)
-	_, joined := behind.Merge(batch)
-	is.True(joined)
+	_, contiguous := behind.Merge(batch)
+	is.True(contiguous)
 	is.Equal(behind.Revision(), ahead.Revision())
 }
 
-// Instances hear of changes from the store and from each other in any order, twice, or not at all. Whatever
-// they hear, no key goes back, and who has heard up to a revision has every change up to it.
+// Replicas get changes from the store and from each other in any order, twice, or not at all. No key ever returns to an
+// older revision, and a replica at a revision has every change up to it.
 func TestAnyOrderEndsInTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := []string{"a", "b", "c"}
@@ -172,7 +173,7 @@
 			changed, _ := r.Merge(batch)
 			for _, one := range changed {
 				if one.Revision <= seen[i][one.Key] {
-					t.Fatalf("key %s went back from %d to %d", one.Key, seen[i][one.Key], one.Revision)
+					t.Fatalf("key %s returned from revision %d to %d", one.Key, seen[i][one.Key], one.Revision)
 				}
 				seen[i][one.Key] = one.Revision
 			}
@@ -182,7 +183,7 @@
 					continue // a later change is known already
 				}
 				if found == want.Removed && !(found && got.Revision > want.Revision) {
-					t.Fatalf("at %d key %s: found %v, want removed %v", r.Revision(), key, found, want.Removed)
+					t.Fatalf("at revision %d, key %s: found %v, want removed %v", r.Revision(), key, found, want.Removed)
 				}
 			}
 		}
