--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -7,43 +7,42 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// SilentFor is how long a member must not have been heard before it is removed when a Detector states
-// nothing: several times its Bound, since removing a member that only paused moves its duties twice. No
-// measured reason yet.
+// SilentFor is the default of Detector.SilentFor. It is several times the freshness Bound, since removing a member that
+// only paused moves its duties twice.
 const SilentFor = 10 * time.Second
 
-// removers is how many members try to remove a dead one: the first may be dead too.
-const removers = 2
+// maxRemovers is how many members try to remove a failed one: the first may have failed too.
+const maxRemovers = 2
 
-// Event is what a Detector is told. It is sealed: Heard, Installed and Tick are all there are.
+// Event is an input of a Detector. It is sealed: Heard, Installed and Tick are the only events.
 type Event interface {
 	sealedEvent()
 }
 
-// Heard says: a process answered a heartbeat.
+// Heard reports that a process answered a heartbeat.
 type Heard struct {
 	Name        string
 	Incarnation string
 }
 
-// Installed says: a head is in force in this process.
+// Installed reports that a head is in force in this process.
 type Installed struct {
 	Head head.Head
 }
 
-// Tick says: time has passed. The daemon sends one about each second.
+// Tick reports that time has passed. The daemon sends one about every second.
 type Tick struct{}
 
 func (Heard) sealedEvent()     {}
 func (Installed) sealedEvent() {}
 func (Tick) sealedEvent()      {}
 
-// Action is what a Detector wants done. It is sealed: Remove is the only one.
+// Action is a decision of a Detector, carried out by the daemon. It is sealed: Remove is the only one.
 type Action interface {
 	sealedAction()
 }
 
-// Remove says: take a member out of the head, with Expel.
+// Remove requests that a member be removed from the head with Expel.
 type Remove struct {
 	Name        string
 	Incarnation string
@@ -51,89 +50,88 @@
 
 func (Remove) sealedAction() {}
 
-// Detector finds members that have died. A dead member's share of rates and its upstreams lie idle
-// until it is removed; its workspaces are refused within their rate. Set the exported fields before
-// the first event; a Detector belongs to one goroutine.
+// Detector detects failed members. Until a failed member is removed, its share of the rates and its upstreams are
+// unused, and workspaces are refused though they are within their rate. Set the exported fields before the first event.
+// A Detector is not safe for concurrent use.
 type Detector struct {
 	// Self is the name of this process.
 	Self string
-	// SilentFor is how long a member must not have been heard.
+	// SilentFor is how long a member must not have answered a heartbeat before it is removed.
 	SilentFor time.Duration
 
-	head  head.Head
-	heard map[string]sighting
+	head         head.Head
+	lastContacts map[string]lastContact
 }
 
-// sighting is when a member was last heard, or first listed.
-type sighting struct {
+// lastContact is when a member last answered a heartbeat, or was first listed.
+type lastContact struct {
 	incarnation string
 	at          time.Time
 }
 
-// Handle takes in an event and returns what to do, one removal at the most: changes of members wait
-// for each other anyway.
+// Handle processes an event and returns one removal at most: members change one at a time anyway.
 func (d *Detector) Handle(event Event) []Action {
 	switch event := event.(type) {
 	case Heard:
-		d.hear(event)
+		d.recordContact(event)
 	case Installed:
-		d.install(event.Head)
+		d.installHead(event.Head)
 	case Tick:
-		return d.tick()
+		return d.findFailed()
 	}
 	return nil
 }
 
-func (d *Detector) hear(event Heard) {
+func (d *Detector) recordContact(event Heard) {
 	if listed, found := d.head.Member(event.Name); found && listed.Incarnation == event.Incarnation {
-		d.heard[event.Name] = sighting{incarnation: event.Incarnation, at: time.Now()}
+		d.lastContacts[event.Name] = lastContact{incarnation: event.Incarnation, at: time.Now()}
 	}
 }
 
-// install starts the time of new members; a member of the same name but another incarnation is new.
-func (d *Detector) install(h head.Head) {
-	kept := map[string]sighting{}
+// installHead starts the timeout of new members; a member of the same name but another incarnation is new.
+func (d *Detector) installHead(h head.Head) {
+	kept := map[string]lastContact{}
 	for _, m := range h.Members {
-		known, found := d.heard[m.Name]
+		known, found := d.lastContacts[m.Name]
 		if !found || known.incarnation != m.Incarnation {
-			known = sighting{incarnation: m.Incarnation, at: time.Now()}
+			known = lastContact{incarnation: m.Incarnation, at: time.Now()}
 		}
 		kept[m.Name] = known
 	}
-	d.head, d.heard = h, kept
+	d.head, d.lastContacts = h, kept
 }
 
-func (d *Detector) tick() []Action {
-	alive, dead := d.sort()
-	if len(dead) == 0 || len(alive) <= len(d.head.Members)/2 {
-		// An instance that hears no majority is more likely cut off itself than alone alive. It must not
-		// remove the others one after the other.
+func (d *Detector) findFailed() []Action {
+	alive, failed := d.partition()
+	if len(failed) == 0 || len(alive) <= len(d.head.Members)/2 {
+		// An instance without answers from a majority is more likely partitioned than the only one alive. It must
+		// not remove the others one after the other.
 		return nil
 	}
-	victim := dead[0]
-	ranked := rank("remove/"+victim.Name, alive)
-	own := slices.IndexFunc(ranked, func(m head.Member) bool { return m.Name == d.Self })
-	if own < 0 || own >= removers {
+	target := failed[0]
+	sorted := sortByScore("remove/"+target.Name, alive)
+	own := slices.IndexFunc(sorted, func(m head.Member) bool { return m.Name == d.Self })
+	if own < 0 || own >= maxRemovers {
 		return nil
 	}
-	return []Action{Remove{Name: victim.Name, Incarnation: victim.Incarnation}}
+	return []Action{Remove{Name: target.Name, Incarnation: target.Incarnation}}
 }
 
-// sort divides the members into those heard lately, this process among them, and the silent ones,
-// longest silent first.
-func (d *Detector) sort() (alive, dead []head.Member) {
+// partition divides the members into live ones, this process among them, and failed ones, the one that has not answered
+// for longest first.
+func (d *Detector) partition() (alive, failed []head.Member) {
 	now := time.Now()
 	for _, m := range d.head.Members {
-		if m.Name == d.Self || now.Sub(d.heard[m.Name].at) < d.silentFor() {
+		if m.Name == d.Self || now.Sub(d.lastContacts[m.Name].at) < d.silentFor() {
 			alive = append(alive, m)
 			continue
 		}
-		dead = append(dead, m)
+		failed = append(failed, m)
 	}
-	slices.SortStableFunc(dead, func(a, b head.Member) int {
-		return d.heard[a.Name].at.Compare(d.heard[b.Name].at)
+	slices.SortStableFunc(failed, func(a, b head.Member) int {
+		return d.lastContacts[a.Name].at.Compare(d.lastContacts[b.Name].at)
 	})
-	return alive, dead
+	return alive, failed
 }
 
 func (d *Detector) silentFor() time.Duration {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,13 +1,12 @@
-// Package membership decides who is a member of the fleet and which member has which duty, on values of
-// the head alone. The daemon reads the head, asks for the next one here and swaps it in the store.
+// Package membership decides who is a member of the fleet and which member has which duty, as pure functions of the
+// head. The daemon reads the head, computes the next one here and swaps it in the store.
 //
-// Members change one at a time, and each change waits until the one before it is in force everywhere.
-// While the store is down, instances stay fresh by hearing from a majority of the members of their head
-// (package freshness). Two heads that differ by one member have no two majorities without a member in
-// common; heads that differ by more may, and then a group of instances cut off with an old head would
-// go on serving what a newer head, in force for all others, had withdrawn. Weighed and left: asking for
-// a majority of every list since the last one in force, which a process that has just started cannot
-// know.
+// Members change one at a time, and each change waits until the previous one is in force everywhere. While the store is
+// down, instances stay fresh by answers from a majority of the members of their head (package freshness). Any two
+// majorities of two heads that differ by one member have a member in common. With heads that differ by more they need
+// not: a group of instances partitioned with an old head would go on serving what a newer head, in force for all
+// others, had withdrawn. The alternative, requiring a majority of every member list since the last one in force, was
+// rejected: a process that has just started cannot know these lists.
 package membership
 
 import (
@@ -19,38 +18,37 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// Step tells what a changed head does.
+// Step is the kind of change that the next head makes.
 type Step int
 
-// The steps. A process that takes the place of one of the same name needs two: the old one is removed
-// and, when that is in force everywhere, the new one added.
+// The steps. Replacing a process by another of the same name takes two: the old one is removed and, once that is in
+// force everywhere, the new one is added.
 const (
 	StepNone Step = iota
 	StepAdd
 	StepRemove
 )
 
-// UnsettledError says that the last change of members or upstreams is not in force everywhere, so that the next
-// has to wait.
+// UnsettledError reports that the last change of members or upstreams is not in force everywhere yet, so that the next
+// change has to wait.
 type UnsettledError struct {
 	Epoch   int64
 	InForce int64
 }
 
-// Error tells what is waited for.
+// Error names the epoch that is waited for.
 func (e *UnsettledError) Error() string {
-	return fmt.Sprintf("membership: epoch %d is not in force everywhere, only revision %d is", e.Epoch, e.InForce)
+	return fmt.Sprintf("membership: epoch %d is not in force everywhere yet, only revision %d is", e.Epoch, e.InForce)
 }
 
-// Join returns the head that brings a process one step nearer to being a member; StepNone when it is
-// one. InForce is the highest revision known to be in force everywhere. The head's revision is raised
-// by its WithSwap.
+// Join returns the head after the next step towards making a process a member; StepNone if it is one already. inForce
+// is the highest revision known to be in force everywhere. The caller raises the head's revision with WithSwap.
 func Join(h head.Head, member head.Member, inForce int64) (next head.Head, step Step, err error) {
 	listed, found := h.Member(member.Name)
 	if found && listed.Incarnation == member.Incarnation && listed.Address == member.Address {
 		return h, StepNone, nil
 	}
-	if err := settled(h, inForce); err != nil {
+	if err := checkSettled(h, inForce); err != nil {
 		return h, StepNone, err
 	}
 	if found {
@@ -59,32 +57,31 @@
 	return h.WithMember(member), StepAdd, nil
 }
 
-// Leave returns the head without a process that ends by itself; StepNone when it is no member.
+// Leave returns the head without a process that leaves by itself; StepNone if it is no member.
 func Leave(h head.Head, name, incarnation string, inForce int64) (next head.Head, step Step, err error) {
 	listed, found := h.Member(name)
 	if !found || listed.Incarnation != incarnation {
 		return h, StepNone, nil
 	}
-	if err := settled(h, inForce); err != nil {
+	if err := checkSettled(h, inForce); err != nil {
 		return h, StepNone, err
 	}
 	return h.WithoutMember(name), StepRemove, nil
 }
 
-// Expel returns the head without a process that was found dead. By is the name of the process that
-// found it, which must be a member itself, also in the head as it is now: the last member of all can only
-// leave by itself. Alone it is the majority of its head, and would stay fresh for ever if it was cut off
-// and not dead.
-func Expel(h head.Head, by, name, incarnation string, inForce int64) (next head.Head, step Step, err error) {
-	if _, found := h.Member(by); !found || by == name {
+// Expel returns the head without a process that was detected as failed. remover is the name of the process that
+// detected it and must be another member of the current head. So the last member can only leave by itself: alone it is
+// the majority of its head, and would stay fresh forever if it was partitioned and had not failed.
+func Expel(h head.Head, remover, name, incarnation string, inForce int64) (next head.Head, step Step, err error) {
+	if _, found := h.Member(remover); !found || remover == name {
 		return h, StepNone, nil
 	}
 	return Leave(h, name, incarnation, inForce)
 }
 
-// settled refuses while the last change is not in force. With no members nobody can be fresh: the last
-// to leave left by itself.
-func settled(h head.Head, inForce int64) error {
+// checkSettled returns an UnsettledError while the last change is not in force. Without members no instance can be
+// fresh, since the last member left by itself.
+func checkSettled(h head.Head, inForce int64) error {
 	if len(h.Members) == 0 || h.Epoch <= inForce {
 		return nil
 	}
@@ -92,46 +89,46 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// Duties, spread by rendezvous hashing: a change of one member moves only the duties that it had or
-// gets. Names are hashed and not incarnations, so that a restarted member gets back what it had.
+// Duties are assigned by rendezvous hashing: a change of one member moves only the duties that it had or gets. Names
+// are hashed and not incarnations, so that a restarted member gets back the duties that it had.
 
-// Holder returns the member that holds an upstream: one of the upstream's data centre while there is
-// any, so that orders and grants stay within it.
+// Holder returns the member that holds an upstream. It is in the upstream's data centre if any member is, so that
+// orders and grants stay within the data centre.
 func Holder(h head.Head, upstream, dataCentre string) (holder head.Member, found bool) {
-	near := slices.DeleteFunc(slices.Clone(h.Members), func(m head.Member) bool {
+	local := slices.DeleteFunc(slices.Clone(h.Members), func(m head.Member) bool {
 		return m.DataCentre != dataCentre
 	})
-	if len(near) == 0 {
-		near = h.Members
+	if len(local) == 0 {
+		local = h.Members
 	}
-	return highest("holder/"+upstream, near)
+	return first("holder/"+upstream, local)
 }
 
-// Broker returns the member that gives out the fleet's loads from the weight store.
+// Broker returns the member that grants the fleet's loads from the weight store.
 func Broker(h head.Head) (broker head.Member, found bool) {
-	return highest("broker", h.Members)
+	return first("broker", h.Members)
 }
 
-// Among tells whether a member is one of the few that have a duty which more than one should have, but
-// not all, since its cost would grow with the fleet.
+// Among reports whether a member is one of the count members that have a duty. It is for duties that more than one member
+// should have, but not all, since the cost would grow with the fleet.
 func Among(h head.Head, duty, name string, count int) bool {
-	ranked := rank(duty, h.Members)
-	own := slices.IndexFunc(ranked, func(m head.Member) bool { return m.Name == name })
+	sorted := sortByScore(duty, h.Members)
+	own := slices.IndexFunc(sorted, func(m head.Member) bool { return m.Name == name })
 	return own >= 0 && own < count
 }
 
-func highest(duty string, members []head.Member) (best head.Member, found bool) {
-	ranked := rank(duty, members)
-	if len(ranked) == 0 {
+func first(duty string, members []head.Member) (best head.Member, found bool) {
+	sorted := sortByScore(duty, members)
+	if len(sorted) == 0 {
 		return head.Member{}, false
 	}
-	return ranked[0], true
+	return sorted[0], true
 }
 
-// rank orders members by their score for a duty, highest first; equal scores by name.
-func rank(duty string, members []head.Member) []head.Member {
-	ranked := slices.Clone(members)
-	slices.SortFunc(ranked, func(a, b head.Member) int {
+// sortByScore returns the members sorted by their score for a duty, highest first; equal scores by name.
+func sortByScore(duty string, members []head.Member) []head.Member {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b head.Member) int {
 		scoreA, scoreB := score(duty, a.Name), score(duty, b.Name)
 		switch {
 		case scoreA > scoreB:
@@ -143,7 +140,7 @@
 		}
 		return 1
 	})
-	return ranked
+	return sorted
 }
 
 func score(duty, name string) uint64 {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -25,8 +25,8 @@
 }
 
 func TestJoinChangesOneMemberAtATime(t *testing.T) {
-	again := member("b")
-	again.Incarnation = "b#2"
+	restarted := member("b")
+	restarted.Incarnation = "b#2"
 	tests := []struct {
 		name    string
 		head    head.Head
@@ -35,11 +35,11 @@
 		step    membership.Step
 		refused bool
 	}{
-		{"first of all", head.Head{}, member("a"), 0, membership.StepAdd, false},
-		{"already there", fleet("a", "b"), member("b"), 0, membership.StepNone, false},
-		{"the change before it in force", fleet("a", "b"), member("c"), 2, membership.StepAdd, false},
-		{"the change before it not in force", fleet("a", "b"), member("c"), 1, membership.StepNone, true},
-		{"in the place of an older process", fleet("a", "b"), again, 2, membership.StepRemove, false},
+		{"first member", head.Head{}, member("a"), 0, membership.StepAdd, false},
+		{"already a member", fleet("a", "b"), member("b"), 0, membership.StepNone, false},
+		{"previous change in force", fleet("a", "b"), member("c"), 2, membership.StepAdd, false},
+		{"previous change not in force", fleet("a", "b"), member("c"), 1, membership.StepNone, true},
+		{"restarted process", fleet("a", "b"), restarted, 2, membership.StepRemove, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// The only member is cut off and not dead, and a process that has just been removed takes it out. It
-// would be the majority of its own head for ever.
+// The only member is partitioned but alive, and a process that has just been removed tries to expel it. If that worked,
+// the member would stay fresh forever as the majority of its own head.
 func TestLastMemberLeavesOnlyByItself(t *testing.T) {
 	is := is.New(t)
 	h := fleet("a")
@@ -66,35 +66,35 @@
 	is.Equal(len(next.Members), 0)
 }
 
-// An instance dies. If all its upstreams moved when another one joins or dies, every engine would have
-// a new holder that must wait before it may order anything.
-func TestHoldersMoveLittle(t *testing.T) {
+// When an instance joins or fails, only its own upstreams may change holders. Otherwise every engine would get a new
+// holder, which must wait before it may send orders.
+func TestHolderChangesAreMinimal(t *testing.T) {
 	is := is.New(t)
 	before, after := fleet("a1", "a2", "a3", "b1", "b2"), fleet("a1", "a2", "b1", "b2")
-	moved, near := 0, 0
+	moved, local := 0, 0
 	for i := range 100 {
 		upstream := fmt.Sprint("engine-", i)
-		was, _ := membership.Holder(before, upstream, "dc-a")
-		now, _ := membership.Holder(after, upstream, "dc-a")
-		if was.Name != "a3" && was.Name != now.Name {
+		previous, _ := membership.Holder(before, upstream, "dc-a")
+		current, _ := membership.Holder(after, upstream, "dc-a")
+		if previous.Name != "a3" && previous.Name != current.Name {
 			moved++
 		}
-		if now.DataCentre == "dc-a" {
-			near++
+		if current.DataCentre == "dc-a" {
+			local++
 		}
 	}
 	is.Equal(moved, 0)
-	is.Equal(near, 100)
-	far, found := membership.Holder(after, "engine-1", "dc-z")
+	is.Equal(local, 100)
+	remote, found := membership.Holder(after, "engine-1", "dc-z")
 	is.True(found)
-	is.True(far.Name != "")
+	is.True(remote.Name != "")
 	_, found = membership.Broker(head.Head{})
 	is.True(!found)
 }
 
-// One member falls silent. Few of the others may try to remove it, and none while they hear no
-// majority themselves: a cut off instance would otherwise remove the whole fleet.
-func TestSilentMemberIsRemovedByFew(t *testing.T) {
+// One member stops answering heartbeats. Few of the others may try to remove it, and none that gets no answers from a
+// majority: otherwise a partitioned instance would remove the whole fleet.
+func TestFewMembersRemoveAFailedOne(t *testing.T) {
 	tests := []struct {
 		name   string
 		silent []string
@@ -111,7 +111,7 @@
 				is := is.New(t)
 				removals := 0
 				for _, self := range names {
-					for _, action := range watch(self, names, tt.silent) {
+					for _, action := range runDetector(self, names, tt.silent) {
 						is.Equal(action.(membership.Remove).Name, tt.silent[0])
 						removals++
 					}
@@ -123,8 +123,8 @@
 	}
 }
 
-// watch lets one detector hear all but the silent ones, and returns what it does in the end.
-func watch(self string, names, silent []string) []membership.Action {
+// runDetector gives one detector the answers of all members but the silent ones, and returns its last actions.
+func runDetector(self string, names, silent []string) []membership.Action {
 	d := &membership.Detector{Self: self}
 	d.Handle(membership.Installed{Head: fleet(names...)})
 	for range 12 {
