--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is who is in the fleet and who holds which upstream: the fleet's own keys in the store,
-// each bound to the lease of the instance that wrote it.
+// Package roster reads and writes the fleet's own keys in the store: the live instances and the holder of each
+// upstream. Each key is bound to the lease of the instance that wrote it.
 package roster
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Keys of the fleet's own.
+// Prefixes of the fleet's own keys.
 const (
 	prefixInstances = "fleet/instances/"
 	prefixHolders   = "fleet/holders/"
@@ -25,25 +25,25 @@
 	Name        string
 	Incarnation string
 	DataCentre  string
-	// Address is where it talks to the other instances.
+	// Address is where the other instances reach it.
 	Address string
 }
 
-// Holder is the instance that orders at an upstream.
+// Holder is the instance that sends orders to an upstream.
 type Holder struct {
 	Upstream    string
 	Instance    string
 	Incarnation string
 	// Lease is the lease that the key is bound to.
 	Lease int64
-	// Fence rises with each change of holder; it is the revision of the key.
+	// Fence is the fencing token: the revision of the key, which rises with each change of holder.
 	Fence int64
 }
 
-// InstanceKey is the key of an instance.
+// InstanceKey returns the key of an instance.
 func InstanceKey(name string) string { return prefixInstances + name }
 
-// HolderKey is the key of an upstream's holder.
+// HolderKey returns the key of an upstream's holder.
 func HolderKey(upstream string) string { return prefixHolders + upstream }
 
 type instanceWire struct {
@@ -58,25 +58,25 @@
 	Lease       int64
 }
 
-// EncodeInstance gives the value of an instance's key.
+// EncodeInstance returns the value of an instance's key.
 func EncodeInstance(i Instance) ([]byte, error) {
 	return json.Marshal(instanceWire{Incarnation: i.Incarnation, DataCentre: i.DataCentre, Address: i.Address})
 }
 
-// EncodeHolder gives the value of a holder's key.
+// EncodeHolder returns the value of a holder's key.
 func EncodeHolder(h Holder) ([]byte, error) {
 	return json.Marshal(holderWire{Instance: h.Instance, Incarnation: h.Incarnation, Lease: h.Lease})
 }
 
-// Roster is what the keys say. The zero value is empty. It is not safe for use by several goroutines.
+// Roster holds the decoded keys. The zero value is empty. It is not safe for concurrent use.
 type Roster struct {
 	instances map[string]Instance
 	holders   map[string]Holder
-	// listed is what Instances gives, nil after a change until it is needed.
-	listed []Instance
+	// sorted caches the result of Instances; nil after a change until the next call.
+	sorted []Instance
 }
 
-// Apply takes a key's change over; removed keys have no value. It tells whether the key is the fleet's.
+// Apply applies the change of a key; removed keys have no value. It reports whether the key is one of the fleet's.
 func (r *Roster) Apply(key string, value []byte, revision int64, removed bool) (ours bool, err error) {
 	if r.instances == nil {
 		r.instances = make(map[string]Instance)
@@ -92,7 +92,7 @@
 }
 
 func (r *Roster) applyInstance(name string, value []byte, removed bool) error {
-	r.listed = nil
+	r.sorted = nil
 	if removed {
 		delete(r.instances, name)
 		return nil
@@ -122,34 +122,34 @@
 	return nil
 }
 
-// HeldUpstream tells of which upstream a key names the holder.
+// HeldUpstream returns the upstream whose holder is stored under a key; found is false for other keys.
 func HeldUpstream(key string) (upstream string, found bool) {
 	return strings.CutPrefix(key, prefixHolders)
 }
 
-// Instances lists the live instances in the order of their names. The list is shared: callers do not change it.
+// Instances returns the live instances sorted by name. The slice is shared: callers must not modify it.
 func (r *Roster) Instances() []Instance {
-	if r.listed == nil {
-		r.listed = slices.SortedFunc(maps.Values(r.instances), func(a, b Instance) int {
+	if r.sorted == nil {
+		r.sorted = slices.SortedFunc(maps.Values(r.instances), func(a, b Instance) int {
 			return strings.Compare(a.Name, b.Name)
 		})
 	}
-	return slices.Clip(r.listed)
+	return slices.Clip(r.sorted)
 }
 
-// Instance finds a live instance.
+// Instance returns the live instance of that name.
 func (r *Roster) Instance(name string) (Instance, bool) {
 	instance, found := r.instances[name]
 	return instance, found
 }
 
-// Holder finds who holds an upstream.
+// Holder returns the holder of an upstream.
 func (r *Roster) Holder(upstream string) (Holder, bool) {
 	holder, found := r.holders[upstream]
 	return holder, found
 }
 
-// Holders lists all holders.
+// Holders returns all holders in no particular order.
 func (r *Roster) Holders() (list []Holder) {
 	for _, holder := range r.holders {
 		list = append(list, holder)
@@ -158,24 +158,24 @@
 }
 
 const (
-	// fewestParts: an instance that has just started does not know the others yet. It is above the number of
-	// instances of today's deployments.
-	fewestParts = 10
-	// partsForEach is how many parts there are for each instance that is known, so that some may join before
-	// all have heard of them.
-	partsForEach = 1.25
+	// minParts covers an instance that has just started and does not know the others yet. It is above the number
+	// of instances of current deployments.
+	minParts = 10
+	// partsPerInstance is the number of parts for each known instance. It is above 1 so that instances may join
+	// before all others know them.
+	partsPerInstance = 1.25
 )
 
-// Parts is how many parts a limit is divided into that all instances share without asking each other, such as
-// retries, or connections to an upstream, for an instance that knows a number of others. Each instance has to
-// stay within one part, as it may be cut off from the others; with a number fixed for a small fleet a large one
-// would pass the limit many times over, and nobody would notice but those who set it.
+// Parts returns the number of parts into which an instance that knows this many others divides a limit of the whole
+// fleet, such as retries or connections to an upstream. The instances do not coordinate: each stays within one part, as
+// it may be partitioned from the others. With a number fixed for a small fleet, a large fleet would exceed the limit
+// many times over, and only the operators who set it would notice.
 func Parts(others int) float64 {
-	return max(fewestParts, partsForEach*float64(others+1))
+	return max(minParts, partsPerInstance*float64(others+1))
 }
 
-// Rank is the place of an instance among the given names in the order that a subject spreads them in:
-// each subject has another order, and a name that comes or goes changes no other's place by more than one.
+// Rank returns the position of an instance among the names by rendezvous hashing for a subject, 0 for the first. Each
+// subject has a different order. Adding or removing a name changes the rank of another by one at most.
 func Rank(subject, name string, names []string) (rank int) {
 	own := weight(subject, name)
 	for _, other := range names {
@@ -186,7 +186,7 @@
 	return rank
 }
 
-// Order lists the given names in the order in which a subject spreads them, as Rank does.
+// Order returns the names sorted by their Rank for a subject.
 func Order(subject string, names []string) []string {
 	weights := make(map[string]uint64, len(names))
 	for _, name := range names {
@@ -195,47 +195,47 @@
 	return slices.SortedFunc(slices.Values(names), func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
 }
 
-// Turns gives, for each subject that has no holder, the place of an instance in the line of the named instances for it:
-// those that hold the least come first, among equals as Rank spreads them. Each subject counts as held by the first in
-// its line when the next one's line is made. The instance has to be among the names.
+// Turns returns, for each subject without a holder, the rank of an instance among the candidates to take it over. The
+// candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject is counted
+// as held by its first candidate before the next subject is ranked. The instance must be one of the names.
 //
-// Made for instances that stop and start again one after the other. In the order of Rank alone what they held
-// goes to those who have not stopped yet, nothing comes back, and in the end one instance holds nearly all:
-// when that one freezes, no adapter can be loaded anywhere.
+// This balances the fleet during a rolling restart. By Rank alone, what a stopping instance held would go to those that
+// have not stopped yet and never return, so that in the end one instance would hold nearly all: when that one freezes,
+// no adapter can be loaded anywhere.
 func Turns(subjects, names []string, held map[string]int, instance string) map[string]int {
-	line := make([]candidate, len(names))
+	candidates := make([]candidate, len(names))
 	own := slices.Index(names, instance)
 	for i, name := range names {
-		line[i].held = held[name]
+		candidates[i].held = held[name]
 	}
 	subjects = slices.Clone(subjects)
 	sort.Strings(subjects)
-	turns := make(map[string]int, len(subjects))
+	ranks := make(map[string]int, len(subjects))
 	var key []byte
 	for _, subject := range subjects {
 		key = append(append(key[:0], subject...), 0)
 		subjectBytes := len(key)
 		for i, name := range names {
 			key = append(key[:subjectBytes], name...)
-			line[i].weight = xxhash.Sum64(key)
+			candidates[i].weight = xxhash.Sum64(key)
 		}
-		first := 0
-		turn := 0
-		for i, one := range line {
-			if one.isBefore(line[own]) {
-				turn++
+		best := 0
+		rank := 0
+		for i, other := range candidates {
+			if other.isBefore(candidates[own]) {
+				rank++
 			}
-			if one.isBefore(line[first]) {
-				first = i
+			if other.isBefore(candidates[best]) {
+				best = i
 			}
 		}
-		turns[subject] = turn
-		line[first].held++
+		ranks[subject] = rank
+		candidates[best].held++
 	}
-	return turns
+	return ranks
 }
 
-// candidate is an instance in the line for a subject.
+// candidate is an instance that may take over a subject.
 type candidate struct {
 	held   int
 	weight uint64
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -9,7 +9,7 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/roster"
 )
 
-func TestKeysComeAndGo(t *testing.T) {
+func TestApplySetsAndRemovesKeys(t *testing.T) {
 	is := is.New(t)
 	var r roster.Roster
 	instance := roster.Instance{Name: "a", Incarnation: "x", DataCentre: "here", Address: "10.0.0.1:1"}
@@ -25,7 +25,7 @@
 	is.NoErr(err)
 	holder, found := r.Holder("u")
 	is.True(found)
-	is.Equal(holder, roster.Holder{Upstream: "u", Instance: "a", Incarnation: "x", Fence: 9}) // the key's revision
+	is.Equal(holder, roster.Holder{Upstream: "u", Instance: "a", Incarnation: "x", Fence: 9}) // the fence is the revision of the key
 	_, err = r.Apply(roster.HolderKey("u"), nil, 10, true)
 	is.NoErr(err)
 	_, found = r.Holder("u")
@@ -35,7 +35,8 @@
 	is.True(!ours)
 }
 
-// Somebody else wrote to one of the fleet's keys. What is known stays, and the error is for the log.
+// Another writer stored an undecodable value under one of the fleet's keys. Apply returns an error, which the caller
+// logs, and the known state stays.
 func TestUnreadableKeyChangesNothing(t *testing.T) {
 	is := is.New(t)
 	var r roster.Roster
@@ -44,8 +45,8 @@
 	is.Equal(len(r.Instances()), 0)
 }
 
-// One of many instances goes. If that changed the order of all others, every upstream would get another
-// holder, and each would begin by learning what is loaded.
+// One of many instances leaves. If that changed the order of the others, every upstream would change its holder, and
+// each new holder would first have to find out which adapters are loaded.
 func TestRankIsSpreadAndStable(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
@@ -66,13 +67,13 @@
 	}
 }
 
-// Instances stop and start again one after the other. If what each held went to those that had not stopped
-// yet, one instance would hold nearly everything in the end, and nothing could be loaded while it is frozen.
+// Rolling restart: the instances stop and start one after the other. If the upstreams of each went to those that have
+// not stopped yet, one instance would hold nearly all in the end, and no adapter could be loaded while it is frozen.
 func TestHoldingsStaySpreadOverRestarts(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	holder := map[string]string{}
-	take := func(live []string) {
+	assign := func(live []string) {
 		held := map[string]int{}
 		var free []string
 		for i := range 9 {
@@ -84,22 +85,22 @@
 			free = append(free, subject)
 		}
 		for _, name := range live {
-			for subject, turn := range roster.Turns(free, live, held, name) {
-				if turn == 0 {
+			for subject, rank := range roster.Turns(free, live, held, name) {
+				if rank == 0 {
 					holder[subject] = name
 				}
 			}
 		}
 		is.Equal(len(holder), 9)
 	}
-	take(names)
+	assign(names)
 	for i, stopped := range names {
 		for subject, name := range holder {
 			if name == stopped {
 				delete(holder, subject)
 			}
 		}
-		take(append(append([]string{}, names[:i]...), names[i+1:]...))
+		assign(append(append([]string{}, names[:i]...), names[i+1:]...))
 		held := map[string]int{}
 		for _, name := range holder {
 			held[name]++
@@ -108,18 +109,18 @@
 	}
 }
 
-// A limit of the operators holds for the whole fleet, and each instance keeps to its part of it without asking
-// the others. If the parts of all add up to more than the limit, an upstream gets more than it takes.
+// A limit holds for the whole fleet, and each instance stays within its part of it without coordination. If the parts
+// add up to more than the limit, an upstream receives more than it can take.
 func TestPartsAddUpToLessThanTheWhole(t *testing.T) {
 	is := is.New(t)
 	for _, instances := range []int{1, 2, 8, 9, 30, 81, 330} {
 		is.True(float64(instances) < roster.Parts(instances-1))
 	}
-	is.Equal(roster.Parts(0), roster.Parts(6)) // a small fleet's part does not depend on whom it has heard of yet
+	is.Equal(roster.Parts(0), roster.Parts(6)) // in a small fleet the part does not depend on how many others are known yet
 }
 
-// Guards against lines that are sorted anew for each upstream without a holder: after a start of a large fleet that
-// takes an instance's whole processor, and nobody is served meanwhile.
+// Guards against sorting all candidates again for each upstream without a holder: after the start of a large fleet,
+// that takes the whole CPU of an instance, which then serves no requests.
 func TestTurnsOfALargeFleetAreFoundWithoutSorting(t *testing.T) {
 	is := is.New(t)
 	var subjects, names []string
@@ -133,16 +134,16 @@
 	is.True(used < 100)
 	first := 0
 	for _, name := range names {
-		for _, turn := range roster.Turns(subjects, names, nil, name) {
-			if turn == 0 {
+		for _, rank := range roster.Turns(subjects, names, nil, name) {
+			if rank == 0 {
 				first++
 			}
 		}
 	}
-	is.Equal(first, len(subjects)) // each subject has one that is first
+	is.Equal(first, len(subjects)) // exactly one candidate is first for each subject
 }
 
-func BenchmarkTurns(b *testing.B) {
+func BenchmarkTakeoverRanks(b *testing.B) {
 	var subjects, names []string
 	for i := range 160 {
 		subjects = append(subjects, fmt.Sprint("upstream", i))
