--- a/internal/fleet/freshness/confirmation.go
+++ b/internal/fleet/freshness/confirmation.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// This file turns facts into confirmations: from when on nobody had a newer head in force everywhere.
+// This file derives confirmations: the times from which on no newer head was in force everywhere.
 
-func (t *Tracker) confirm(at time.Time, revision int64) {
-	t.highest = max(t.highest, revision)
+func (t *Tracker) recordConfirmation(at time.Time, revision int64) {
+	t.highestReported = max(t.highestReported, revision)
 	switch {
 	case revision == t.head.Revision:
-		t.read = later(t.read, at)
-	case revision > t.head.Revision && revision >= t.ahead.revision:
-		if revision > t.ahead.revision {
-			t.ahead = confirmation{revision: revision}
+		t.lastReadConfirmation = latest(t.lastReadConfirmation, at)
+	case revision > t.head.Revision && revision >= t.newerConfirmation.revision:
+		if revision > t.newerConfirmation.revision {
+			t.newerConfirmation = confirmation{revision: revision}
 		}
-		t.ahead.at = later(t.ahead.at, at)
+		t.newerConfirmation.confirmedAt = latest(t.newerConfirmation.confirmedAt, at)
 	}
 }
 
-// extendByMajority counts the members, this process included, that were asked and knew nothing newer.
-// The confirmation begins at the oldest question that is needed for the majority: an instance that
-// heard one peer now and the others long ago must not take the newest answer for all of them.
-// Nothing is counted while a read is young: with many members the count costs more than it brings.
-func (t *Tracker) extendByMajority(now time.Time) {
-	if t.highest > t.head.Revision || elapsed(t.read, now) < t.bound()/4 {
+// confirmByMajority counts the members, this process included, that answered a heartbeat and knew no newer revision.
+// The confirmation begins when the oldest heartbeat needed for the majority was sent: an instance that got one reply
+// just now and the others long ago must not apply the time of the newest reply to all. Nothing is counted while the
+// last confirmation by a read is recent: with many members, counting costs more than it gains.
+func (t *Tracker) confirmByMajority(now time.Time) {
+	if t.highestReported > t.head.Revision || elapsed(t.lastReadConfirmation, now) < t.bound()/4 {
 		return
 	}
-	var starts []time.Time
+	var sentTimes []time.Time
 	for _, m := range t.head.Members {
 		id := m.identity()
 		if id == t.Self.identity() {
-			starts = append(starts, now)
+			sentTimes = append(sentTimes, now)
 			continue
 		}
-		if q, found := t.asked[id]; found && q.revision <= t.head.Revision {
-			starts = append(starts, q.asked)
+		if reply, found := t.lastReplies[id]; found && reply.revision <= t.head.Revision {
+			sentTimes = append(sentTimes, reply.sentAt)
 		}
 	}
-	need := majority(len(t.head.Members))
-	if len(t.head.Members) == 0 || len(starts) < need {
+	needed := majority(len(t.head.Members))
+	if len(t.head.Members) == 0 || len(sentTimes) < needed {
 		return
 	}
-	slices.SortFunc(starts, func(a, b time.Time) int { return b.Compare(a) })
-	t.quorum = later(t.quorum, starts[need-1])
+	slices.SortFunc(sentTimes, func(a, b time.Time) int { return b.Compare(a) })
+	t.lastMajorityConfirmation = latest(t.lastMajorityConfirmation, sentTimes[needed-1])
 }
 
 func (t *Tracker) confirmedAt() time.Time {
-	return later(t.read, t.quorum)
+	return latest(t.lastReadConfirmation, t.lastMajorityConfirmation)
 }
--- a/internal/fleet/freshness/freshness.go
+++ b/internal/fleet/freshness/freshness.go
@@ -1,21 +1,20 @@
-// Package freshness decides how long an instance may act on what it knows. An instance that is cut
-// off, or paused and woken, would go on serving a withdrawn key, an old rate share or an old holder's
-// order; its callers would notice answers that the operators had forbidden. The daemon feeds a Tracker
-// the facts (its own reads of the head, what peers reply to heartbeats, the heads it installs) and asks
-// it at the moment of use, after anything that may have waited.
+// Package freshness decides how long an instance may act on the configuration that it knows. An instance that is
+// partitioned, or suspended and resumed, would otherwise go on serving a withdrawn key, an old share of a rate or the
+// orders of a former holder: callers would get answers that operators have forbidden. The daemon feeds a Tracker with
+// its own reads of the head, the peers' replies to heartbeats and the heads that it installs. It queries the Tracker at
+// the moment of use, after anything that may have blocked.
 //
-// Why it is sound. Every confirmation of revision R that begins at time s says that nobody had a
-// higher revision in force everywhere at s. A read of the store says so because the store's head was
-// still R; a relayed read because the relay's age is subtracted from when we asked; a majority because
-// of the following. A revision is declared in force everywhere when all members told it, or when a
-// majority told it and Bound has run out since. Members never go back to an older head, and a restarted
-// one has another incarnation and counts as a stranger. Two heads next to each other in the history
-// differ by at most one member, added or removed, and a change of members is made only when the one
-// before it is in force everywhere (package membership enforces both). So a majority that told R' and
-// a majority that knows nothing above R share a member, which cannot have done both in that order:
-// after the majority of R' has told, no new confirmation of R can begin, and the ones that began
-// earlier run out within Bound. With three members replaced at once two disjoint majorities could
-// exist, each sure of its own head.
+// Correctness. A confirmation of revision R that begins at time s states that no higher revision was in force
+// everywhere at s. A read of the store confirms this because the store's head was still R. A read relayed by a peer
+// does, because its age is subtracted from the time when the heartbeat was sent. A majority does for the following
+// reason. A revision is declared in force everywhere when all members have reported it, or when a majority has and
+// Bound has passed since. Members never return to an older head, and a restarted member has a new incarnation and
+// counts as another process. Successive heads differ by at most one added or removed member, and members change only
+// when the previous change of members is in force everywhere (package membership enforces both). So a majority that has
+// reported R' and a majority that knows nothing above R have a member in common, and that member cannot have reported
+// R' first and known nothing above R later. After the majority has reported R', no new confirmation of R can begin, and
+// the earlier ones expire within Bound. If three members could be replaced at once, two disjoint majorities could
+// exist, each relying on its own head.
 package freshness
 
 import (
@@ -23,27 +22,26 @@
 	"time"
 )
 
-// Bound is how long a confirmation lasts when a Tracker states none. Together with a read each second
-// and the heartbeats' interval it must leave a withdrawn key within the 5 seconds that operators were
-// promised. No measured reason yet for the exact figure.
+// Bound is the default of Tracker.Bound: how long a confirmation lasts. Together with one read per second and the
+// heartbeat interval it must keep a withdrawn key within the 5 seconds promised to operators.
 const Bound = 3 * time.Second
 
-// ReadEvery is how often an instance that reads the store does so when a Tracker states none.
+// ReadEvery is the default of Tracker.ReadEvery.
 const ReadEvery = time.Second
 
-// DefaultReaders is how many instances read the store while all goes well: one may be dead and another
-// frozen. Their number does not grow with the fleet, so the store's calls do not either.
+// DefaultReaders is the default of Tracker.Readers. With three readers, one may have failed and another may be frozen.
+// The number does not grow with the fleet, so neither does the load on the store.
 const DefaultReaders = 3
 
-// clockRateMargin is the part of Bound added before others may rely on a member's bound having run
-// out: one in twenty, far above the 500 parts in a million by which clocks are slewed.
+// clockRateMargin is the divisor of Bound that gives the margin added before others may rely on a member's bound having
+// expired. It is one in twenty, far above the 500 parts in a million by which clocks are slewed.
 const clockRateMargin = 20
 
-// fallbackReads is how many reads a second all instances together may make of a store that fails them,
-// so that its return is not met by the whole fleet at once.
-const fallbackReads = 14
+// fallbackReadRate is how many reads per second all instances together may make of a store that fails them, so that a
+// recovering store is not hit by the whole fleet at once.
+const fallbackReadRate = 14
 
-// Member identifies one process: a restart is another member that has told nothing yet. Since is the
+// Member identifies one process: a restarted process is another member that has reported nothing yet. Since is the
 // revision that added it.
 type Member struct {
 	Name        string
@@ -51,17 +49,16 @@
 	Since       int64
 }
 
-// Head is what freshness needs of the configuration's head. Epoch is the revision of the last change
-// of members or upstreams.
+// Head is the part of the configuration's head that this package needs. Epoch is the revision of the last change of
+// members or upstreams.
 type Head struct {
 	Revision int64
 	Epoch    int64
 	Members  []Member
 }
 
-// Reply is what a peer answered to a heartbeat. Asked is when the heartbeat was sent. ConfirmedAge is
-// how long before its answer a read of the store showed Revision as the newest, by the peer's clock;
-// negative when it does not know.
+// Reply is a peer's reply to a heartbeat. Asked is when the heartbeat was sent. ConfirmedAge is how long before the
+// reply a read of the store showed Revision as the newest, by the peer's clock; negative if the peer does not know.
 type Reply struct {
 	Member       Member
 	Asked        time.Time
@@ -69,7 +66,8 @@
 	ConfirmedAge time.Duration
 }
 
-// Status is what is known of one member: the newest revision it told and since when we know.
+// Status is the newest revision that a member is known to have reported, and when this process learned of it. Told is
+// false if there is no report.
 type Status struct {
 	Member   Member
 	Revision int64
@@ -77,7 +75,7 @@
 	Told     bool
 }
 
-// StaleError refuses work because the instance's knowledge is too old, or because it is no member.
+// StaleError refuses work because the instance's configuration may be out of date, or because it is not a member.
 // Nothing was run.
 type StaleError struct {
 	Revision   int64
@@ -86,7 +84,7 @@
 	RetryAfter time.Duration
 }
 
-// Error tells which revision is too old and by how much.
+// Error names the revision and the age of its last confirmation.
 func (e *StaleError) Error() string {
 	if e.NotMember {
 		return fmt.Sprintf("freshness: not a member of revision %d", e.Revision)
@@ -94,9 +92,9 @@
 	return fmt.Sprintf("freshness: revision %d was last confirmed %v ago", e.Revision, e.Age)
 }
 
-// elapsed is the longer of the time by the monotonic clock and by the wall clock. A machine that was
-// suspended may wake with a monotonic clock that did not run; with that clock alone the instance would
-// believe itself fresh and serve what was withdrawn while it slept.
+// elapsed returns the longer of the times by the monotonic clock and by the wall clock. The monotonic clock of a
+// suspended machine may have stopped: by that clock alone the instance would count as fresh after it resumes, and would
+// serve what was withdrawn meanwhile.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
--- a/internal/fleet/freshness/fuzz_test.go
+++ b/internal/fleet/freshness/fuzz_test.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	stepsPerCheck = 150
-	bound         = 3 * time.Second
-	beatEvery     = 250 * time.Millisecond
+	stepsPerCheck     = 150
+	bound             = 3 * time.Second
+	heartbeatInterval = 250 * time.Millisecond
 )
 
-// An operator withdraws a key and is told that this is in force everywhere. Meanwhile instances are cut
-// off in groups, freeze and wake, restart under their old names, join and are removed, and messages are
-// late or lost. If any instance still believed itself fresh on an older head, it would go on serving
-// the withdrawn key, and the operator would have no way to see it.
-func TestNobodyIsFreshOnWhatWasReplacedEverywhere(t *testing.T) {
+// An operator withdraws a key and is told that this is in force everywhere. Meanwhile groups of instances are
+// partitioned, instances freeze and resume, restart under the same name, join and are removed, and messages are late or
+// lost. If any instance were still fresh on an older head, it would go on serving the withdrawn key, and the operator
+// could not see it.
+func TestNoInstanceIsFreshOnASupersededRevision(t *testing.T) {
 	steps, declared, fresh := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		fault := bubble.Check(t, func() string {
-			w := newWorld()
-			w.grow([]string{"a", "b", "c", "d", "e"}[:rapid.IntRange(2, 5).Draw(rt, "size")]...)
-			w.pass(5 * time.Second)
+		violation := bubble.Check(t, func() string {
+			s := newSimulation()
+			s.startMembers([]string{"a", "b", "c", "d", "e"}[:rapid.IntRange(2, 5).Draw(rt, "size")]...)
+			s.advance(5 * time.Second)
 			for range stepsPerCheck {
-				w.step(rt)
+				s.step(rt)
 				steps++
-				if fault := w.check(); fault != "" {
-					return fault
+				if violation := s.check(); violation != "" {
+					return violation
 				}
 			}
-			declared, fresh = declared+w.declared, fresh+w.freshSeen
+			declared, fresh = declared+s.declared, fresh+s.freshCount
 			return ""
 		})
-		if fault != "" {
-			rt.Fatal(fault)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 	t.Logf("%d steps, %d revisions declared in force, %d times an instance was fresh", steps, declared, fresh)
@@ -51,268 +51,273 @@
 // ---------------------------------------------------------------------------------------------
 
 type node struct {
-	member  head.Member
-	tracker *freshness.Tracker
-	dead    bool
-	frozen  bool
-	cut     bool // from the store
-	group   int  // it reaches only the peers of its group
+	member   head.Member
+	tracker  *freshness.Tracker
+	stopped  bool
+	frozen   bool
+	storeCut bool // the store cannot be reached
+	group    int  // only peers of the same group can be reached
 }
 
-type world struct {
-	heads     []head.Head
-	down      bool
-	nodes     []*node
-	waiting   []func() bool // messages under way; each tells whether it was delivered
-	births    int
-	inForce   int64 // the highest revision that any instance declared in force everywhere
-	declared  int
-	freshSeen int
+type simulation struct {
+	heads          []head.Head
+	down           bool
+	nodes          []*node
+	inFlight       []func() bool // each message reports whether it was delivered
+	starts         int
+	highestInForce int64 // the highest revision declared in force everywhere by any instance
+	declared       int
+	freshCount     int
 }
 
-func newWorld() *world { return &world{heads: []head.Head{head.Head{}.WithSwap("0")}} }
+func newSimulation() *simulation { return &simulation{heads: []head.Head{head.Head{}.WithSwap("0")}} }
 
-func (w *world) stored() head.Head { return w.heads[len(w.heads)-1] }
+func (s *simulation) storedHead() head.Head { return s.heads[len(s.heads)-1] }
 
-func (w *world) swap(h head.Head) { w.heads = append(w.heads, h.WithSwap(fmt.Sprint(len(w.heads)))) }
+func (s *simulation) store(h head.Head) {
+	s.heads = append(s.heads, h.WithSwap(fmt.Sprint(len(s.heads))))
+}
 
-// check is the oracle: what was declared in force at any time by anyone is never undercut later.
-func (w *world) check() string {
-	for _, n := range w.nodes {
-		if inForce := n.tracker.InForce(); !n.dead && !n.frozen && inForce > w.inForce {
-			w.inForce = inForce
-			w.declared++
+// check is the oracle: once any instance has declared a revision in force everywhere, no instance may be fresh on an
+// older one.
+func (s *simulation) check() string {
+	for _, n := range s.nodes {
+		if inForce := n.tracker.InForce(); !n.stopped && !n.frozen && inForce > s.highestInForce {
+			s.highestInForce = inForce
+			s.declared++
 		}
 	}
-	for _, n := range w.live() {
+	for _, n := range s.live() {
 		revision, _ := n.tracker.FreshUntil()
 		if n.tracker.Fresh() != nil {
 			continue
 		}
-		w.freshSeen++
-		if revision < w.inForce {
-			return fmt.Sprintf("%s is fresh on %d, and %d was in force everywhere", n.member.Incarnation, revision, w.inForce)
+		s.freshCount++
+		if revision < s.highestInForce {
+			return fmt.Sprintf("%s is fresh on revision %d, but %d was in force everywhere", n.member.Incarnation, revision, s.highestInForce)
 		}
 	}
 	return ""
 }
 
-func (w *world) start(name string) *node {
-	w.births++
-	m := head.Member{Name: name, Incarnation: fmt.Sprint(name, "#", w.births), Address: name}
+func (s *simulation) start(name string) *node {
+	s.starts++
+	m := head.Member{Name: name, Incarnation: fmt.Sprint(name, "#", s.starts), Address: name}
 	n := &node{member: m}
 	n.tracker = &freshness.Tracker{Self: freshness.Member{Name: name, Incarnation: m.Incarnation}, Bound: bound}
-	w.nodes = append(w.nodes, n)
+	s.nodes = append(s.nodes, n)
 	return n
 }
 
-func (w *world) grow(names ...string) {
+func (s *simulation) startMembers(names ...string) {
 	for _, name := range names {
-		for n := w.start(name); n.tracker.Fresh() != nil; {
-			w.pass(time.Second)
-			w.join(n)
+		for n := s.start(name); n.tracker.Fresh() != nil; {
+			s.advance(time.Second)
+			s.join(n)
 		}
 	}
 }
 
-func (w *world) live() []*node {
-	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.dead || n.frozen })
+func (s *simulation) live() []*node {
+	return slices.DeleteFunc(slices.Clone(s.nodes), func(n *node) bool { return n.stopped || n.frozen })
 }
 
-func (w *world) readable(n *node) bool { return !w.down && !n.cut && !n.dead && !n.frozen }
+func (s *simulation) canReadStore(n *node) bool {
+	return !s.down && !n.storeCut && !n.stopped && !n.frozen
+}
 
-func (w *world) read(n *node) func() bool {
-	began, seen := time.Now(), w.stored()
-	if !w.readable(n) {
-		n.tracker.ReadFailed(began)
+func (s *simulation) read(n *node) func() bool {
+	startedAt, seen := time.Now(), s.storedHead()
+	if !s.canReadStore(n) {
+		n.tracker.ReadFailed(startedAt)
 		return func() bool { return true }
 	}
-	return w.toNode(n, func() {
+	return s.messageTo(n, func() {
 		f := freshness.Head{Revision: seen.Revision, Epoch: seen.Epoch}
 		for _, m := range seen.Members {
 			f.Members = append(f.Members, freshness.Member{Name: m.Name, Incarnation: m.Incarnation, Since: m.Since})
 		}
 		n.tracker.Install(f)
-		n.tracker.ReadConfirmed(began, seen.Revision)
+		n.tracker.ReadConfirmed(startedAt, seen.Revision)
 	})
 }
 
-func (w *world) beat(from, to *node) func() bool {
-	asked := time.Now()
-	hearsay, told := from.tracker.Relay()
-	return w.toNode(to, func() {
-		to.tracker.Relayed(hearsay, told)
+func (s *simulation) sendHeartbeat(from, to *node) func() bool {
+	sentAt := time.Now()
+	relayedRevision, told := from.tracker.Relay()
+	return s.messageTo(to, func() {
+		to.tracker.Relayed(relayedRevision, told)
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  asked, Revision: revision, ConfirmedAge: age,
+			Asked:  sentAt, Revision: revision, ConfirmedAge: age,
 		}
 		answered, answeredTold := to.tracker.Relay()
-		w.waiting = append(w.waiting, w.toNode(from, func() {
+		s.inFlight = append(s.inFlight, s.messageTo(from, func() {
 			from.tracker.Replied(reply)
 			from.tracker.Relayed(answered, answeredTold)
 		}))
 	})
 }
 
-// toNode is a message that waits while its receiver is frozen.
-func (w *world) toNode(n *node, deliver func()) func() bool {
+// messageTo returns a message that is held back while its receiver is frozen.
+func (s *simulation) messageTo(n *node, deliver func()) func() bool {
 	return func() bool {
-		if n.frozen && !n.dead {
+		if n.frozen && !n.stopped {
 			return false
 		}
-		if !n.dead {
+		if !n.stopped {
 			deliver()
 		}
 		return true
 	}
 }
 
-func (w *world) deliver() {
-	for again := true; again; {
-		again = false
-		batch := w.waiting
-		w.waiting = nil
-		for _, message := range batch {
+func (s *simulation) deliverAll() {
+	for progress := true; progress; {
+		progress = false
+		messages := s.inFlight
+		s.inFlight = nil
+		for _, message := range messages {
 			if message() {
-				again = true
+				progress = true
 				continue
 			}
-			w.waiting = append(w.waiting, message)
+			s.inFlight = append(s.inFlight, message)
 		}
 	}
 }
 
-// pass lets time run, with the heartbeats and reads that the daemon would make.
-func (w *world) pass(d time.Duration) {
-	for ; d > 0; d -= beatEvery {
-		time.Sleep(min(d, beatEvery))
-		for _, n := range w.live() {
+// advance lets time pass, with the heartbeats and reads that the daemon makes.
+func (s *simulation) advance(d time.Duration) {
+	for ; d > 0; d -= heartbeatInterval {
+		time.Sleep(min(d, heartbeatInterval))
+		for _, n := range s.live() {
 			if n.tracker.ShouldReadStore() {
-				w.read(n)()
+				s.read(n)()
 			}
-			for _, peer := range w.live() {
+			for _, peer := range s.live() {
 				if peer != n && peer.group == n.group {
-					w.beat(n, peer)()
+					s.sendHeartbeat(n, peer)()
 				}
 			}
 		}
-		w.deliver()
+		s.deliverAll()
 	}
 }
 
-func (w *world) join(n *node) {
-	next, step, err := membership.Join(w.stored(), n.member, n.tracker.InForce())
+func (s *simulation) join(n *node) {
+	next, step, err := membership.Join(s.storedHead(), n.member, n.tracker.InForce())
 	if err == nil && step != membership.StepNone {
-		w.swap(next)
+		s.store(next)
 	}
 }
 
-func (w *world) leave(by, gone *node) {
-	next, step, err := membership.Leave(w.stored(), gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
+func (s *simulation) leave(by, gone *node) {
+	next, step, err := membership.Leave(s.storedHead(), gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
 	if by != gone {
 		next, step, err = membership.Expel(
-			w.stored(), by.member.Name, gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
+			s.storedHead(), by.member.Name, gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
 	}
 	if err == nil && step != membership.StepNone {
-		w.swap(next)
+		s.store(next)
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-func (w *world) step(rt *rapid.T) {
-	n := rapid.SampledFrom(w.nodes).Draw(rt, "node")
-	peer := rapid.SampledFrom(w.nodes).Draw(rt, "peer")
+func (s *simulation) step(rt *rapid.T) {
+	n := rapid.SampledFrom(s.nodes).Draw(rt, "node")
+	peer := rapid.SampledFrom(s.nodes).Draw(rt, "peer")
 	switch rapid.IntRange(0, 25).Draw(rt, "action") {
 	case 0, 1, 2, 3:
-		w.pass(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "millis")) * time.Millisecond)
+		s.advance(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "millis")) * time.Millisecond)
 	case 4, 5:
-		w.pass(time.Duration(rapid.IntRange(2, 8).Draw(rt, "seconds")) * time.Second)
+		s.advance(time.Duration(rapid.IntRange(2, 8).Draw(rt, "seconds")) * time.Second)
 	case 6, 7:
-		if !w.down {
-			w.swap(w.stored())
+		if !s.down {
+			s.store(s.storedHead())
 		}
 	case 8:
-		w.waiting = append(w.waiting, w.read(n))
+		s.inFlight = append(s.inFlight, s.read(n))
 	case 9, 10:
-		if !n.dead && n != peer {
-			w.waiting = append(w.waiting, w.beat(n, peer))
+		if !n.stopped && n != peer {
+			s.inFlight = append(s.inFlight, s.sendHeartbeat(n, peer))
 		}
 	case 11, 12:
-		w.one(rt, func(message func() bool) bool { return message() })
+		s.handleOneMessage(rt, func(message func() bool) bool { return message() })
 	case 13:
-		w.one(rt, func(func() bool) bool { return true })
+		s.handleOneMessage(rt, func(func() bool) bool { return true })
 	case 14:
 		n.frozen = true
 	case 15, 16:
 		n.frozen = false
 	case 17, 18:
-		w.partition(rt)
+		s.partition(rt)
 	case 19:
-		w.down = !w.down
+		s.down = !s.down
 	case 20:
-		n.dead = n.dead || len(w.live()) > 3
+		n.stopped = n.stopped || len(s.live()) > 3
 	case 21, 22:
-		w.restart(rt)
+		s.restart(rt)
 	case 23, 24:
-		w.tend()
+		s.maintainMembers()
 	case 25:
-		w.mend()
+		s.repairAll()
 	}
 }
 
-func (w *world) one(rt *rapid.T, treat func(message func() bool) bool) {
-	if len(w.waiting) == 0 {
+func (s *simulation) handleOneMessage(rt *rapid.T, treat func(message func() bool) bool) {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.waiting)-1).Draw(rt, "message")
-	message := w.waiting[i]
+	i := rapid.IntRange(0, len(s.inFlight)-1).Draw(rt, "message")
+	message := s.inFlight[i]
 	if treat(message) {
-		w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
 }
 
-// partition divides the instances into two groups, one of which may be cut from the store.
-func (w *world) partition(rt *rapid.T) {
+// partition divides the instances into two groups; the store may be unreachable for one of them.
+func (s *simulation) partition(rt *rapid.T) {
 	cut := rapid.Bool().Draw(rt, "cut")
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		n.group = rapid.IntRange(0, 1).Draw(rt, "group")
-		n.cut = cut && n.group == 1
+		n.storeCut = cut && n.group == 1
 	}
 }
 
-// restart starts a process, mostly in the place of one of the same name, which then ends.
-func (w *world) restart(rt *rapid.T) {
+// restart starts a process. If one of the same name exists, it ends.
+func (s *simulation) restart(rt *rapid.T) {
 	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g"}).Draw(rt, "name")
-	if len(w.live()) > 6 {
+	if len(s.live()) > 6 {
 		return
 	}
-	for _, n := range w.nodes {
-		n.dead = n.dead || n.member.Name == name
+	for _, n := range s.nodes {
+		n.stopped = n.stopped || n.member.Name == name
 	}
-	w.start(name)
+	s.start(name)
 }
 
-// tend does what the daemons do about members: silent ones are removed, others join.
-func (w *world) tend() {
-	for _, n := range w.live() {
-		if !w.readable(n) {
+// maintainMembers changes the members as the daemons do: unreachable ones are removed, others join.
+func (s *simulation) maintainMembers() {
+	for _, n := range s.live() {
+		if !s.canReadStore(n) {
 			continue
 		}
-		for _, other := range w.nodes {
-			if other.dead || other.frozen || other.group != n.group {
-				w.leave(n, other)
+		for _, other := range s.nodes {
+			if other.stopped || other.frozen || other.group != n.group {
+				s.leave(n, other)
 			}
 		}
-		w.join(n)
+		s.join(n)
 	}
 }
 
-func (w *world) mend() {
-	w.down = false
-	for _, n := range w.nodes {
-		n.frozen, n.cut, n.group = false, false, 0
+func (s *simulation) repairAll() {
+	s.down = false
+	for _, n := range s.nodes {
+		n.frozen, n.storeCut, n.group = false, false, 0
 	}
-	w.pass(6 * time.Second)
+	s.advance(6 * time.Second)
 }
--- a/internal/fleet/freshness/reading.go
+++ b/internal/fleet/freshness/reading.go
@@ -6,58 +6,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// reading.go decides when an instance reads the store, and how few do.
+// This file decides when an instance reads the store, and limits how many do.
 
-// behindPace is how many times as often an instance reads while it lacks the newest head that peers have reported. Until
-// it has read that, no majority can confirm its own, and if the store goes down meanwhile it refuses all callers.
-const behindPace = 10
+// behindReadRate is the factor by which an instance reads more often while it lacks the newest head that peers have
+// reported. Until it has read that head, no majority can confirm its own, and if the store goes down meanwhile it
+// refuses all callers.
+const behindReadRate = 10
 
-// ShouldReadStore tells whether this instance should read the head from the store now. Made for a
-// fleet in which every instance would otherwise read each second: at 330 instances that is a sixth of
-// all the reads the store takes. A few, chosen by rendezvous hashing, read each ReadEvery. The others
-// read when what they hear is older than a third of the Bound, give or take their own pace: as often
-// while their reads succeed (the readers are gone, or they are cut off from them), else the more rarely
-// the larger the fleet is, so that a store coming back is not met by all at once.
+// ShouldReadStore reports whether this instance should read the head from the store now. If every instance read each
+// second, 330 instances would use a sixth of all the reads that the store can serve. So a few readers, chosen by
+// rendezvous hashing, read each ReadEvery. The others read when the last confirmation is older than a third of Bound,
+// times their own interval factor. While their reads succeed they read as often as the readers do (the readers have
+// failed or cannot be reached). While their reads fail, they read less often the larger the fleet is, so that a
+// recovering store is not hit by all at once.
 func (t *Tracker) ShouldReadStore() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	since := elapsed(t.lastRead, now)
-	if t.highest > t.head.Revision && t.readSucceed {
-		return since >= t.readEvery()/behindPace
+	sinceRead := elapsed(t.lastRead, now)
+	if t.highestReported > t.head.Revision && t.lastReadSucceeded {
+		return sinceRead >= t.readEvery()/behindReadRate
 	}
-	if t.highest > t.head.Revision || t.isReader() {
-		return since >= t.readEvery()
+	if t.highestReported > t.head.Revision || t.isReader() {
+		return sinceRead >= t.readEvery()
 	}
-	if elapsed(t.read, now) < time.Duration(float64(t.bound())/3*t.pace()) {
+	if elapsed(t.lastReadConfirmation, now) < time.Duration(float64(t.bound())/3*t.intervalFactor()) {
 		return false
 	}
-	if t.readSucceed {
-		return since >= t.readEvery()
+	if t.lastReadSucceeded {
+		return sinceRead >= t.readEvery()
 	}
-	spread := time.Duration(len(t.head.Members)) * time.Second / fallbackReads
-	return since >= max(t.readEvery(), time.Duration(float64(spread)*t.pace()))
+	meanInterval := time.Duration(len(t.head.Members)) * time.Second / fallbackReadRate
+	return sinceRead >= max(t.readEvery(), time.Duration(float64(meanInterval)*t.intervalFactor()))
 }
 
-// isReader ranks the members by rendezvous hashing. An instance that is no member yet reads for itself.
+// isReader ranks the members by rendezvous hashing. An instance that is not a member yet always reads.
 func (t *Tracker) isReader() bool {
 	if !t.isMember(t.Self.identity()) {
 		return true
 	}
-	own, ahead := readerScore(t.Self.Name), 0
+	own, higher := readerScore(t.Self.Name), 0
 	for _, m := range t.head.Members {
 		if m.Name != t.Self.Name && readerScore(m.Name) > own {
-			ahead++
+			higher++
 		}
 	}
-	return ahead < t.readers()
+	return higher < t.readers()
 }
 
-// pace is by how much longer or shorter this instance waits than the mean. With one pace for all, the whole
-// fleet, which lost the store in one moment, comes back to it in one second of every twenty; and at rest
-// all that hear too little read in the same second, where a few that read sooner would have told the rest.
-// The shortest and longest are such that all together read as often as with one pace.
-func (t *Tracker) pace() float64 {
+// intervalFactor is the ratio of this instance's intervals to the mean. With the same interval for all, the whole
+// fleet, which lost the store at the same moment, would read again within one second of every twenty. In normal
+// operation, all instances that get too few confirmations would read in the same second, though a few that read earlier
+// could have confirmed the revision to the rest. The shortest and longest are chosen so that all together read as often
+// as with one interval.
+func (t *Tracker) intervalFactor() float64 {
 	const shortest, longest, steps = 0.55, 1.65, 1024
 	return shortest + (longest-shortest)*float64(xxhash.Sum64String("pace/"+t.Self.Name)%steps)/steps
 }
--- a/internal/fleet/freshness/relay.go
+++ b/internal/fleet/freshness/relay.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// relay.go passes on who has told the installed revision, so that it is known to be in force everywhere
-// within seconds however large the fleet is. An instance hears from four members a second; from all of 330
-// itself it would take half a minute, in which neither shares nor upstreams change hands.
+// This file exchanges which members have reported the installed revision, so that it is known to be in force everywhere
+// within seconds in a fleet of any size. An instance gets replies from four members a second. Direct reports from all
+// of 330 would take half a minute, in which neither rate shares nor upstreams could change hands.
 //
-// That a process has told a revision stays true: it never goes back to an older one, and a restart is
-// another process. So hearsay is as good as its own word. The list goes by place in the head's members, and
-// counts only between two instances that go by the same head; others have it within a second or two.
+// That a process has reported a revision stays true: it never returns to an older one, and a restarted process is
+// another one. So a relayed report counts like a direct one. The bits are in the order of the head's members, so they
+// count only between two instances with the same head; the others have that head within a second or two.
 
-// bitsInByte is how many members one byte of a list stands for.
+// bitsInByte is how many members one byte of a bitmap covers.
 const bitsInByte = 8
 
-// Relay returns the installed revision and, a bit for each member in the head's order, who has told it.
-func (t *Tracker) Relay() (revision int64, told []byte) {
+// Relay returns the installed revision and a bitmap, in the head's order, of the members that have reported it.
+func (t *Tracker) Relay() (revision int64, reported []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	told = make([]byte, (len(t.head.Members)+bitsInByte-1)/bitsInByte)
+	reported = make([]byte, (len(t.head.Members)+bitsInByte-1)/bitsInByte)
 	for i, m := range t.head.Members {
-		if t.told[m.identity()].Revision >= t.head.Revision {
-			told[i/bitsInByte] |= 1 << (i % bitsInByte)
+		if t.reports[m.identity()].Revision >= t.head.Revision {
+			reported[i/bitsInByte] |= 1 << (i % bitsInByte)
 		}
 	}
-	return t.head.Revision, told
+	return t.head.Revision, reported
 }
 
-// Relayed takes in what another member's Relay returned.
-func (t *Tracker) Relayed(revision int64, told []byte) {
+// Relayed merges what Relay returned on another member.
+func (t *Tracker) Relayed(revision int64, reported []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if revision != t.head.Revision {
@@ -35,10 +35,10 @@
 	}
 	now := time.Now()
 	for i, m := range t.head.Members {
-		at := i / bitsInByte
-		if at < len(told) && told[at]&(1<<(i%bitsInByte)) != 0 {
-			t.tell(m, revision, now)
+		index := i / bitsInByte
+		if index < len(reported) && reported[index]&(1<<(i%bitsInByte)) != 0 {
+			t.recordReport(m, revision, now)
 		}
 	}
-	t.review(now)
+	t.advanceInForce(now)
 }
--- a/internal/fleet/freshness/store_budget_test.go
+++ b/internal/fleet/freshness/store_budget_test.go
@@ -14,166 +14,167 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/freshness"
 )
 
-// This file counts what a fleet's knowledge costs the store, on the paused clock: Trackers that read the
-// store when they say so and send heartbeats as the daemon does.
+// This file counts the reads of the store that keep a fleet's configuration fresh, on a simulated clock: Trackers read
+// the store when they request it and send heartbeats as the daemon does.
 
-// The figures of the daemon's heartbeats and reads.
+// Parameters of the daemon's heartbeats and reads.
 const (
-	step        = 100 * time.Millisecond
-	beatSteps   = 5
-	beatsAtOnce = 2
-	// readsOfChange is what taking up a new head reads: its pointer, the head and one changed part.
+	step               = 100 * time.Millisecond
+	heartbeatSteps     = 5
+	heartbeatsPerRound = 2
+	// readsOfChange is how many reads applying a new head takes: its pointer, the head and one changed part.
 	readsOfChange = 3
-	// storeReads is what the store takes in a second.
+	// storeReads is how many reads the store can serve per second.
 	storeReads = 2000
 )
 
-// Every run of the tests takes a short outage and a fleet of a hundred, to end within seconds. The target's
-// figures come from
+// By default the outage is short and the fleet has a hundred instances, so that the test ends within seconds. The
+// figures for the target size come from
 //
 //	go test ./internal/fleet/freshness -run StoresBudget -v -fleet 330 -outage 10m
 var (
-	outage = flag.Duration("outage", time.Minute, "how long the store is down in the count of its reads")
-	fleet  = flag.Int("fleet", 100, "how many instances the larger fleet has")
+	outage = flag.Duration("outage", time.Minute, "duration of the simulated store outage")
+	fleet  = flag.Int("fleet", 100, "number of instances in the larger fleet")
 )
 
-// fleetMember is one instance.
-type fleetMember struct {
-	tracker  *freshness.Tracker
-	self     freshness.Member
-	revision int64
-	queue    []int
-	silent   bool
+// simulatedInstance is one instance.
+type simulatedInstance struct {
+	tracker          *freshness.Tracker
+	self             freshness.Member
+	revision         int64
+	heartbeatTargets []int
+	silent           bool
 }
 
-// fleetWorld is the instances and the store.
-type fleetWorld struct {
-	members  []*fleetMember
-	random   *rand.Rand
-	revision int64
-	down     bool
-	steps    int
-	second   int
-	peak     int
-	total    int
-	pings    int
+// fleetSimulation holds the instances and the store.
+type fleetSimulation struct {
+	members         []*simulatedInstance
+	random          *rand.Rand
+	revision        int64
+	down            bool
+	steps           int
+	readsThisSecond int
+	peakReads       int
+	totalReads      int
+	heartbeats      int
 }
 
-func newFleetWorld(size int) *fleetWorld {
-	w := &fleetWorld{random: rand.New(rand.NewPCG(1, 2)), revision: 1}
+func newFleetSimulation(size int) *fleetSimulation {
+	s := &fleetSimulation{random: rand.New(rand.NewPCG(1, 2)), revision: 1}
 	for i := range size {
 		self := freshness.Member{Name: fmt.Sprint("instance-", i), Incarnation: "a"}
-		w.members = append(w.members, &fleetMember{self: self, tracker: &freshness.Tracker{Self: self}})
+		s.members = append(s.members, &simulatedInstance{self: self, tracker: &freshness.Tracker{Self: self}})
 	}
-	for _, m := range w.members {
-		w.install(m)
+	for _, m := range s.members {
+		s.install(m)
 	}
-	return w
+	return s
 }
 
-func (w *fleetWorld) install(m *fleetMember) {
-	head := freshness.Head{Revision: w.revision, Epoch: 1}
-	for _, other := range w.members {
+func (s *fleetSimulation) install(m *simulatedInstance) {
+	head := freshness.Head{Revision: s.revision, Epoch: 1}
+	for _, other := range s.members {
 		head.Members = append(head.Members, other.self)
 	}
 	m.tracker.Install(head)
-	m.revision = w.revision
+	m.revision = s.revision
 }
 
-// run lets time pass and returns the reads a second in the mean, and the most in any second.
-func (w *fleetWorld) run(duration time.Duration) (mean, peak float64) {
-	w.total, w.peak, w.second, w.pings = 0, 0, 0, 0
+// run lets time pass and returns the mean and the highest number of reads per second.
+func (s *fleetSimulation) run(duration time.Duration) (mean, peak float64) {
+	s.totalReads, s.peakReads, s.readsThisSecond, s.heartbeats = 0, 0, 0, 0
 	for range duration / step {
 		time.Sleep(step)
-		w.steps++
-		for i, m := range w.members {
-			w.read(m)
-			if (w.steps+i)%beatSteps == 0 && !m.silent {
-				w.beat(i)
+		s.steps++
+		for i, m := range s.members {
+			s.read(m)
+			if (s.steps+i)%heartbeatSteps == 0 && !m.silent {
+				s.sendHeartbeats(i)
 			}
 		}
-		if w.steps%int(time.Second/step) == 0 {
-			w.peak = max(w.peak, w.second)
-			w.second = 0
+		if s.steps%int(time.Second/step) == 0 {
+			s.peakReads = max(s.peakReads, s.readsThisSecond)
+			s.readsThisSecond = 0
 		}
 	}
-	return float64(w.total) / duration.Seconds(), float64(w.peak)
+	return float64(s.totalReads) / duration.Seconds(), float64(s.peakReads)
 }
 
-func (w *fleetWorld) count(reads int) {
-	w.second += reads
-	w.total += reads
+func (s *fleetSimulation) count(reads int) {
+	s.readsThisSecond += reads
+	s.totalReads += reads
 }
 
-func (w *fleetWorld) read(m *fleetMember) {
+func (s *fleetSimulation) read(m *simulatedInstance) {
 	if !m.tracker.ShouldReadStore() {
 		return
 	}
-	w.count(1)
-	if w.down {
+	s.count(1)
+	if s.down {
 		m.tracker.ReadFailed(time.Now())
 		return
 	}
-	m.tracker.ReadConfirmed(time.Now(), w.revision)
-	if m.revision < w.revision {
-		w.count(readsOfChange - 1)
-		w.install(m)
+	m.tracker.ReadConfirmed(time.Now(), s.revision)
+	if m.revision < s.revision {
+		s.count(readsOfChange - 1)
+		s.install(m)
 	}
 }
 
-// beat asks some members, in turn.
-func (w *fleetWorld) beat(i int) {
-	m := w.members[i]
-	others := len(w.members) - 1
-	count := min(beats(m.tracker, others), others)
+// sendHeartbeats sends heartbeats to some members, in turn.
+func (s *fleetSimulation) sendHeartbeats(i int) {
+	m := s.members[i]
+	others := len(s.members) - 1
+	count := min(heartbeatCount(m.tracker, others), others)
 	for range count {
-		if len(m.queue) == 0 {
-			m.queue = w.random.Perm(len(w.members))
+		if len(m.heartbeatTargets) == 0 {
+			m.heartbeatTargets = s.random.Perm(len(s.members))
 		}
-		peer := m.queue[0]
-		m.queue = m.queue[1:]
+		peer := m.heartbeatTargets[0]
+		m.heartbeatTargets = m.heartbeatTargets[1:]
 		if peer == i {
 			continue
 		}
-		w.pings++
+		s.heartbeats++
 		asker, _ := m.tracker.Confirmed()
-		w.members[peer].tracker.Told(m.self, asker)
-		w.members[peer].tracker.Relayed(m.tracker.Relay())
-		revision, age := w.members[peer].tracker.Confirmed()
+		s.members[peer].tracker.Told(m.self, asker)
+		s.members[peer].tracker.Relayed(m.tracker.Relay())
+		revision, age := s.members[peer].tracker.Confirmed()
 		m.tracker.Replied(freshness.Reply{
-			Member: w.members[peer].self, Asked: time.Now(), Revision: revision, ConfirmedAge: age,
+			Member: s.members[peer].self, Asked: time.Now(), Revision: revision, ConfirmedAge: age,
 		})
-		m.tracker.Relayed(w.members[peer].tracker.Relay())
+		m.tracker.Relayed(s.members[peer].tracker.Relay())
 	}
 }
 
-// beats is how many members are asked at a time.
-func beats(tracker *freshness.Tracker, others int) int {
+// heartbeatCount returns how many members get a heartbeat in one round.
+func heartbeatCount(tracker *freshness.Tracker, others int) int {
 	if _, age := tracker.Confirmed(); age >= 0 && age < freshness.Bound*3/5 {
-		return beatsAtOnce
+		return heartbeatsPerRound
 	}
-	rounds := float64(freshness.Bound/2) / float64(beatSteps*step)
-	return max(beatsAtOnce, int(math.Ceil(float64(others)/rounds)))
+	rounds := float64(freshness.Bound/2) / float64(heartbeatSteps*step)
+	return max(heartbeatsPerRound, int(math.Ceil(float64(others)/rounds)))
 }
 
-// until lets time pass until the condition holds, and returns how long it took; at most two minutes.
-func (w *fleetWorld) until(condition func() bool) (took time.Duration, most float64) {
-	began := time.Now()
-	for !condition() && time.Since(began) < 2*time.Minute {
-		_, peak := w.run(time.Second)
+// runUntil lets time pass until the condition holds, at most two minutes. It returns how long that took and the most
+// reads in any second.
+func (s *fleetSimulation) runUntil(condition func() bool) (took time.Duration, most float64) {
+	startedAt := time.Now()
+	for !condition() && time.Since(startedAt) < 2*time.Minute {
+		_, peak := s.run(time.Second)
 		most = max(most, peak)
 	}
-	return time.Since(began), most
+	return time.Since(startedAt), most
 }
 
-// beatsEach is how many heartbeats a second each of the senders asked for in the last run.
-func (w *fleetWorld) beatsEach(duration time.Duration, senders int) float64 {
-	return float64(w.pings) / duration.Seconds() / float64(senders)
+// heartbeatsPerSecond returns how many heartbeats per second each sender sent in the last run.
+func (s *fleetSimulation) heartbeatsPerSecond(duration time.Duration, senders int) float64 {
+	return float64(s.heartbeats) / duration.Seconds() / float64(senders)
 }
 
-// fresh counts the members that may act.
-func (w *fleetWorld) fresh() (count int) {
-	for _, m := range w.members {
+// countFresh counts the members whose configuration is fresh.
+func (s *fleetSimulation) countFresh() (count int) {
+	for _, m := range s.members {
 		if m.tracker.Fresh() == nil {
 			count++
 		}
@@ -181,8 +182,8 @@
 	return count
 }
 
-func (w *fleetWorld) allHave(revision int64) bool {
-	for _, m := range w.members {
+func (s *fleetSimulation) allHave(revision int64) bool {
+	for _, m := range s.members {
 		if m.revision < revision {
 			return false
 		}
@@ -190,12 +191,12 @@
 	return true
 }
 
-// The store takes some two thousand reads a second, and more only slowly as the fleet grows. A fleet in
-// which each instance read by itself would take it up with nothing but confirmations, or meet its return
-// from an outage with all instances at once and bring it down again.
+// The store serves some two thousand reads per second, and this number grows only slowly with the fleet. If each
+// instance read on its own schedule, confirmations alone would use up the store, or all instances at once would
+// overload it again when it recovers from an outage.
 //
-// In the outage only five instances of the larger fleet send heartbeats, and only for its first and last ten
-// seconds, as heartbeats bring no read about then; all send them again from its end on.
+// In the outage only five instances of the larger fleet send heartbeats, and only in its first and last ten seconds, as
+// heartbeats cause no reads in between; all send them again once it ends.
 func TestReadsStayWithinTheStoresBudget(t *testing.T) {
 	cases := []struct {
 		instances int
@@ -209,48 +210,48 @@
 		t.Run(fmt.Sprint(c.instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newFleetWorld(c.instances)
-				w.run(10 * time.Second)
-				mean, peak := w.run(20 * time.Second)
-				t.Logf("at rest: %.1f reads/s, %.0f in the worst second, %d of %d fresh, %.1f heartbeats/s asked by each",
-					mean, peak, w.fresh(), c.instances, w.beatsEach(20*time.Second, c.instances))
+				s := newFleetSimulation(c.instances)
+				s.run(10 * time.Second)
+				mean, peak := s.run(20 * time.Second)
+				t.Logf("normal operation: %.1f reads/s, %.0f in the worst second, %d of %d fresh, %.1f heartbeats/s sent by each",
+					mean, peak, s.countFresh(), c.instances, s.heartbeatsPerSecond(20*time.Second, c.instances))
 				is.True(peak <= storeReads/4)
-				is.Equal(w.fresh(), c.instances)
+				is.Equal(s.countFresh(), c.instances)
 
-				w.down = true
-				w.silence(c.sampled)
-				_, first := w.run(10 * time.Second)
-				w.silence(c.quiet)
-				mean, peak = w.run(*outage - 20*time.Second)
-				w.silence(c.sampled)
-				w.run(10 * time.Second)
-				t.Logf("in an outage of %v: %.0f in the worst of the first ten seconds, then %.1f reads/s, %.0f in the worst second; %d of the %d that send heartbeats are fresh, %.1f heartbeats/s asked by each",
-					*outage, first, mean, peak, w.fresh(), c.sampled, w.beatsEach(10*time.Second, c.sampled))
-				is.True(first <= storeReads/4)
+				s.down = true
+				s.limitSenders(c.sampled)
+				_, outagePeak := s.run(10 * time.Second)
+				s.limitSenders(c.quiet)
+				mean, peak = s.run(*outage - 20*time.Second)
+				s.limitSenders(c.sampled)
+				s.run(10 * time.Second)
+				t.Logf("outage of %v: %.0f reads in the worst of the first ten seconds, then %.1f reads/s, %.0f in the worst second; %d of the %d that send heartbeats are fresh, %.1f heartbeats/s sent by each",
+					*outage, outagePeak, mean, peak, s.countFresh(), c.sampled, s.heartbeatsPerSecond(10*time.Second, c.sampled))
+				is.True(outagePeak <= storeReads/4)
 				is.True(peak <= storeReads/4)
-				is.Equal(w.fresh(), c.sampled)
+				is.Equal(s.countFresh(), c.sampled)
 
-				w.down = false
-				w.silence(c.instances)
-				mean, peak = w.run(10 * time.Second)
-				t.Logf("in the ten seconds after it: %.1f reads/s, %.0f in the worst second, %d of %d fresh", mean, peak, w.fresh(), c.instances)
+				s.down = false
+				s.limitSenders(c.instances)
+				mean, peak = s.run(10 * time.Second)
+				t.Logf("first ten seconds after the outage: %.1f reads/s, %.0f in the worst second, %d of %d fresh", mean, peak, s.countFresh(), c.instances)
 				is.True(peak <= storeReads/4)
-				is.Equal(w.fresh(), c.instances)
+				is.Equal(s.countFresh(), c.instances)
 
-				w.revision++
-				had, most := w.until(func() bool { return w.allHave(w.revision) })
-				known, _ := w.until(func() bool { return w.members[0].tracker.InForceEverywhere(w.revision) })
-				t.Logf("after a change: all have it within %v, one instance knows so after %v; %.0f reads in the worst second", had, had+known, most)
+				s.revision++
+				appliedAfter, most := s.runUntil(func() bool { return s.allHave(s.revision) })
+				known, _ := s.runUntil(func() bool { return s.members[0].tracker.InForceEverywhere(s.revision) })
+				t.Logf("change: applied by all within %v, known to be in force by one instance after %v; %.0f reads in the worst second", appliedAfter, appliedAfter+known, most)
 				is.True(most <= storeReads/2)
-				is.True(w.allHave(w.revision))
+				is.True(s.allHave(s.revision))
 			})
 		})
 	}
 }
 
-// silence lets only the first so many members send heartbeats.
-func (w *fleetWorld) silence(speaking int) {
-	for i, m := range w.members {
-		m.silent = i >= speaking
+// limitSenders lets only the first members, as many as given, send heartbeats.
+func (s *fleetSimulation) limitSenders(senders int) {
+	for i, m := range s.members {
+		m.silent = i >= senders
 	}
 }
--- a/internal/fleet/freshness/told_test.go
+++ b/internal/fleet/freshness/told_test.go
@@ -10,10 +10,10 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/freshness"
 )
 
-// Two processes run under one name by mistake, or the old one is frozen while a new one starts
-// elsewhere. The new one's own word must not count as the old one's end: the old one may wake up and go
-// on serving a key that was declared withdrawn everywhere.
-func TestUnaskedWordOfAnotherProcessEndsNobody(t *testing.T) {
+// Two processes run under one name by mistake, or the old one is frozen while a new one starts elsewhere. A heartbeat
+// from the new one must not mark the old one as ended: the old one may resume and go on serving a key that was declared
+// withdrawn everywhere.
+func TestHeartbeatOfAnotherIncarnationEndsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		self := freshness.Member{Name: "a", Incarnation: "1"}
--- a/internal/fleet/freshness/tracker.go
+++ b/internal/fleet/freshness/tracker.go
@@ -10,45 +10,45 @@
 	"github.com/pkg/errors"
 )
 
-// This file holds the aggregate: facts come in through Install, ReadConfirmed, ReadFailed and Replied,
-// questions are answered from them. It starts no goroutine and makes no call.
+// This file holds the Tracker: inputs arrive through Install, ReadConfirmed, ReadFailed, Replied, Told, Relayed and
+// Ended, and queries are answered from them. It starts no goroutine and makes no call.
 
-// Tracker keeps what one instance knows and since when. Set the exported fields before the first call;
-// zero durations and counts take the defaults. It is safe for concurrent use.
+// Tracker records what one instance knows and since when. Set the exported fields before the first call; zero durations
+// and counts use the defaults. It is safe for concurrent use.
 type Tracker struct {
 	// Self is this process. It is fresh only while its head lists it.
 	Self Member
-	// Bound is how long a confirmation lasts, and must be equal on all instances.
+	// Bound is how long a confirmation lasts. It must be equal on all instances.
 	Bound time.Duration
-	// ReadEvery is the time between two reads of the store by one that reads.
+	// ReadEvery is the interval between two reads of the store by a reader.
 	ReadEvery time.Duration
-	// Readers is how many instances read while all goes well.
+	// Readers is how many instances read the store regularly.
 	Readers int
 
 	mutex     sync.Mutex
 	head      Head
 	installed time.Time
 	changed   chan struct{}
-	// read is the newest confirmation by a read of the store, our own or relayed, of the head's
-	// revision; ahead is the same for a revision that is not installed yet.
-	read  time.Time
-	ahead confirmation
-	// quorum is the start of the newest confirmation by a majority.
-	quorum   time.Time
-	told     map[identity]Status
-	asked    map[identity]question
-	highest  int64
-	pending  []pendingRevision
-	inForce  int64
-	departed map[identity]int64
-	// blind is the revision up to which members may have left that this process never saw.
-	blind       int64
-	lastRead    time.Time
-	readSucceed bool
+	// lastReadConfirmation is the newest confirmation of the head's revision by a read of the store, our own or
+	// relayed. newerConfirmation is the same for a revision that is not installed yet.
+	lastReadConfirmation time.Time
+	newerConfirmation    confirmation
+	// lastMajorityConfirmation is the start of the newest confirmation by a majority.
+	lastMajorityConfirmation time.Time
+	reports                  map[identity]Status
+	lastReplies              map[identity]heartbeatReply
+	highestReported          int64
+	pending                  []pendingRevision
+	inForce                  int64
+	departed                 map[identity]int64
+	// missedDepartures is the revision up to which members may have left without this process seeing it.
+	missedDepartures  int64
+	lastRead          time.Time
+	lastReadSucceeded bool
 }
 
-// maxPending bounds the revisions kept while none gets in force; dropping the oldest is safe, since a
-// newer one takes it along.
+// maxPending limits the revisions kept while none comes into force. Dropping the oldest is safe: it comes into force
+// with any newer one.
 const maxPending = 256
 
 type identity struct {
@@ -57,21 +57,21 @@
 }
 
 type confirmation struct {
-	revision int64
-	at       time.Time
+	revision    int64
+	confirmedAt time.Time
 }
 
-// question is the newest heartbeat that a member answered, and what it knew then.
-type question struct {
-	asked    time.Time
+// heartbeatReply is when the newest heartbeat that a member answered was sent, and the revision that it reported.
+type heartbeatReply struct {
+	sentAt   time.Time
 	revision int64
 }
 
-// pendingRevision is an installed revision that is not known to be in force everywhere. Majority is
-// when a majority had told it; zero before.
+// pendingRevision is an installed revision that is not known to be in force everywhere. majorityAt is when a majority
+// had reported it; zero before that.
 type pendingRevision struct {
-	revision int64
-	majority time.Time
+	revision   int64
+	majorityAt time.Time
 }
 
 func (m Member) identity() identity {
@@ -79,106 +79,107 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// Facts.
+// Inputs.
 
-// Install says that a head is in force in this process from now on. A head that is not newer than the
-// one installed changes nothing. What confirmed the older head confirms the newer one as well: at that
-// time nobody had anything higher.
+// Install records that a head is in force in this process from now on. A head that is not newer than the installed one
+// changes nothing. A confirmation of the older head also holds for the newer one: at that time no higher revision was
+// in force everywhere.
 func (t *Tracker) Install(head Head) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if head.Revision <= t.head.Revision {
 		return
 	}
-	t.noteDepartures(head)
+	t.recordDepartures(head)
 	t.head = Head{Revision: head.Revision, Epoch: head.Epoch, Members: slices.Clone(head.Members)}
 	t.installed = time.Now()
-	if t.ahead.revision == head.Revision {
-		t.read = later(t.read, t.ahead.at)
+	if t.newerConfirmation.revision == head.Revision {
+		t.lastReadConfirmation = latest(t.lastReadConfirmation, t.newerConfirmation.confirmedAt)
 	}
-	t.ahead = confirmation{}
-	t.highest = max(t.highest, head.Revision)
+	t.newerConfirmation = confirmation{}
+	t.highestReported = max(t.highestReported, head.Revision)
 	t.pending = append(t.pending, pendingRevision{revision: head.Revision})
 	if len(t.pending) > maxPending {
 		t.pending = slices.Delete(t.pending, 0, 1)
 	}
-	t.tell(t.Self, head.Revision, time.Now())
-	t.forget()
-	t.review(time.Now())
+	t.recordReport(t.Self, head.Revision, time.Now())
+	t.dropUnrelatedProcesses()
+	t.advanceInForce(time.Now())
 }
 
-// ReadConfirmed says that a read of the store which began at that time showed the revision as newest.
-func (t *Tracker) ReadConfirmed(began time.Time, revision int64) {
+// ReadConfirmed records that a read of the store which started at that time returned the revision as the newest.
+func (t *Tracker) ReadConfirmed(startedAt time.Time, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.lastRead, t.readSucceed = began, true
-	t.confirm(began, revision)
-	t.review(time.Now())
+	t.lastRead, t.lastReadSucceeded = startedAt, true
+	t.recordConfirmation(startedAt, revision)
+	t.advanceInForce(time.Now())
 }
 
-// ReadFailed says that a read of the store which began at that time brought nothing.
-func (t *Tracker) ReadFailed(began time.Time) {
+// ReadFailed records that a read of the store which started at that time failed.
+func (t *Tracker) ReadFailed(startedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.lastRead, t.readSucceed = began, false
+	t.lastRead, t.lastReadSucceeded = startedAt, false
 }
 
-// Replied says what a peer answered to a heartbeat. The daemon asks every member; an answer counts for
-// the process that gave it and for no other of the same name.
+// Replied records a peer's reply to a heartbeat. The daemon sends heartbeats to every member. A reply counts for the
+// process that sent it and for no other of the same name.
 func (t *Tracker) Replied(reply Reply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.highest = max(t.highest, reply.Revision)
+	t.highestReported = max(t.highestReported, reply.Revision)
 	if reply.ConfirmedAge >= 0 {
-		t.confirm(reply.Asked.Add(-reply.ConfirmedAge), reply.Revision)
+		t.recordConfirmation(reply.Asked.Add(-reply.ConfirmedAge), reply.Revision)
 	}
-	t.noteReplaced(reply)
+	t.markReplacedMembers(reply)
 	id := reply.Member.identity()
-	if t.concerns(id) {
-		t.tell(reply.Member, reply.Revision, now)
-		if known := t.asked[id]; reply.Asked.After(known.asked) {
-			t.asked[id] = question{asked: reply.Asked, revision: reply.Revision}
+	if t.isRelevant(id) {
+		t.recordReport(reply.Member, reply.Revision, now)
+		if known := t.lastReplies[id]; reply.Asked.After(known.sentAt) {
+			t.lastReplies[id] = heartbeatReply{sentAt: reply.Asked, revision: reply.Revision}
 		}
-		t.extendByMajority(now)
+		t.confirmByMajority(now)
 	}
-	t.review(now)
+	t.advanceInForce(now)
 }
 
-// Told says that a process told, unasked, which revision it goes by. That helps the revision into force
-// everywhere and shows that there is a newer one. It confirms nothing, since it may have been on its way
-// for long, and it says nothing of another process of the same name, which may be anywhere.
+// Told records that a process has reported its revision without being asked, in a heartbeat of its own. The report
+// counts towards the revision being in force everywhere and may show that there is a newer one. It confirms nothing,
+// since it may have been in transit for long. It does not show that another process of the same name has ended: that
+// may still be running anywhere.
 func (t *Tracker) Told(member Member, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.highest = max(t.highest, revision)
+	t.highestReported = max(t.highestReported, revision)
 	now := time.Now()
-	if t.concerns(member.identity()) {
-		t.tell(member, revision, now)
+	if t.isRelevant(member.identity()) {
+		t.recordReport(member, revision, now)
 	}
-	t.review(now)
+	t.advanceInForce(now)
 }
 
-// Ended says that a process has certainly ended, so that it counts as having told every revision. The
-// caller must be sure: a process that is only silent may be frozen, and would be fresh again by a
-// majority of its like. Without this a fleet that was restarted whole could not make a single change
-// of members, since the majority of the old head will never answer.
+// Ended records that a process has certainly ended, so that it counts as having reported every revision. The caller
+// must be sure: a process that only does not answer may be frozen, and would be fresh again by a majority of such
+// processes. Without this call, a fleet whose processes were all restarted could not change its members at all, since
+// the majority of the old head will never answer.
 func (t *Tracker) Ended(member Member) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.tell(member, math.MaxInt64, time.Now())
-	t.review(time.Now())
+	t.recordReport(member, math.MaxInt64, time.Now())
+	t.advanceInForce(time.Now())
 }
 
 // ---------------------------------------------------------------------------------------------
-// Questions.
+// Queries.
 
-// Fresh answers nil while the knowledge may be used, otherwise a *StaleError. Ask at the moment of use.
+// Fresh returns nil while the configuration may be used, otherwise a *StaleError. Call it at the moment of use.
 func (t *Tracker) Fresh() error {
 	return t.FreshAt(time.Now())
 }
 
-// FreshAt is Fresh for a moment that the caller has just read from the clock.
+// FreshAt is Fresh for a time that the caller has just read from the clock.
 func (t *Tracker) FreshAt(now time.Time) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -192,28 +193,28 @@
 	return nil
 }
 
-// Grounds is what an instance's freshness rests on.
+// Grounds describes why an instance is fresh or stale.
 type Grounds struct {
-	// Fresh tells whether the knowledge may be used.
+	// Fresh reports whether the configuration may be used.
 	Fresh bool
-	// Revision is the installed one, and Highest the highest that any peer has reported.
+	// Revision is the installed revision, and Highest the highest that any peer has reported.
 	Revision int64
 	Highest  int64
-	// Read and Majority are how long ago a read of the store and a majority of members confirmed the revision; negative
-	// if never.
+	// Read and Majority are the ages of the last confirmations of the revision by a read of the store and by a majority
+	// of members; negative if there was none.
 	Read     time.Duration
 	Majority time.Duration
 }
 
-// Grounds returns what freshness rests on now, for the log.
+// Grounds returns the current grounds, for the log.
 func (t *Tracker) Grounds() Grounds {
 	fresh := t.Fresh() == nil
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	return Grounds{
-		Fresh: fresh, Revision: t.head.Revision, Highest: t.highest,
-		Read: ageOf(t.read, now), Majority: ageOf(t.quorum, now),
+		Fresh: fresh, Revision: t.head.Revision, Highest: t.highestReported,
+		Read: ageOf(t.lastReadConfirmation, now), Majority: ageOf(t.lastMajorityConfirmation, now),
 	}
 }
 
@@ -224,8 +225,8 @@
 	return elapsed(at, now)
 }
 
-// FreshUntil returns the installed revision and until when it may be used if nothing more is heard;
-// the zero time when it may not be used at all.
+// FreshUntil returns the installed revision and the time until which it may be used without further confirmation; the
+// zero time if it may not be used at all.
 func (t *Tracker) FreshUntil() (revision int64, until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -236,46 +237,46 @@
 	return t.head.Revision, at.Add(t.bound())
 }
 
-// Confirmed returns the installed revision and how long ago a read of the store showed it as newest;
-// negative when that is not known. It is what heartbeats tell.
+// Confirmed returns the installed revision and how long ago a read of the store showed it as the newest; negative if
+// that is not known. Heartbeats carry both.
 func (t *Tracker) Confirmed() (revision int64, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.read.IsZero() {
+	if t.lastReadConfirmation.IsZero() {
 		return t.head.Revision, -1
 	}
-	return t.head.Revision, elapsed(t.read, time.Now())
+	return t.head.Revision, elapsed(t.lastReadConfirmation, time.Now())
 }
 
-// Behind tells whether a higher revision than the installed one was heard of, and which.
+// Behind returns the highest revision that is known to exist, and whether it is higher than the installed one.
 func (t *Tracker) Behind() (revision int64, behind bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.highest, t.highest > t.head.Revision
+	return t.highestReported, t.highestReported > t.head.Revision
 }
 
-// InForce returns the highest revision known to be in force everywhere: no member can act on an older
-// one any more, now or later.
+// InForce returns the highest revision known to be in force everywhere: no member can act on an older one, now or
+// later.
 func (t *Tracker) InForce() int64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.review(time.Now())
+	t.advanceInForce(time.Now())
 	return t.inForce
 }
 
-// InForceEverywhere tells whether no member can act on anything older than the revision.
+// InForceEverywhere reports whether no member can act on anything older than the revision.
 func (t *Tracker) InForceEverywhere(revision int64) bool {
 	return t.InForce() >= revision
 }
 
-// WaitInForce returns when the revision is in force everywhere, or with the context's error.
+// WaitInForce waits until the revision is in force everywhere, or returns the context's error.
 func (t *Tracker) WaitInForce(ctx context.Context, revision int64) (err error) {
-	defer func() { err = errors.WithMessagef(err, "wait for revision %d in force", revision) }()
+	defer func() { err = errors.WithMessagef(err, "wait until revision %d is in force", revision) }()
 	for {
 		if t.InForceEverywhere(revision) {
 			return nil
 		}
-		changed, wait := t.nextReview()
+		changed, wait := t.nextCheck()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -285,13 +286,13 @@
 	}
 }
 
-// Status returns what is known of each member of the head, in the head's order.
+// Status returns the status of each member of the head, in the head's order.
 func (t *Tracker) Status() []Status {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	list := make([]Status, 0, len(t.head.Members))
 	for _, m := range t.head.Members {
-		status, found := t.told[m.identity()]
+		status, found := t.reports[m.identity()]
 		status.Member, status.Told = m, found
 		list = append(list, status)
 	}
@@ -299,22 +300,22 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// Who counts.
+// Members and defaults.
 
 func (t *Tracker) isMember(id identity) bool {
 	return slices.ContainsFunc(t.head.Members, func(m Member) bool { return m.identity() == id })
 }
 
-func (t *Tracker) concerns(id identity) bool {
-	_, left := t.departed[id]
-	return left || t.isMember(id) || id == t.Self.identity()
+func (t *Tracker) isRelevant(id identity) bool {
+	_, departed := t.departed[id]
+	return departed || t.isMember(id) || id == t.Self.identity()
 }
 
 func majority(count int) int {
 	return count/2 + 1
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/internal/fleet/freshness/tracker_test.go
+++ b/internal/fleet/freshness/tracker_test.go
@@ -15,8 +15,8 @@
 	return freshness.Member{Name: name, Incarnation: name + "#1", Since: since}
 }
 
-// three is a tracker of member a on revision 3, in a fleet of a, b and c.
-func three() *freshness.Tracker {
+// newTrackerOfThree returns a tracker of member a at revision 3, in a fleet of a, b and c.
+func newTrackerOfThree() *freshness.Tracker {
 	t := &freshness.Tracker{Self: member("a", 1), Bound: bound}
 	t.Install(freshness.Head{
 		Revision: 3, Epoch: 3,
@@ -25,53 +25,52 @@
 	return t
 }
 
-func reply(m freshness.Member, asked time.Time, revision int64) freshness.Reply {
-	return freshness.Reply{Member: m, Asked: asked, Revision: revision, ConfirmedAge: -1}
+func reply(m freshness.Member, sentAt time.Time, revision int64) freshness.Reply {
+	return freshness.Reply{Member: m, Asked: sentAt, Revision: revision, ConfirmedAge: -1}
 }
 
-// A peer's answer spent longer in the network than knowledge lasts. It tells what the peer knew when it
-// was asked; taken for news, it would keep an instance serving what was withdrawn meanwhile.
-func TestLateAnswerConfirmsOnlyFromWhenItWasAsked(t *testing.T) {
+// A peer's reply was in transit for longer than a confirmation lasts. It states what the peer knew when the heartbeat
+// was sent. If it counted from its arrival, the instance would go on serving what was withdrawn meanwhile.
+func TestLateReplyConfirmsFromTheTimeOfItsHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, tracker, asked := is.New(t), three(), time.Now()
+		is, tracker, sentAt := is.New(t), newTrackerOfThree(), time.Now()
 		time.Sleep(bound - time.Second)
-		tracker.Replied(reply(member("b", 2), asked, 3))
+		tracker.Replied(reply(member("b", 2), sentAt, 3))
 		is.NoErr(tracker.Fresh())
 		time.Sleep(time.Second)
 		is.True(tracker.Fresh() != nil)
 	})
 }
 
-// A process was restarted and is a member under its new incarnation. A late answer of the old process,
-// from its old address, must not pass for proof that the new one has ended, or changes would count as
-// in force though the new process still serves the old.
-func TestLateAnswerOfAnOldProcessEndsNothing(t *testing.T) {
+// A process was restarted and is a member under its new incarnation. A late reply of the old process must not mark the
+// new one as ended, or changes would count as in force while the new process still serves the old configuration.
+func TestLateReplyOfAnOldIncarnationEndsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, tracker, asked := is.New(t), three(), time.Now()
+		is, tracker, sentAt := is.New(t), newTrackerOfThree(), time.Now()
 		tracker.Install(freshness.Head{
 			Revision: 4, Epoch: 4, Members: []freshness.Member{member("a", 1), member("c", 3)},
 		})
 		tracker.Replied(reply(member("c", 3), time.Now(), 4))
 		time.Sleep(bound + bound/10)
 		is.True(tracker.InForceEverywhere(4))
-		renewed := freshness.Member{Name: "b", Incarnation: "b#2", Since: 5}
+		restarted := freshness.Member{Name: "b", Incarnation: "b#2", Since: 5}
 		tracker.Install(freshness.Head{
-			Revision: 5, Epoch: 5, Members: []freshness.Member{member("a", 1), renewed, member("c", 3)},
+			Revision: 5, Epoch: 5, Members: []freshness.Member{member("a", 1), restarted, member("c", 3)},
 		})
 		tracker.Replied(reply(member("c", 3), time.Now(), 5))
-		tracker.Replied(reply(member("b", 2), asked, 3))
+		tracker.Replied(reply(member("b", 2), sentAt, 3))
 		is.True(!tracker.InForceEverywhere(5))
 	})
 }
 
-// One instance is frozen, so it never tells the new revision. The operator must neither wait for ever
-// nor be told too early: the change is in force once the frozen one cannot be fresh any more.
+// One instance is frozen, so it never reports the new revision. The operator must neither wait forever nor be told too
+// early: the change is in force once the frozen instance cannot be fresh any more.
 func TestWaitInForceWithOneFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, tracker, began := is.New(t), three(), time.Now()
+		is, tracker, startedAt := is.New(t), newTrackerOfThree(), time.Now()
 		tracker.Replied(reply(member("b", 2), time.Now(), 3))
 		is.NoErr(tracker.WaitInForce(context.Background(), 3))
-		waited := time.Since(began)
+		waited := time.Since(startedAt)
 		is.True(waited > bound && waited < bound+bound/10)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -79,19 +78,19 @@
 	})
 }
 
-// Every instance reading the store each second would take a sixth of its reads at 330 instances, and
-// all of them together would meet it when it comes back from an outage.
-func TestFewReadTheStore(t *testing.T) {
+// If every instance read the store each second, 330 instances would use a sixth of its capacity, and all of them would
+// hit it at once when it recovers from an outage.
+func TestFewInstancesReadTheStore(t *testing.T) {
 	tests := []struct {
 		name      string
 		instances int
 		down      bool
 		most      int // reads a second
 	}{
-		{"today", 8, false, 4},
-		{"today, store down", 8, true, 12},
-		{"target", 330, false, 4},
-		{"target, store down", 330, true, 20},
+		{"current size", 8, false, 4},
+		{"current size, store down", 8, true, 12},
+		{"target size", 330, false, 4},
+		{"target size, store down", 330, true, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -105,7 +104,8 @@
 	}
 }
 
-// countReads runs a fleet in which each instance hears the newest confirmation there is.
+// countReads simulates a fleet in which each instance receives the newest confirmation, and returns the number of
+// reads.
 func countReads(instances, seconds int, down bool) (reads int) {
 	var members []freshness.Member
 	for i := range instances {
@@ -120,7 +120,7 @@
 	}
 	newest := time.Now()
 	for range seconds * 4 {
-		time.Sleep(beatEvery)
+		time.Sleep(heartbeatInterval)
 		for i, tracker := range trackers {
 			peer := freshness.Reply{Member: members[(i+1)%instances], Asked: time.Now(), Revision: 1, ConfirmedAge: time.Since(newest)}
 			tracker.Replied(peer)
@@ -139,17 +139,17 @@
 	return reads
 }
 
-// TestInstanceThatIsBehindReadsAtOnce guards against an instance that puts off reading a newer head that a peer has reported:
-// if the store goes down meanwhile it refuses all callers until the store is back.
+// TestInstanceThatIsBehindReadsAtOnce guards against an instance that delays reading a newer head that a peer has
+// reported: if the store goes down meanwhile, it refuses all callers until the store recovers.
 func TestInstanceThatIsBehindReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, tracker := is.New(t), three()
+		is, tracker := is.New(t), newTrackerOfThree()
 		tracker.ReadConfirmed(time.Now(), 3)
 		time.Sleep(150 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
 		tracker.Replied(reply(member("b", 2), time.Now(), 4))
 		is.True(tracker.ShouldReadStore())
-		tracker.ReadFailed(time.Now()) // a store that is down is asked no more often than before
+		tracker.ReadFailed(time.Now()) // an unavailable store is read no more often than before
 		time.Sleep(500 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
 		time.Sleep(500 * time.Millisecond)
