--- a/internal/fleet/freshness/store_reads.go
+++ b/internal/fleet/freshness/store_reads.go
@@ -25,19 +25,19 @@
 	now := time.Now()
 	sinceRead := elapsed(t.lastRead, now)
 	if t.highestReported > t.head.Revision && t.lastReadSucceeded {
-		return sinceRead >= t.readEvery()/behindReadRate
+		return sinceRead >= t.readInterval()/behindReadRate
 	}
 	if t.highestReported > t.head.Revision || t.isReader() {
-		return sinceRead >= t.readEvery()
+		return sinceRead >= t.readInterval()
 	}
 	if elapsed(t.lastReadConfirmation, now) < time.Duration(float64(t.bound())/3*t.intervalFactor()) {
 		return false
 	}
 	if t.lastReadSucceeded {
-		return sinceRead >= t.readEvery()
+		return sinceRead >= t.readInterval()
 	}
 	meanInterval := time.Duration(len(t.head.Members)) * time.Second / fallbackReadRate
-	return sinceRead >= max(t.readEvery(), time.Duration(float64(meanInterval)*t.intervalFactor()))
+	return sinceRead >= max(t.readInterval(), time.Duration(float64(meanInterval)*t.intervalFactor()))
 }
 
 // isReader ranks the members by rendezvous hashing. An instance that is not a member yet always reads.
