--- a/internal/admission/rate/world_test.go
+++ b/internal/admission/rate/world_test.go
@@ -111,13 +111,13 @@
 func (w *world) read(n *node) func() bool {
 	began := time.Now()
 	if !w.readable(n) {
-		n.tracker.ReadFailed(began)
+		n.tracker.RecordReadFailure(began)
 		return func() bool { return true }
 	}
 	seen := w.stored()
 	return w.toNode(n, func() {
 		n.install(seen)
-		n.tracker.ReadConfirmed(began, seen.head.Revision)
+		n.tracker.RecordRead(began, seen.head.Revision)
 	})
 }
 
@@ -128,9 +128,9 @@
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  asked, Revision: revision, ConfirmedAge: age,
+			SentAt: asked, Revision: revision, ConfirmedAge: age,
 		}
-		w.waiting = append(w.waiting, w.toNode(from, func() { from.tracker.Replied(reply) }))
+		w.waiting = append(w.waiting, w.toNode(from, func() { from.tracker.RecordReply(reply) }))
 	})
 }
 
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -115,9 +115,9 @@
 	if answer.Incarnation == member.Incarnation {
 		d.ledger.Returned(lender, beat.Returns)
 	}
-	d.tracker.Replied(freshness.Reply{
+	d.tracker.RecordReply(freshness.Reply{
 		Member:       freshness.Member{Name: answer.Instance, Incarnation: answer.Incarnation},
-		Asked:        asked,
+		SentAt:       asked,
 		Revision:     answer.Revision,
 		ConfirmedAge: answer.ConfirmedAge,
 	})
@@ -126,8 +126,8 @@
 
 // learn takes in what any heartbeat tells that needs no question of ours to be true.
 func (d *Daemon) learn(at time.Time, beat peer.Beat) {
-	d.tracker.Relayed(beat.Revision, beat.Told)
-	d.detector.handle(membership.Heard{Name: beat.Instance, Incarnation: beat.Incarnation})
+	d.tracker.MergeReportBitmap(beat.Revision, beat.Told)
+	d.detector.handle(membership.HeartbeatAnswered{Name: beat.Instance, Incarnation: beat.Incarnation})
 	d.settlement.tell(rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.OldestRevision)
 	if _, member := d.repository.Current().Head.Member(beat.Instance); member {
 		d.leaving.tell(beat.Instance, beat.Leaving)
@@ -179,7 +179,7 @@
 		Stopping:       d.stopping.Load(),
 		OldestRevision: d.settlement.toTell(d.ledger.OldestRevision()),
 	}
-	if relayed, told := d.tracker.Relay(); relayed == revision {
+	if relayed, told := d.tracker.ReportBitmap(); relayed == revision {
 		beat.Told = told
 	}
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -25,7 +25,7 @@
 	d := h.daemon
 	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
 	d.ledger.Release(sender, beat.Returns)
-	d.tracker.Told(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
+	d.tracker.RecordHeartbeat(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
 	d.learn(time.Now(), beat)
 	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
 	defer cancel()
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -196,7 +196,7 @@
 
 // retryBudgets returns the share of this instance in the retry budget of the fleet.
 func retryBudgets(settings RetrySettings) *retry.Budgets {
-	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, Most: settings.Slack / roster.Parts(0)}
+	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, Most: settings.Slack / roster.LimitParts(0)}
 }
 
 // retryRatioUsed leaves a part of the retry budget of the fleet for requests that are counted at another instance or in
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -221,7 +221,7 @@
 // confirm is what a read of the store brings, and what heartbeats tell of the upstreams.
 func (f *fixture) confirm() {
 	now := time.Now()
-	f.tracker.ReadConfirmed(now, f.repository.Current().Head.Revision)
+	f.tracker.RecordRead(now, f.repository.Current().Head.Revision)
 	f.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, name := range upstream {
 			a.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
--- a/internal/fleet/freshness/freshness.go
+++ b/internal/fleet/freshness/freshness.go
@@ -26,8 +26,8 @@
 // heartbeat interval it must keep a withdrawn key within the 5 seconds promised to operators.
 const Bound = 3 * time.Second
 
-// ReadEvery is the default of Tracker.ReadEvery.
-const ReadEvery = time.Second
+// DefaultReadInterval is the default of Tracker.ReadInterval.
+const DefaultReadInterval = time.Second
 
 // DefaultReaders is the default of Tracker.Readers. With three readers, one may have failed and another may be frozen.
 // The number does not grow with the fleet, so neither does the load on the store.
@@ -57,22 +57,22 @@
 	Members  []Member
 }
 
-// Reply is a peer's reply to a heartbeat. Asked is when the heartbeat was sent. ConfirmedAge is how long before the
+// Reply is a peer's reply to a heartbeat. SentAt is when the heartbeat was sent. ConfirmedAge is how long before the
 // reply a read of the store showed Revision as the newest, by the peer's clock; negative if the peer does not know.
 type Reply struct {
 	Member       Member
-	Asked        time.Time
+	SentAt       time.Time
 	Revision     int64
 	ConfirmedAge time.Duration
 }
 
-// Status is the newest revision that a member is known to have reported, and when this process learned of it. Told is
-// false if there is no report.
+// Status is the newest revision that a member is known to have reported, and when this process learned of it. Reported
+// is false if there is no report.
 type Status struct {
 	Member   Member
 	Revision int64
 	Since    time.Time
-	Told     bool
+	Reported bool
 }
 
 // StaleError refuses work because the instance's configuration may be out of date, or because it is not a member.
--- a/internal/fleet/freshness/fuzz_test.go
+++ b/internal/fleet/freshness/fuzz_test.go
@@ -129,7 +129,7 @@
 func (s *simulation) read(n *node) func() bool {
 	startedAt, seen := time.Now(), s.storedHead()
 	if !s.canReadStore(n) {
-		n.tracker.ReadFailed(startedAt)
+		n.tracker.RecordReadFailure(startedAt)
 		return func() bool { return true }
 	}
 	return s.messageTo(n, func() {
@@ -138,24 +138,24 @@
 			f.Members = append(f.Members, freshness.Member{Name: m.Name, Incarnation: m.Incarnation, Since: m.Since})
 		}
 		n.tracker.Install(f)
-		n.tracker.ReadConfirmed(startedAt, seen.Revision)
+		n.tracker.RecordRead(startedAt, seen.Revision)
 	})
 }
 
 func (s *simulation) sendHeartbeat(from, to *node) func() bool {
 	sentAt := time.Now()
-	relayedRevision, told := from.tracker.Relay()
+	relayedRevision, told := from.tracker.ReportBitmap()
 	return s.messageTo(to, func() {
-		to.tracker.Relayed(relayedRevision, told)
+		to.tracker.MergeReportBitmap(relayedRevision, told)
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  sentAt, Revision: revision, ConfirmedAge: age,
+			SentAt: sentAt, Revision: revision, ConfirmedAge: age,
 		}
-		answered, answeredTold := to.tracker.Relay()
+		answered, answeredTold := to.tracker.ReportBitmap()
 		s.inFlight = append(s.inFlight, s.messageTo(from, func() {
-			from.tracker.Replied(reply)
-			from.tracker.Relayed(answered, answeredTold)
+			from.tracker.RecordReply(reply)
+			from.tracker.MergeReportBitmap(answered, answeredTold)
 		}))
 	})
 }
--- a/internal/fleet/freshness/in_force.go
+++ b/internal/fleet/freshness/in_force.go
@@ -18,7 +18,7 @@
 	if found && previous.Revision >= revision {
 		return
 	}
-	t.reports[m.identity()] = Status{Member: m, Revision: revision, Since: now, Told: true}
+	t.reports[m.identity()] = Status{Member: m, Revision: revision, Since: now, Reported: true}
 }
 
 // markReplacedMembers marks a listed member as ended when another incarnation of its name has answered in its place.
@@ -26,7 +26,7 @@
 // listener, so the old process can neither answer nor serve. Only heartbeats sent under the installed head count: a
 // late reply of the old process must not mark the new one as ended.
 func (t *Tracker) markReplacedMembers(reply Reply) {
-	if !reply.Asked.After(t.installed) {
+	if !reply.SentAt.After(t.installed) {
 		return
 	}
 	for _, m := range t.head.Members {
--- a/internal/fleet/freshness/report_bitmap.go
+++ b/internal/fleet/freshness/report_bitmap.go
@@ -13,8 +13,8 @@
 // bitsInByte is how many members one byte of a bitmap covers.
 const bitsInByte = 8
 
-// Relay returns the installed revision and a bitmap, in the head's order, of the members that have reported it.
-func (t *Tracker) Relay() (revision int64, reported []byte) {
+// ReportBitmap returns the installed revision and a bitmap, in the head's order, of the members that have reported it.
+func (t *Tracker) ReportBitmap() (revision int64, reported []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	reported = make([]byte, (len(t.head.Members)+bitsInByte-1)/bitsInByte)
@@ -26,8 +26,8 @@
 	return t.head.Revision, reported
 }
 
-// Relayed merges what Relay returned on another member.
-func (t *Tracker) Relayed(revision int64, reported []byte) {
+// MergeReportBitmap merges what ReportBitmap returned on another member.
+func (t *Tracker) MergeReportBitmap(revision int64, reported []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if revision != t.head.Revision {
--- a/internal/fleet/freshness/store_budget_test.go
+++ b/internal/fleet/freshness/store_budget_test.go
@@ -111,10 +111,10 @@
 	}
 	s.count(1)
 	if s.down {
-		m.tracker.ReadFailed(time.Now())
+		m.tracker.RecordReadFailure(time.Now())
 		return
 	}
-	m.tracker.ReadConfirmed(time.Now(), s.revision)
+	m.tracker.RecordRead(time.Now(), s.revision)
 	if m.revision < s.revision {
 		s.count(readsOfChange - 1)
 		s.install(m)
@@ -137,13 +137,13 @@
 		}
 		s.heartbeats++
 		asker, _ := m.tracker.Confirmed()
-		s.members[peer].tracker.Told(m.self, asker)
-		s.members[peer].tracker.Relayed(m.tracker.Relay())
+		s.members[peer].tracker.RecordHeartbeat(m.self, asker)
+		s.members[peer].tracker.MergeReportBitmap(m.tracker.ReportBitmap())
 		revision, age := s.members[peer].tracker.Confirmed()
-		m.tracker.Replied(freshness.Reply{
-			Member: s.members[peer].self, Asked: time.Now(), Revision: revision, ConfirmedAge: age,
+		m.tracker.RecordReply(freshness.Reply{
+			Member: s.members[peer].self, SentAt: time.Now(), Revision: revision, ConfirmedAge: age,
 		})
-		m.tracker.Relayed(s.members[peer].tracker.Relay())
+		m.tracker.MergeReportBitmap(s.members[peer].tracker.ReportBitmap())
 	}
 }
 
--- a/internal/fleet/freshness/store_reads.go
+++ b/internal/fleet/freshness/store_reads.go
@@ -15,9 +15,9 @@
 
 // ShouldReadStore reports whether this instance should read the head from the store now. If every instance read each
 // second, 330 instances would use a sixth of all the reads that the store can serve. So a few readers, chosen by
-// rendezvous hashing, read each ReadEvery. The others read when the last confirmation is older than a third of Bound,
-// times their own interval factor. While their reads succeed they read as often as the readers do (the readers have
-// failed or cannot be reached). While their reads fail, they read less often the larger the fleet is, so that a
+// rendezvous hashing, read each ReadInterval. The others read when the last confirmation is older than a third of
+// Bound, times their own interval factor. While their reads succeed they read as often as the readers do (the readers
+// have failed or cannot be reached). While their reads fail, they read less often the larger the fleet is, so that a
 // recovering store is not hit by all at once.
 func (t *Tracker) ShouldReadStore() bool {
 	t.mutex.Lock()
@@ -25,19 +25,19 @@
 	now := time.Now()
 	sinceRead := elapsed(t.lastRead, now)
 	if t.highestReported > t.head.Revision && t.lastReadSucceeded {
-		return sinceRead >= t.readEvery()/behindReadRate
+		return sinceRead >= t.readInterval()/behindReadRate
 	}
 	if t.highestReported > t.head.Revision || t.isReader() {
-		return sinceRead >= t.readEvery()
+		return sinceRead >= t.readInterval()
 	}
 	if elapsed(t.lastReadConfirmation, now) < time.Duration(float64(t.bound())/3*t.intervalFactor()) {
 		return false
 	}
 	if t.lastReadSucceeded {
-		return sinceRead >= t.readEvery()
+		return sinceRead >= t.readInterval()
 	}
 	meanInterval := time.Duration(len(t.head.Members)) * time.Second / fallbackReadRate
-	return sinceRead >= max(t.readEvery(), time.Duration(float64(meanInterval)*t.intervalFactor()))
+	return sinceRead >= max(t.readInterval(), time.Duration(float64(meanInterval)*t.intervalFactor()))
 }
 
 // isReader ranks the members by rendezvous hashing. An instance that is not a member yet always reads.
--- a/internal/fleet/freshness/tracker.go
+++ b/internal/fleet/freshness/tracker.go
@@ -10,8 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// This file holds the Tracker: inputs arrive through Install, ReadConfirmed, ReadFailed, Replied, Told, Relayed and
-// Ended, and queries are answered from them. It starts no goroutine and makes no call.
+// This file holds the Tracker: inputs arrive through Install, RecordRead, RecordReadFailure, RecordReply,
+// RecordHeartbeat, MergeReportBitmap and MarkEnded, and queries are answered from them. It starts no goroutine and
+// makes no call.
 
 // Tracker records what one instance knows and since when. Set the exported fields before the first call; zero durations
 // and counts use the defaults. It is safe for concurrent use.
@@ -20,8 +21,8 @@
 	Self Member
 	// Bound is how long a confirmation lasts. It must be equal on all instances.
 	Bound time.Duration
-	// ReadEvery is the interval between two reads of the store by a reader.
-	ReadEvery time.Duration
+	// ReadInterval is the interval between two reads of the store by a reader.
+	ReadInterval time.Duration
 	// Readers is how many instances read the store regularly.
 	Readers int
 
@@ -107,8 +108,8 @@
 	t.advanceInForce(time.Now())
 }
 
-// ReadConfirmed records that a read of the store which started at that time returned the revision as the newest.
-func (t *Tracker) ReadConfirmed(startedAt time.Time, revision int64) {
+// RecordRead records that a read of the store which started at that time returned the revision as the newest.
+func (t *Tracker) RecordRead(startedAt time.Time, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lastRead, t.lastReadSucceeded = startedAt, true
@@ -116,40 +117,40 @@
 	t.advanceInForce(time.Now())
 }
 
-// ReadFailed records that a read of the store which started at that time failed.
-func (t *Tracker) ReadFailed(startedAt time.Time) {
+// RecordReadFailure records that a read of the store which started at that time failed.
+func (t *Tracker) RecordReadFailure(startedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lastRead, t.lastReadSucceeded = startedAt, false
 }
 
-// Replied records a peer's reply to a heartbeat. The daemon sends heartbeats to every member. A reply counts for the
-// process that sent it and for no other of the same name.
-func (t *Tracker) Replied(reply Reply) {
+// RecordReply records a peer's reply to a heartbeat. The daemon sends heartbeats to every member. A reply counts for
+// the process that sent it and for no other of the same name.
+func (t *Tracker) RecordReply(reply Reply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	t.highestReported = max(t.highestReported, reply.Revision)
 	if reply.ConfirmedAge >= 0 {
-		t.recordConfirmation(reply.Asked.Add(-reply.ConfirmedAge), reply.Revision)
+		t.recordConfirmation(reply.SentAt.Add(-reply.ConfirmedAge), reply.Revision)
 	}
 	t.markReplacedMembers(reply)
 	id := reply.Member.identity()
 	if t.isRelevant(id) {
 		t.recordReport(reply.Member, reply.Revision, now)
-		if known := t.lastReplies[id]; reply.Asked.After(known.sentAt) {
-			t.lastReplies[id] = heartbeatReply{sentAt: reply.Asked, revision: reply.Revision}
+		if known := t.lastReplies[id]; reply.SentAt.After(known.sentAt) {
+			t.lastReplies[id] = heartbeatReply{sentAt: reply.SentAt, revision: reply.Revision}
 		}
 		t.confirmByMajority(now)
 	}
 	t.advanceInForce(now)
 }
 
-// Told records that a process has reported its revision without being asked, in a heartbeat of its own. The report
-// counts towards the revision being in force everywhere and may show that there is a newer one. It confirms nothing,
-// since it may have been in transit for long. It does not show that another process of the same name has ended: that
-// may still be running anywhere.
-func (t *Tracker) Told(member Member, revision int64) {
+// RecordHeartbeat records that a process has reported its revision without being asked, in a heartbeat of its own. The
+// report counts towards the revision being in force everywhere and may show that there is a newer one. It confirms
+// nothing, since it may have been in transit for long. It does not show that another process of the same name has
+// ended: that may still be running anywhere.
+func (t *Tracker) RecordHeartbeat(member Member, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.highestReported = max(t.highestReported, revision)
@@ -160,11 +161,11 @@
 	t.advanceInForce(now)
 }
 
-// Ended records that a process has certainly ended, so that it counts as having reported every revision. The caller
+// MarkEnded records that a process has certainly ended, so that it counts as having reported every revision. The caller
 // must be sure: a process that only does not answer may be frozen, and would be fresh again by a majority of such
 // processes. Without this call, a fleet whose processes were all restarted could not change its members at all, since
 // the majority of the old head will never answer.
-func (t *Tracker) Ended(member Member) {
+func (t *Tracker) MarkEnded(member Member) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.recordReport(member, math.MaxInt64, time.Now())
@@ -184,37 +185,37 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.isMember(t.Self.identity()) {
-		return &StaleError{Revision: t.head.Revision, NotMember: true, RetryAfter: t.readEvery()}
+		return &StaleError{Revision: t.head.Revision, NotMember: true, RetryAfter: t.readInterval()}
 	}
 	age := elapsed(t.confirmedAt(), now)
 	if age >= t.bound() {
-		return &StaleError{Revision: t.head.Revision, Age: age, RetryAfter: t.readEvery()}
+		return &StaleError{Revision: t.head.Revision, Age: age, RetryAfter: t.readInterval()}
 	}
 	return nil
 }
 
-// Grounds describes why an instance is fresh or stale.
-type Grounds struct {
+// Basis describes why an instance is fresh or stale.
+type Basis struct {
 	// Fresh reports whether the configuration may be used.
 	Fresh bool
 	// Revision is the installed revision, and Highest the highest that any peer has reported.
 	Revision int64
 	Highest  int64
-	// Read and Majority are the ages of the last confirmations of the revision by a read of the store and by a majority
-	// of members; negative if there was none.
-	Read     time.Duration
-	Majority time.Duration
+	// ReadAge and MajorityAge are the ages of the last confirmations of the revision by a read of the store and by a
+	// majority of members; negative if there was none.
+	ReadAge     time.Duration
+	MajorityAge time.Duration
 }
 
-// Grounds returns the current grounds, for the log.
-func (t *Tracker) Grounds() Grounds {
+// Basis returns why the instance is fresh or stale now, for the log.
+func (t *Tracker) Basis() Basis {
 	fresh := t.Fresh() == nil
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	return Grounds{
+	return Basis{
 		Fresh: fresh, Revision: t.head.Revision, Highest: t.highestReported,
-		Read: ageOf(t.lastReadConfirmation, now), Majority: ageOf(t.lastMajorityConfirmation, now),
+		ReadAge: ageOf(t.lastReadConfirmation, now), MajorityAge: ageOf(t.lastMajorityConfirmation, now),
 	}
 }
 
@@ -293,7 +294,7 @@
 	list := make([]Status, 0, len(t.head.Members))
 	for _, m := range t.head.Members {
 		status, found := t.reports[m.identity()]
-		status.Member, status.Told = m, found
+		status.Member, status.Reported = m, found
 		list = append(list, status)
 	}
 	return list
@@ -329,11 +330,11 @@
 	return Bound
 }
 
-func (t *Tracker) readEvery() time.Duration {
-	if t.ReadEvery > 0 {
-		return t.ReadEvery
+func (t *Tracker) readInterval() time.Duration {
+	if t.ReadInterval > 0 {
+		return t.ReadInterval
 	}
-	return ReadEvery
+	return DefaultReadInterval
 }
 
 func (t *Tracker) readers() int {
--- a/internal/fleet/freshness/tracker_test.go
+++ b/internal/fleet/freshness/tracker_test.go
@@ -26,7 +26,7 @@
 }
 
 func reply(m freshness.Member, sentAt time.Time, revision int64) freshness.Reply {
-	return freshness.Reply{Member: m, Asked: sentAt, Revision: revision, ConfirmedAge: -1}
+	return freshness.Reply{Member: m, SentAt: sentAt, Revision: revision, ConfirmedAge: -1}
 }
 
 // A peer's reply was in transit for longer than a confirmation lasts. It states what the peer knew when the heartbeat
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker, sentAt := is.New(t), newTrackerOfThree(), time.Now()
 		time.Sleep(bound - time.Second)
-		tracker.Replied(reply(member("b", 2), sentAt, 3))
+		tracker.RecordReply(reply(member("b", 2), sentAt, 3))
 		is.NoErr(tracker.Fresh())
 		time.Sleep(time.Second)
 		is.True(tracker.Fresh() != nil)
@@ -50,15 +50,15 @@
 		tracker.Install(freshness.Head{
 			Revision: 4, Epoch: 4, Members: []freshness.Member{member("a", 1), member("c", 3)},
 		})
-		tracker.Replied(reply(member("c", 3), time.Now(), 4))
+		tracker.RecordReply(reply(member("c", 3), time.Now(), 4))
 		time.Sleep(bound + bound/10)
 		is.True(tracker.InForceEverywhere(4))
 		restarted := freshness.Member{Name: "b", Incarnation: "b#2", Since: 5}
 		tracker.Install(freshness.Head{
 			Revision: 5, Epoch: 5, Members: []freshness.Member{member("a", 1), restarted, member("c", 3)},
 		})
-		tracker.Replied(reply(member("c", 3), time.Now(), 5))
-		tracker.Replied(reply(member("b", 2), sentAt, 3))
+		tracker.RecordReply(reply(member("c", 3), time.Now(), 5))
+		tracker.RecordReply(reply(member("b", 2), sentAt, 3))
 		is.True(!tracker.InForceEverywhere(5))
 	})
 }
@@ -68,7 +68,7 @@
 func TestWaitInForceWithOneFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker, startedAt := is.New(t), newTrackerOfThree(), time.Now()
-		tracker.Replied(reply(member("b", 2), time.Now(), 3))
+		tracker.RecordReply(reply(member("b", 2), time.Now(), 3))
 		is.NoErr(tracker.WaitInForce(context.Background(), 3))
 		waited := time.Since(startedAt)
 		is.True(waited > bound && waited < bound+bound/10)
@@ -115,24 +115,24 @@
 	for _, m := range members {
 		tracker := &freshness.Tracker{Self: m, Bound: bound}
 		tracker.Install(freshness.Head{Revision: 1, Epoch: 1, Members: members})
-		tracker.ReadConfirmed(time.Now(), 1)
+		tracker.RecordRead(time.Now(), 1)
 		trackers = append(trackers, tracker)
 	}
 	newest := time.Now()
 	for range seconds * 4 {
 		time.Sleep(heartbeatInterval)
 		for i, tracker := range trackers {
-			peer := freshness.Reply{Member: members[(i+1)%instances], Asked: time.Now(), Revision: 1, ConfirmedAge: time.Since(newest)}
-			tracker.Replied(peer)
+			peer := freshness.Reply{Member: members[(i+1)%instances], SentAt: time.Now(), Revision: 1, ConfirmedAge: time.Since(newest)}
+			tracker.RecordReply(peer)
 			if !tracker.ShouldReadStore() {
 				continue
 			}
 			reads++
 			if down {
-				tracker.ReadFailed(time.Now())
+				tracker.RecordReadFailure(time.Now())
 				continue
 			}
-			tracker.ReadConfirmed(time.Now(), 1)
+			tracker.RecordRead(time.Now(), 1)
 			newest = time.Now()
 		}
 	}
@@ -144,12 +144,12 @@
 func TestInstanceThatIsBehindReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker := is.New(t), newTrackerOfThree()
-		tracker.ReadConfirmed(time.Now(), 3)
+		tracker.RecordRead(time.Now(), 3)
 		time.Sleep(150 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
-		tracker.Replied(reply(member("b", 2), time.Now(), 4))
+		tracker.RecordReply(reply(member("b", 2), time.Now(), 4))
 		is.True(tracker.ShouldReadStore())
-		tracker.ReadFailed(time.Now()) // an unavailable store is read no more often than before
+		tracker.RecordReadFailure(time.Now()) // an unavailable store is read no more often than before
 		time.Sleep(500 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
 		time.Sleep(500 * time.Millisecond)
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -7,35 +7,35 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// SilentFor is the default of Detector.SilentFor. It is several times the freshness Bound, since removing a member that
-// only paused moves its duties twice.
-const SilentFor = 10 * time.Second
+// DefaultFailureTimeout is the default of Detector.FailureTimeout. It is several times the freshness Bound, since
+// removing a member that only paused moves its duties twice.
+const DefaultFailureTimeout = 10 * time.Second
 
 // maxRemovers is how many members try to remove a failed one: the first may have failed too.
 const maxRemovers = 2
 
-// Event is an input of a Detector. It is sealed: Heard, Installed and Tick are the only events.
+// Event is an input of a Detector. It is sealed: HeartbeatAnswered, HeadInstalled and Tick are the only events.
 type Event interface {
 	sealedEvent()
 }
 
-// Heard reports that a process answered a heartbeat.
-type Heard struct {
+// HeartbeatAnswered reports that a process answered a heartbeat.
+type HeartbeatAnswered struct {
 	Name        string
 	Incarnation string
 }
 
-// Installed reports that a head is in force in this process.
-type Installed struct {
+// HeadInstalled reports that a head is in force in this process.
+type HeadInstalled struct {
 	Head head.Head
 }
 
 // Tick reports that time has passed. The daemon sends one about every second.
 type Tick struct{}
 
-func (Heard) sealedEvent()     {}
-func (Installed) sealedEvent() {}
-func (Tick) sealedEvent()      {}
+func (HeartbeatAnswered) sealedEvent() {}
+func (HeadInstalled) sealedEvent()     {}
+func (Tick) sealedEvent()              {}
 
 // Action is a decision of a Detector, carried out by the daemon. It is sealed: Remove is the only one.
 type Action interface {
@@ -56,8 +56,8 @@
 type Detector struct {
 	// Self is the name of this process.
 	Self string
-	// SilentFor is how long a member must not have answered a heartbeat before it is removed.
-	SilentFor time.Duration
+	// FailureTimeout is how long a member must not have answered a heartbeat before it is removed.
+	FailureTimeout time.Duration
 
 	head         head.Head
 	lastContacts map[string]lastContact
@@ -72,9 +72,9 @@
 // Handle processes an event and returns one removal at most: members change one at a time anyway.
 func (d *Detector) Handle(event Event) []Action {
 	switch event := event.(type) {
-	case Heard:
+	case HeartbeatAnswered:
 		d.recordContact(event)
-	case Installed:
+	case HeadInstalled:
 		d.installHead(event.Head)
 	case Tick:
 		return d.findFailed()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (d *Detector) recordContact(event Heard) {
+func (d *Detector) recordContact(event HeartbeatAnswered) {
 	if listed, found := d.head.Member(event.Name); found && listed.Incarnation == event.Incarnation {
 		d.lastContacts[event.Name] = lastContact{incarnation: event.Incarnation, at: time.Now()}
 	}
@@ -122,7 +122,7 @@
 func (d *Detector) partition() (alive, failed []head.Member) {
 	now := time.Now()
 	for _, m := range d.head.Members {
-		if m.Name == d.Self || now.Sub(d.lastContacts[m.Name].at) < d.silentFor() {
+		if m.Name == d.Self || now.Sub(d.lastContacts[m.Name].at) < d.failureTimeout() {
 			alive = append(alive, m)
 			continue
 		}
@@ -134,9 +134,9 @@
 	return alive, failed
 }
 
-func (d *Detector) silentFor() time.Duration {
-	if d.SilentFor > 0 {
-		return d.SilentFor
+func (d *Detector) failureTimeout() time.Duration {
+	if d.FailureTimeout > 0 {
+		return d.FailureTimeout
 	}
-	return SilentFor
+	return DefaultFailureTimeout
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -109,9 +109,9 @@
 	return first("broker", h.Members)
 }
 
-// Among reports whether a member is one of the count members that have a duty. It is for duties that more than one member
-// should have, but not all, since the cost would grow with the fleet.
-func Among(h head.Head, duty, name string, count int) bool {
+// HasDuty reports whether a member is one of the count members that have a duty. It is for duties that more than one
+// member should have, but not all, since the cost would grow with the fleet.
+func HasDuty(h head.Head, duty, name string, count int) bool {
 	sorted := sortByScore(duty, h.Members)
 	own := slices.IndexFunc(sorted, func(m head.Member) bool { return m.Name == name })
 	return own >= 0 && own < count
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -87,8 +87,8 @@
 	return changed
 }
 
-// Since returns what an instance lacks whose copy is complete up to a revision.
-func (r *Replica) Since(after int64) Batch {
+// ChangesSince returns what an instance lacks whose copy is complete up to a revision.
+func (r *Replica) ChangesSince(after int64) Batch {
 	batch := Batch{After: after, Through: r.revision, Snapshot: after < r.horizon}
 	for _, item := range r.items {
 		if batch.Snapshot && !item.Removed || !batch.Snapshot && item.Revision > after {
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// HeldUpstream returns the upstream whose holder is stored under a key; found is false for other keys.
-func HeldUpstream(key string) (upstream string, found bool) {
+// UpstreamOfHolderKey returns the upstream whose holder is stored under a key; found is false for other keys.
+func UpstreamOfHolderKey(key string) (upstream string, found bool) {
 	return strings.CutPrefix(key, prefixHolders)
 }
 
@@ -166,11 +166,11 @@
 	partsPerInstance = 1.25
 )
 
-// Parts returns the number of parts into which an instance that knows this many others divides a limit of the whole
-// fleet, such as retries or connections to an upstream. The instances do not coordinate: each stays within one part, as
-// it may be partitioned from the others. With a number fixed for a small fleet, a large fleet would exceed the limit
-// many times over, and only the operators who set it would notice.
-func Parts(others int) float64 {
+// LimitParts returns the number of parts into which an instance that knows this many others divides a limit of the
+// whole fleet, such as retries or connections to an upstream. The instances do not coordinate: each stays within one
+// part, as it may be partitioned from the others. With a number fixed for a small fleet, a large fleet would exceed the
+// limit many times over, and only the operators who set it would notice.
+func LimitParts(others int) float64 {
 	return max(minParts, partsPerInstance*float64(others+1))
 }
 
@@ -186,8 +186,8 @@
 	return rank
 }
 
-// Order returns the names sorted by their Rank for a subject.
-func Order(subject string, names []string) []string {
+// SortByRank returns the names sorted by their Rank for a subject.
+func SortByRank(subject string, names []string) []string {
 	weights := make(map[string]uint64, len(names))
 	for _, name := range names {
 		weights[name] = weight(subject, name)
@@ -195,14 +195,14 @@
 	return slices.SortedFunc(slices.Values(names), func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
 }
 
-// Turns returns, for each subject without a holder, the rank of an instance among the candidates to take it over. The
-// candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject is counted
-// as held by its first candidate before the next subject is ranked. The instance must be one of the names.
+// TakeoverRanks returns, for each subject without a holder, the rank of an instance among the candidates to take it
+// over. The candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject
+// is counted as held by its first candidate before the next subject is ranked. The instance must be one of the names.
 //
 // This balances the fleet during a rolling restart. By Rank alone, what a stopping instance held would go to those that
 // have not stopped yet and never return, so that in the end one instance would hold nearly all: when that one freezes,
 // no adapter can be loaded anywhere.
-func Turns(subjects, names []string, held map[string]int, instance string) map[string]int {
+func TakeoverRanks(subjects, names []string, held map[string]int, instance string) map[string]int {
 	candidates := make([]candidate, len(names))
 	own := slices.Index(names, instance)
 	for i, name := range names {
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -85,7 +85,7 @@
 			free = append(free, subject)
 		}
 		for _, name := range live {
-			for subject, rank := range roster.Turns(free, live, held, name) {
+			for subject, rank := range roster.TakeoverRanks(free, live, held, name) {
 				if rank == 0 {
 					holder[subject] = name
 				}
@@ -114,9 +114,9 @@
 func TestPartsAddUpToLessThanTheWhole(t *testing.T) {
 	is := is.New(t)
 	for _, instances := range []int{1, 2, 8, 9, 30, 81, 330} {
-		is.True(float64(instances) < roster.Parts(instances-1))
+		is.True(float64(instances) < roster.LimitParts(instances-1))
 	}
-	is.Equal(roster.Parts(0), roster.Parts(6)) // in a small fleet the part does not depend on how many others are known yet
+	is.Equal(roster.LimitParts(0), roster.LimitParts(6)) // in a small fleet the part does not depend on how many others are known yet
 }
 
 // Guards against sorting all candidates again for each upstream without a holder: after the start of a large fleet,
@@ -130,11 +130,11 @@
 	for i := range 195 {
 		names = append(names, fmt.Sprint("instance", i))
 	}
-	used := testing.AllocsPerRun(3, func() { roster.Turns(subjects, names, nil, names[0]) })
+	used := testing.AllocsPerRun(3, func() { roster.TakeoverRanks(subjects, names, nil, names[0]) })
 	is.True(used < 100)
 	first := 0
 	for _, name := range names {
-		for _, rank := range roster.Turns(subjects, names, nil, name) {
+		for _, rank := range roster.TakeoverRanks(subjects, names, nil, name) {
 			if rank == 0 {
 				first++
 			}
@@ -152,6 +152,6 @@
 		names = append(names, fmt.Sprint("instance", i))
 	}
 	for b.Loop() {
-		roster.Turns(subjects, names, nil, names[0])
+		roster.TakeoverRanks(subjects, names, nil, names[0])
 	}
 }
