--- a/internal/fleet/freshness/fuzz_test.go
+++ b/internal/fleet/freshness/fuzz_test.go
@@ -144,18 +144,18 @@
 
 func (s *simulation) sendHeartbeat(from, to *node) func() bool {
 	sentAt := time.Now()
-	relayedRevision, told := from.tracker.ReportBitmap()
+	relayedRevision, bitmap := from.tracker.ReportBitmap()
 	return s.messageTo(to, func() {
-		to.tracker.MergeReportBitmap(relayedRevision, told)
+		to.tracker.MergeReportBitmap(relayedRevision, bitmap)
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
 			SentAt: sentAt, Revision: revision, ConfirmedAge: age,
 		}
-		answered, answeredTold := to.tracker.ReportBitmap()
+		replyRevision, replyBitmap := to.tracker.ReportBitmap()
 		s.inFlight = append(s.inFlight, s.messageTo(from, func() {
 			from.tracker.RecordReply(reply)
-			from.tracker.MergeReportBitmap(answered, answeredTold)
+			from.tracker.MergeReportBitmap(replyRevision, replyBitmap)
 		}))
 	})
 }
@@ -213,11 +213,11 @@
 	}
 }
 
-func (s *simulation) leave(by, gone *node) {
-	next, step, err := membership.Leave(s.storedHead(), gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
-	if by != gone {
+func (s *simulation) leave(remover, target *node) {
+	next, step, err := membership.Leave(s.storedHead(), target.member.Name, target.member.Incarnation, remover.tracker.InForce())
+	if remover != target {
 		next, step, err = membership.Expel(
-			s.storedHead(), by.member.Name, gone.member.Name, gone.member.Incarnation, by.tracker.InForce())
+			s.storedHead(), remover.member.Name, target.member.Name, target.member.Incarnation, remover.tracker.InForce())
 	}
 	if err == nil && step != membership.StepNone {
 		s.store(next)
@@ -267,13 +267,13 @@
 	}
 }
 
-func (s *simulation) handleOneMessage(rt *rapid.T, treat func(message func() bool) bool) {
+func (s *simulation) handleOneMessage(rt *rapid.T, handle func(message func() bool) bool) {
 	if len(s.inFlight) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(s.inFlight)-1).Draw(rt, "message")
 	message := s.inFlight[i]
-	if treat(message) {
+	if handle(message) {
 		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
 }
--- a/internal/fleet/freshness/store_budget_test.go
+++ b/internal/fleet/freshness/store_budget_test.go
@@ -39,11 +39,11 @@
 
 // simulatedInstance is one instance.
 type simulatedInstance struct {
-	tracker          *freshness.Tracker
-	self             freshness.Member
-	revision         int64
-	heartbeatTargets []int
-	silent           bool
+	tracker           *freshness.Tracker
+	self              freshness.Member
+	revision          int64
+	heartbeatTargets  []int
+	sendsNoHeartbeats bool
 }
 
 // fleetSimulation holds the instances and the store.
@@ -88,7 +88,7 @@
 		s.steps++
 		for i, m := range s.members {
 			s.read(m)
-			if (s.steps+i)%heartbeatSteps == 0 && !m.silent {
+			if (s.steps+i)%heartbeatSteps == 0 && !m.sendsNoHeartbeats {
 				s.sendHeartbeats(i)
 			}
 		}
@@ -252,6 +252,6 @@
 // limitSenders lets only the first members, as many as given, send heartbeats.
 func (s *fleetSimulation) limitSenders(senders int) {
 	for i, m := range s.members {
-		m.silent = i >= senders
+		m.sendsNoHeartbeats = i >= senders
 	}
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -96,13 +96,13 @@
 // majority: otherwise a partitioned instance would remove the whole fleet.
 func TestFewMembersRemoveAFailedOne(t *testing.T) {
 	tests := []struct {
-		name   string
-		silent []string
-		most   int
+		name         string
+		unresponsive []string
+		most         int
 	}{
-		{"nobody silent", nil, 0},
-		{"one silent", []string{"c"}, 2},
-		{"most silent", []string{"b", "c", "d"}, 0},
+		{"none unresponsive", nil, 0},
+		{"one unresponsive", []string{"c"}, 2},
+		{"most unresponsive", []string{"b", "c", "d"}, 0},
 	}
 	names := []string{"a", "b", "c", "d", "e"}
 	for _, tt := range tests {
@@ -111,8 +111,8 @@
 				is := is.New(t)
 				removals := 0
 				for _, self := range names {
-					for _, action := range runDetector(self, names, tt.silent) {
-						is.Equal(action.(membership.Remove).Name, tt.silent[0])
+					for _, action := range runDetector(self, names, tt.unresponsive) {
+						is.Equal(action.(membership.Remove).Name, tt.unresponsive[0])
 						removals++
 					}
 				}
@@ -123,19 +123,19 @@
 	}
 }
 
-// runDetector gives one detector the answers of all members but the silent ones, and returns its last actions.
-func runDetector(self string, names, silent []string) []membership.Action {
+// runDetector gives one detector the answers of all members but the unresponsive ones, and returns its last actions.
+func runDetector(self string, names, unresponsive []string) []membership.Action {
 	d := &membership.Detector{Self: self}
 	d.Handle(membership.HeadInstalled{Head: fleet(names...)})
 	for range 12 {
 		time.Sleep(time.Second)
 		for _, name := range names {
-			if !contains(silent, name) {
+			if !contains(unresponsive, name) {
 				d.Handle(membership.HeartbeatAnswered{Name: name, Incarnation: name + "#1"})
 			}
 		}
 	}
-	if contains(silent, self) {
+	if contains(unresponsive, self) {
 		return nil
 	}
 	return d.Handle(membership.Tick{})
