--- a/internal/entry/daemon/knowledge.go
+++ b/internal/entry/daemon/knowledge.go
@@ -55,7 +55,7 @@
 
 func (d *Daemon) logFreshness(grounds freshness.Basis) {
 	d.Log.Info().Bool("Fresh", grounds.Fresh).Int64("Revision", grounds.Revision).Int64("Highest", grounds.Highest).
-		Int64("ReadMillis", grounds.Read.Milliseconds()).Int64("MajorityMillis", grounds.Majority.Milliseconds()).
+		Int64("ReadMillis", grounds.ReadAge.Milliseconds()).Int64("MajorityMillis", grounds.MajorityAge.Milliseconds()).
 		Msg("Freshness")
 }
 
--- a/internal/fleet/freshness/report_bitmap.go
+++ b/internal/fleet/freshness/report_bitmap.go
@@ -26,7 +26,7 @@
 	return t.head.Revision, reported
 }
 
-// MergeReportBitmap merges what Relay returned on another member.
+// MergeReportBitmap merges what ReportBitmap returned on another member.
 func (t *Tracker) MergeReportBitmap(revision int64, reported []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/fleet/freshness/tracker.go
+++ b/internal/fleet/freshness/tracker.go
@@ -10,8 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// This file holds the Tracker: inputs arrive through Install, ReadConfirmed, ReadFailed, Replied, Told, Relayed and
-// Ended, and queries are answered from them. It starts no goroutine and makes no call.
+// This file holds the Tracker: inputs arrive through Install, RecordRead, RecordReadFailure, RecordReply,
+// RecordHeartbeat, MergeReportBitmap and MarkEnded, and queries are answered from them. It starts no goroutine and
+// makes no call.
 
 // Tracker records what one instance knows and since when. Set the exported fields before the first call; zero durations
 // and counts use the defaults. It is safe for concurrent use.
@@ -123,8 +124,8 @@
 	t.lastRead, t.lastReadSucceeded = startedAt, false
 }
 
-// RecordReply records a peer's reply to a heartbeat. The daemon sends heartbeats to every member. A reply counts for the
-// process that sent it and for no other of the same name.
+// RecordReply records a peer's reply to a heartbeat. The daemon sends heartbeats to every member. A reply counts for
+// the process that sent it and for no other of the same name.
 func (t *Tracker) RecordReply(reply Reply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -145,10 +146,10 @@
 	t.advanceInForce(now)
 }
 
-// RecordHeartbeat records that a process has reported its revision without being asked, in a heartbeat of its own. The report
-// counts towards the revision being in force everywhere and may show that there is a newer one. It confirms nothing,
-// since it may have been in transit for long. It does not show that another process of the same name has ended: that
-// may still be running anywhere.
+// RecordHeartbeat records that a process has reported its revision without being asked, in a heartbeat of its own. The
+// report counts towards the revision being in force everywhere and may show that there is a newer one. It confirms
+// nothing, since it may have been in transit for long. It does not show that another process of the same name has
+// ended: that may still be running anywhere.
 func (t *Tracker) RecordHeartbeat(member Member, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -200,13 +201,13 @@
 	// Revision is the installed revision, and Highest the highest that any peer has reported.
 	Revision int64
 	Highest  int64
-	// Read and Majority are the ages of the last confirmations of the revision by a read of the store and by a majority
-	// of members; negative if there was none.
-	Read     time.Duration
-	Majority time.Duration
+	// ReadAge and MajorityAge are the ages of the last confirmations of the revision by a read of the store and by a
+	// majority of members; negative if there was none.
+	ReadAge     time.Duration
+	MajorityAge time.Duration
 }
 
-// Basis returns the current grounds, for the log.
+// Basis returns why the instance is fresh or stale now, for the log.
 func (t *Tracker) Basis() Basis {
 	fresh := t.Fresh() == nil
 	t.mutex.Lock()
@@ -214,7 +215,7 @@
 	now := time.Now()
 	return Basis{
 		Fresh: fresh, Revision: t.head.Revision, Highest: t.highestReported,
-		Read: ageOf(t.lastReadConfirmation, now), Majority: ageOf(t.lastMajorityConfirmation, now),
+		ReadAge: ageOf(t.lastReadConfirmation, now), MajorityAge: ageOf(t.lastMajorityConfirmation, now),
 	}
 }
 
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -7,14 +7,14 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// DefaultFailureTimeout is the default of Detector.DefaultFailureTimeout. It is several times the freshness Bound, since removing a member that
-// only paused moves its duties twice.
+// DefaultFailureTimeout is the default of Detector.FailureTimeout. It is several times the freshness Bound, since
+// removing a member that only paused moves its duties twice.
 const DefaultFailureTimeout = 10 * time.Second
 
 // maxRemovers is how many members try to remove a failed one: the first may have failed too.
 const maxRemovers = 2
 
-// Event is an input of a Detector. It is sealed: Heard, Installed and Tick are the only events.
+// Event is an input of a Detector. It is sealed: HeartbeatAnswered, HeadInstalled and Tick are the only events.
 type Event interface {
 	sealedEvent()
 }
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -166,10 +166,10 @@
 	partsPerInstance = 1.25
 )
 
-// LimitParts returns the number of parts into which an instance that knows this many others divides a limit of the whole
-// fleet, such as retries or connections to an upstream. The instances do not coordinate: each stays within one part, as
-// it may be partitioned from the others. With a number fixed for a small fleet, a large fleet would exceed the limit
-// many times over, and only the operators who set it would notice.
+// LimitParts returns the number of parts into which an instance that knows this many others divides a limit of the
+// whole fleet, such as retries or connections to an upstream. The instances do not coordinate: each stays within one
+// part, as it may be partitioned from the others. With a number fixed for a small fleet, a large fleet would exceed the
+// limit many times over, and only the operators who set it would notice.
 func LimitParts(others int) float64 {
 	return max(minParts, partsPerInstance*float64(others+1))
 }
@@ -195,9 +195,9 @@
 	return slices.SortedFunc(slices.Values(names), func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
 }
 
-// TakeoverRanks returns, for each subject without a holder, the rank of an instance among the candidates to take it over. The
-// candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject is counted
-// as held by its first candidate before the next subject is ranked. The instance must be one of the names.
+// TakeoverRanks returns, for each subject without a holder, the rank of an instance among the candidates to take it
+// over. The candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject
+// is counted as held by its first candidate before the next subject is ranked. The instance must be one of the names.
 //
 // This balances the fleet during a rolling restart. By Rank alone, what a stopping instance held would go to those that
 // have not stopped yet and never return, so that in the end one instance would hold nearly all: when that one freezes,
