--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -35,9 +35,9 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/repository"
 )
 
-// assemble.go makes the parts of an instance from its settings and joins them.
+// assemble.go creates the components of an instance from its settings and connects them.
 
-// assemble makes all parts. The function it returns closes what they hold open.
+// assemble creates all components. The returned function closes the resources that they hold.
 func (d *Daemon) assemble() (closeParts func(), err error) {
 	serverCredentials, clientCredentials, err := peer.Credentials(d.Settings.Peers)
 	if err != nil {
@@ -46,18 +46,18 @@
 	scope, exposition, scopeCloser := metrics.New("lacewingd")
 	d.scope = scope
 	d.directory = &peer.Directory{Links: link.Links{Credentials: clientCredentials}}
-	d.assembleKnowledge()
+	d.assembleConfiguration()
 	policy := d.policy()
 	d.assemblePlacement(policy)
 	d.assemblePipeline(policy)
-	d.peers = link.NewServer(serverCredentials)
-	peer.Register(d.peers, handler{daemon: d})
-	d.callers = &api.Server{Listener: d.listeners.caller, Pipeline: d.pipeline, Limits: d.callerLimits()}
-	d.callers.Observe = d.observe
-	d.operators = &http.Server{
+	d.peerServer = link.NewServer(serverCredentials)
+	peer.Register(d.peerServer, handler{daemon: d})
+	d.callerServer = &api.Server{Listener: d.listeners.caller, Pipeline: d.pipeline, Limits: d.callerLimits()}
+	d.callerServer.Observe = d.countRequest
+	d.operatorServer = &http.Server{
 		Handler:           d.operatorHandler(exposition),
-		ReadHeaderTimeout: headerWithin,
-		ReadTimeout:       operatorBodyWithin,
+		ReadHeaderTimeout: operatorHeaderTimeout,
+		ReadTimeout:       operatorBodyTimeout,
 	}
 	return func() {
 		d.directory.Close()
@@ -65,8 +65,9 @@
 	}, nil
 }
 
-// assembleKnowledge makes what the instance knows, and for how long it may use it.
-func (d *Daemon) assembleKnowledge() {
+// assembleConfiguration creates the components for the configuration, its freshness, the rates, the claims and the
+// detection of failed members.
+func (d *Daemon) assembleConfiguration() {
 	platform := d.Settings.Platform
 	d.store = &store.Client{Address: platform.StoreAddress, Timeout: platform.StoreTimeout}
 	d.repository = &repository.Repository{
@@ -82,7 +83,7 @@
 	d.detector.detector = &membership.Detector{Self: d.self.Name}
 }
 
-// policy is the one that the settings name.
+// policy returns the placement policy of the preset that the settings name.
 func (d *Daemon) policy() deployment.Policy {
 	if d.Settings.Policy.Preset == settings.PresetEfficiency {
 		return deployment.Hellenic()
@@ -90,14 +91,14 @@
 	return deployment.BlueMountain()
 }
 
-// assemblePlacement makes the holders' and the load broker's loops.
+// assemblePlacement creates the event loops of the holders and of the load broker.
 func (d *Daemon) assemblePlacement(policy deployment.Policy) {
-	calls := fleet{daemon: d, own: handler{daemon: d}}
+	members := peerClient{daemon: d, local: handler{daemon: d}}
 	d.holding = &holding.Runner{
 		Settings: policy.Holder,
-		Peers:    calls,
-		Engine:   func(address string) holding.Engine { return d.engines.at(address, d.engineLimits()) },
-		Source:   d.source,
+		Peers:    members,
+		Engine:   func(address string) holding.Engine { return d.engines.clientFor(address, d.engineLimits()) },
+		Source:   d.weightSource,
 		Fresh:    d.tracker.Fresh,
 		Log:      d.Log,
 	}
@@ -114,8 +115,8 @@
 		Tracker:  d.tracker,
 		Ledger:   d.ledger,
 		Claims:   d.claims,
-		Fleet:    fleet{daemon: d, own: handler{daemon: d}},
-		Engine:   func(address string) pipeline.Engine { return d.engines.at(address, d.engineLimits()) },
+		Fleet:    peerClient{daemon: d, local: handler{daemon: d}},
+		Engine:   func(address string) pipeline.Engine { return d.engines.clientFor(address, d.engineLimits()) },
 		Services: &service.Client{},
 		Leaving:  d.leaving.isLeaving,
 		Pins:     &pipeline.Pins{},
@@ -128,7 +129,7 @@
 			Shares:   &share.Tracker{},
 		},
 		Patience: d.Settings.Limits.Patience,
-		Crashed:  d.tellAll,
+		Crashed:  d.requestHeartbeatsToAll,
 		Log:      d.Log,
 		Scope:    d.scope,
 	}
@@ -149,20 +150,22 @@
 	return limits
 }
 
-// isBroker tells whether this instance has the duties that one member of the fleet has.
+// isBroker reports whether this instance is the load broker. The same member does the other work that one member of
+// the fleet does for all.
 func (d *Daemon) isBroker() bool {
 	member, found := membership.Broker(d.repository.Current().Head)
 	return found && member.Incarnation == d.self.Incarnation
 }
 
-// observe counts each caller's request by its status.
-func (d *Daemon) observe(seen api.Observation) {
-	tags := map[string]string{"route": seen.Route, "status": strconv.Itoa(seen.Status)}
+// countRequest counts a caller's request by route and status.
+func (d *Daemon) countRequest(record api.Observation) {
+	tags := map[string]string{"route": record.Route, "status": strconv.Itoa(record.Status)}
 	d.scope.Tagged(tags).Counter("requests").Inc(1)
 }
 
-// source gives where the weight store keeps an adapter version.
-func (d *Daemon) source(ref model.Reference) string {
+// weightSource returns the location of an adapter version in the weight store, or an empty text if the version is not
+// declared.
+func (d *Daemon) weightSource(ref model.Reference) string {
 	version, found := d.repository.Current().Configuration.AdapterVersion(ref.Adapter, ref.Version)
 	if !found {
 		return ""
@@ -172,19 +175,19 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// headerWithin bounds how long an operator's client may take to send its headers, and
-// operatorBodyWithin its whole request: a file of tens of thousands of resources has some megabytes.
+// operatorHeaderTimeout bounds how long an operator's client may take to send its headers, and operatorBodyTimeout
+// its whole request: a file with tens of thousands of resources has several megabytes.
 const (
-	headerWithin       = 10 * time.Second
-	operatorBodyWithin = time.Minute
+	operatorHeaderTimeout = 10 * time.Second
+	operatorBodyTimeout   = time.Minute
 )
 
-// operatorHandler serves operators, and without a token the probes and metrics.
+// operatorHandler serves the operators' API, and the probes and metrics, which need no token.
 func (d *Daemon) operatorHandler(exposition http.Handler) http.Handler {
 	operators := &operatorapi.Server{
 		Configurations: d.repository,
-		Fleet:          views{daemon: d},
-		Reports:        views{daemon: d},
+		Fleet:          operatorBackend{daemon: d},
+		Reports:        operatorBackend{daemon: d},
 		TokenHashes:    d.Settings.Operators.TokenHashes,
 		Log:            d.Log,
 	}
@@ -196,7 +199,8 @@
 	return mux
 }
 
-// ready tells the balancer whether to send requests here.
+// ready is the readiness probe of the load balancer. It fails while the instance is stopping or its configuration is
+// stale.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
 	if d.stopping.Load() || d.tracker.Fresh() != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -205,17 +209,17 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// views shows operators what the fleet knows.
-type views struct {
+// operatorBackend gives the operators' API the state of the fleet.
+type operatorBackend struct {
 	daemon *Daemon
 }
 
-// unheardFor is how long a member may be silent before operators are shown that it is.
-const unheardFor = 5 * time.Second
+// unreachableAfter is how long no heartbeat may be exchanged with a member before operators see it as unreachable.
+const unreachableAfter = 5 * time.Second
 
-// Status tells how far each member is.
-func (v views) Status() []operatorapi.InstanceStatus {
-	d := v.daemon
+// Status returns the revision and reachability of each member.
+func (b operatorBackend) Status() []operatorapi.InstanceStatus {
+	d := b.daemon
 	var list []operatorapi.InstanceStatus
 	current := d.repository.Current().Head
 	for _, status := range d.tracker.Status() {
@@ -225,13 +229,13 @@
 			DataCentre:   member.DataCentre,
 			Revision:     status.Revision,
 			InForceSince: status.Since,
-			Reachable:    member.Name == d.self.Name || d.detector.heardWithin(member.Name, unheardFor),
+			Reachable:    member.Name == d.self.Name || d.detector.answeredWithin(member.Name, unreachableAfter),
 		})
 	}
 	return list
 }
 
 // WaitInForce waits until a revision is in force everywhere.
-func (v views) WaitInForce(ctx context.Context, revision int64) error {
-	return v.daemon.tracker.WaitInForce(ctx, revision)
+func (b operatorBackend) WaitInForce(ctx context.Context, revision int64) error {
+	return b.daemon.tracker.WaitInForce(ctx, revision)
 }
--- a/internal/entry/daemon/burn_report.go
+++ b/internal/entry/daemon/burn_report.go
@@ -12,26 +12,26 @@
 	operatorapi "lacewingrock.example/lacewingrock/internal/operator/api"
 )
 
-// burn_report.go gathers the counts of all members into one report.
+// burn_report.go collects the burn counts of all members into one report.
 
-// countsWithin bounds how long a member may take to tell its counts. One that takes longer is left out:
-// a report that waits for a frozen instance is of no use when something is wrong.
-const countsWithin = 2 * time.Second
+// burnCountsTimeout bounds the collection of the members' counts. Members that have not answered by then are left
+// out: during an incident a report must not wait for a frozen instance.
+const burnCountsTimeout = 2 * time.Second
 
-// BurnReport makes the report over all members that answer.
-func (v views) BurnReport(ctx context.Context) (operatorapi.Report, error) {
-	d := v.daemon
-	gathered := &countsOfMembers{counts: d.burn.Counts()}
-	ctx, cancel := context.WithTimeout(ctx, countsWithin)
+// BurnReport returns the report over all members that answer.
+func (b operatorBackend) BurnReport(ctx context.Context) (operatorapi.Report, error) {
+	d := b.daemon
+	collector := &burnCountCollector{counts: d.burn.Counts()}
+	ctx, cancel := context.WithTimeout(ctx, burnCountsTimeout)
 	defer cancel()
-	for _, member := range d.others() {
-		gathered.group.Go(func() { gathered.run(ctx, d, member) })
+	for _, member := range d.otherMembers() {
+		collector.group.Go(func() { collector.collect(ctx, d, member) })
 	}
-	gathered.group.Wait()
-	report := burn.New(time.Now(), burn.DefaultWindows(), d.targets(), gathered.counts)
-	answer := operatorapi.Report{ShortWindow: report.Windows.Short, LongWindow: report.Windows.Long}
+	collector.group.Wait()
+	report := burn.New(time.Now(), burn.DefaultWindows(), d.burnTargets(), collector.counts)
+	summary := operatorapi.Report{ShortWindow: report.Windows.Short, LongWindow: report.Windows.Long}
 	for _, line := range report.Lines {
-		answer.Lines = append(answer.Lines, operatorapi.BurnLine{
+		summary.Lines = append(summary.Lines, operatorapi.BurnLine{
 			Workspace:  line.Workspace,
 			Objective:  string(line.Objective),
 			Target:     line.Target,
@@ -42,27 +42,27 @@
 			Bad:        line.Bad,
 		})
 	}
-	return answer, nil
+	return summary, nil
 }
 
-// targets are what the workspaces were promised.
-func (d *Daemon) targets() (targets []burn.Target) {
-	for _, one := range d.repository.Current().Configuration.Resources(resource.KindWorkspace) {
-		if workspace, ok := one.(resource.Workspace); ok {
+// burnTargets returns the objectives of the workspaces.
+func (d *Daemon) burnTargets() (targets []burn.Target) {
+	for _, declared := range d.repository.Current().Configuration.Resources(resource.KindWorkspace) {
+		if workspace, ok := declared.(resource.Workspace); ok {
 			targets = append(targets, burn.Target{Workspace: workspace.Meta.Name, Objectives: workspace.Objectives})
 		}
 	}
 	return targets
 }
 
-// countsOfMembers adds up what members tell.
-type countsOfMembers struct {
+// burnCountCollector adds up the counts that members return.
+type burnCountCollector struct {
 	group  sync.WaitGroup
 	mutex  sync.Mutex
 	counts []burn.Count
 }
 
-func (c *countsOfMembers) run(ctx context.Context, d *Daemon, member head.Member) {
+func (c *burnCountCollector) collect(ctx context.Context, d *Daemon, member head.Member) {
 	counts, err := d.directory.BurnCounts(ctx, member.Address)
 	if err != nil {
 		d.Log.Warn().Str("Member", member.Name).Err(err).Msg("BurnCountsMissing")
--- a/internal/entry/daemon/configuration.go
+++ b/internal/entry/daemon/configuration.go
@@ -16,50 +16,50 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// knowledge.go keeps what this instance knows of the configuration: it reads the head when freshness
-// asks for it, and brings each new one to every part that goes by it.
+// configuration.go keeps the configuration current: it reads the head when freshness requires it, and installs each
+// new snapshot in every component that uses it.
 
 const (
-	// considerReading is how often freshness is asked whether the store should be read.
-	considerReading = 100 * time.Millisecond
-	// considerInForce is how often the duties learn that a revision has come into force everywhere.
-	considerInForce = 50 * time.Millisecond
+	// readCheckInterval is how often runReads checks whether the store should be read.
+	readCheckInterval = 100 * time.Millisecond
+	// inForceCheckInterval is how often runInForce checks which revision is in force everywhere.
+	inForceCheckInterval = 50 * time.Millisecond
 )
 
-// runReads reads the head whenever freshness says so.
+// runReads reads the head whenever the tracker requires it.
 func (d *Daemon) runReads(ctx context.Context) error {
 	failing := false
 	fresh := false
-	for pause.For(ctx, considerReading) {
-		if grounds := d.tracker.Basis(); grounds.Fresh != fresh {
-			fresh = grounds.Fresh
-			d.logFreshness(grounds)
+	for pause.For(ctx, readCheckInterval) {
+		if basis := d.tracker.Basis(); basis.Fresh != fresh {
+			fresh = basis.Fresh
+			d.logFreshness(basis)
 		}
 		if !d.tracker.ShouldReadStore() {
 			continue
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		snapshot, err := d.repository.Refresh(ctx)
 		if (err != nil) != failing && ctx.Err() == nil {
 			failing = err != nil
-			d.logReading(err)
+			d.logStoreReadable(err)
 		}
 		if err != nil {
-			d.tracker.RecordReadFailure(began)
+			d.tracker.RecordReadFailure(startedAt)
 			continue
 		}
-		d.tracker.RecordRead(began, snapshot.Head.Revision)
+		d.tracker.RecordRead(startedAt, snapshot.Head.Revision)
 	}
 	return nil
 }
 
-func (d *Daemon) logFreshness(grounds freshness.Basis) {
-	d.Log.Info().Bool("Fresh", grounds.Fresh).Int64("Revision", grounds.Revision).Int64("Highest", grounds.Highest).
-		Int64("ReadMillis", grounds.ReadAge.Milliseconds()).Int64("MajorityMillis", grounds.MajorityAge.Milliseconds()).
+func (d *Daemon) logFreshness(basis freshness.Basis) {
+	d.Log.Info().Bool("Fresh", basis.Fresh).Int64("Revision", basis.Revision).Int64("Highest", basis.Highest).
+		Int64("ReadMillis", basis.ReadAge.Milliseconds()).Int64("MajorityMillis", basis.MajorityAge.Milliseconds()).
 		Msg("Freshness")
 }
 
-func (d *Daemon) logReading(err error) {
+func (d *Daemon) logStoreReadable(err error) {
 	if err != nil {
 		d.Log.Warn().Err(err).Msg("StoreUnreadable")
 		return
@@ -67,7 +67,7 @@
 	d.Log.Info().Msg("StoreReadable")
 }
 
-// runInstalls takes in each new snapshot.
+// runInstalls installs each new snapshot.
 func (d *Daemon) runInstalls(ctx context.Context) error {
 	snapshots, unsubscribe := d.repository.Subscribe()
 	defer unsubscribe()
@@ -83,49 +83,51 @@
 	}
 }
 
-// install brings a snapshot to every part that goes by it. The tracker comes last: once it has the
-// head, others are told that this instance goes by it, and rely on nothing older being acted on here.
-func (d *Daemon) install(ctx context.Context, before, now repository.Snapshot) {
-	d.ledger.Install(ledgerHead(d.self, now))
-	d.pipeline.Running.EndWithdrawn(now.Configuration)
-	d.pipeline.Pins.Install(now.Head)
+// install installs a snapshot in every component that uses it. The tracker comes last: from then on heartbeats report
+// that the head is in force here, and the other members rely on this instance acting on no older one.
+func (d *Daemon) install(ctx context.Context, previous, current repository.Snapshot) {
+	d.ledger.Install(ledgerHead(d.self, current))
+	d.pipeline.Running.EndWithdrawn(current.Configuration)
+	d.pipeline.Pins.Install(current.Head)
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		a.Router.SetUpstreams(now.Configuration.Upstreams())
+		a.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
-	d.holding.SetTenure(ctx, d.tenure(before, now))
-	d.detector.handle(membership.HeadInstalled{Head: now.Head})
-	d.departures.note(before.Head, now.Head)
-	d.leaving.keepMembers(now.Head)
-	d.settlement.install(now.Head)
-	d.directory.Keep(addresses(now.Head))
-	// The read or swap that brought the head confirms it; without this, each change of the configuration
-	// would have callers refused until the next read.
-	d.tracker.RecordRead(now.ConfirmedAt, now.Head.Revision)
-	d.tracker.Install(trackerHead(now.Head))
-	d.Log.Info().Int64("Revision", now.Head.Revision).Int64("Epoch", now.Head.Epoch).
-		Int("Members", len(now.Head.Members)).Msg("RevisionInForceHere")
-	if d.isListed(now.Head) && !d.isListed(before.Head) {
-		d.tellAll() // a store outage would leave members without this head stale, see freshness.Tracker.ShouldReadStore
+	d.holding.SetTenure(ctx, d.tenure(previous, current))
+	d.detector.handle(membership.HeadInstalled{Head: current.Head})
+	d.departures.record(previous.Head, current.Head)
+	d.leaving.dropNonMembers(current.Head)
+	d.settlement.install(current.Head)
+	d.directory.Keep(addresses(current.Head))
+	// The read or swap that returned the head confirms it. Without this call, each change of the configuration would
+	// cause refusals until the next read.
+	d.tracker.RecordRead(current.ConfirmedAt, current.Head.Revision)
+	d.tracker.Install(trackerHead(current.Head))
+	d.Log.Info().Int64("Revision", current.Head.Revision).Int64("Epoch", current.Head.Epoch).
+		Int("Members", len(current.Head.Members)).Msg("RevisionInForceHere")
+	if d.isListed(current.Head) && !d.isListed(previous.Head) {
+		// In a store outage members without this head would be stale, see freshness.Tracker.ShouldReadStore.
+		d.requestHeartbeatsToAll()
 	}
 }
 
-// isListed reports whether this process is a member by a head.
+// isListed reports whether a head lists this process as a member.
 func (d *Daemon) isListed(h head.Head) bool {
 	member, found := h.Member(d.self.Name)
 	return found && member.Incarnation == d.self.Incarnation
 }
 
-// tenure is what the head says about the upstreams this instance holds. An upstream was certainly held
-// in the epoch directly before when the head before had it and no epoch was missed between the two.
-func (d *Daemon) tenure(before, now repository.Snapshot) holding.Tenure {
-	tenure := holding.Tenure{Epoch: now.Head.Epoch, Members: now.Head.Members, Continued: map[string]bool{}}
-	missedNone := now.Head.Epoch <= before.Head.Revision+1
-	for _, upstream := range now.Configuration.Upstreams() {
-		if !d.holds(now.Head, upstream) {
+// tenure returns the upstreams that the head assigns to this instance. An upstream counts as continued if this
+// instance certainly held it in the epoch directly before: the previous head assigned it too, and no epoch between
+// the two heads was missed.
+func (d *Daemon) tenure(previous, current repository.Snapshot) holding.Tenure {
+	tenure := holding.Tenure{Epoch: current.Head.Epoch, Members: current.Head.Members, Continued: map[string]bool{}}
+	noEpochMissed := current.Head.Epoch <= previous.Head.Revision+1
+	for _, upstream := range current.Configuration.Upstreams() {
+		if !d.holds(current.Head, upstream) {
 			continue
 		}
 		tenure.Upstreams = append(tenure.Upstreams, upstream)
-		tenure.Continued[upstream.Meta.Name] = missedNone && d.holds(before.Head, upstream)
+		tenure.Continued[upstream.Meta.Name] = noEpochMissed && d.holds(previous.Head, upstream)
 	}
 	return tenure
 }
@@ -143,8 +145,8 @@
 			h.Since = m.Since
 		}
 	}
-	for _, one := range snapshot.Configuration.Resources(resource.KindWorkspace) {
-		if workspace, ok := one.(resource.Workspace); ok {
+	for _, declared := range snapshot.Configuration.Resources(resource.KindWorkspace) {
+		if workspace, ok := declared.(resource.Workspace); ok {
 			h.Limits = append(h.Limits, rate.Limit{
 				Workspace: workspace.Meta.Name,
 				Rate:      workspace.Rate,
@@ -173,30 +175,31 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// runInForce tells the holders which epoch is in force everywhere and which members are certainly
-// gone, and ends the running requests when this instance could not confirm their keys for too long.
+// runInForce notifies the holders of the revision that is in force everywhere and of members that have certainly
+// ended. It also ends the running requests once this instance has been stale for longer than the limit, since it
+// could not confirm their keys for that time.
 func (d *Daemon) runInForce(ctx context.Context) error {
-	told := int64(0)
-	for pause.For(ctx, considerInForce) {
-		if inForce := d.tracker.InForce(); inForce > told {
-			told = inForce
+	reported := int64(0)
+	for pause.For(ctx, inForceCheckInterval) {
+		if inForce := d.tracker.InForce(); inForce > reported {
+			reported = inForce
 			d.holding.SetInForce(ctx, inForce)
-			for _, m := range d.departures.settled(inForce) {
+			for _, m := range d.departures.takeInForce(inForce) {
 				d.holding.SetGone(ctx, m.Name, m.Incarnation)
 			}
 		}
-		d.settlement.tell(d.identity(), d.settlement.toTell(d.ledger.OldestRevision()))
-		d.ledger.MarkSettled(d.settlement.revision())
-		if d.staleFor() > d.Settings.Limits.StaleStream {
+		d.settlement.record(d.identity(), d.settlement.oldestToReport(d.ledger.OldestRevision()))
+		d.ledger.MarkSettled(d.settlement.settledRevision())
+		if d.staleDuration() > d.Settings.Limits.StaleStream {
 			d.pipeline.Running.EndAll()
 		}
 	}
 	return nil
 }
 
-// staleFor is for how long this instance could not use what it knows. An instance that has left the
-// fleet in a planned stop only finishes what runs.
-func (d *Daemon) staleFor() time.Duration {
+// staleDuration returns for how long the configuration has been stale, and 0 during a planned stop: an instance that
+// has left the fleet only lets its running requests end.
+func (d *Daemon) staleDuration() time.Duration {
 	if d.stopping.Load() || d.tracker.Fresh() == nil {
 		return 0
 	}
@@ -207,34 +210,34 @@
 	return time.Since(until)
 }
 
-// departures remembers the members that a head left out, until that head is in force everywhere: only
-// then is it certain that they do nothing any more.
+// departures holds the members that a head removed until that head is in force everywhere. Only then is it certain
+// that they act no more.
 type departures struct {
-	mutex sync.Mutex
-	left  map[head.Member]int64
+	mutex     sync.Mutex
+	removedIn map[head.Member]int64
 }
 
-func (d *departures) note(before, now head.Head) {
+func (d *departures) record(previous, current head.Head) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.left == nil {
-		d.left = map[head.Member]int64{}
+	if d.removedIn == nil {
+		d.removedIn = map[head.Member]int64{}
 	}
-	for _, m := range before.Members {
-		if kept, found := now.Member(m.Name); !found || kept.Incarnation != m.Incarnation {
-			d.left[m] = now.Revision
+	for _, m := range previous.Members {
+		if kept, found := current.Member(m.Name); !found || kept.Incarnation != m.Incarnation {
+			d.removedIn[m] = current.Revision
 		}
 	}
 }
 
-func (d *departures) settled(inForce int64) (gone []head.Member) {
+func (d *departures) takeInForce(inForce int64) (ended []head.Member) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for m, revision := range d.left {
+	for m, revision := range d.removedIn {
 		if revision <= inForce {
-			gone = append(gone, m)
-			delete(d.left, m)
+			ended = append(ended, m)
+			delete(d.removedIn, m)
 		}
 	}
-	return gone
+	return ended
 }
--- a/internal/entry/daemon/daemon.go
+++ b/internal/entry/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts one entry instance together: it makes the parts, joins them, listens, and stops
-// them in order. What the parts decide stands in their own packages.
+// Package daemon runs an entry instance: it creates the components, connects them, listens, and stops them in order.
+// The decisions are made in the packages of the components.
 package daemon
 
 import (
@@ -56,30 +56,30 @@
 	burn       *burn.Recorder
 	detector   detector
 
-	callers   *api.Server
-	operators *http.Server
-	peers     *grpc.Server
-	listeners listeners
+	callerServer   *api.Server
+	operatorServer *http.Server
+	peerServer     *grpc.Server
+	listeners      listeners
 
-	engines    engines
-	leaving    leavingNames
-	departures departures
-	pinging    pinging
-	urgent     chan struct{}
-	settlement settlement
-	stopping   atomic.Bool
-	drained    chan error
+	engines            engines
+	leaving            leavingNames
+	departures         departures
+	inFlightHeartbeats addressSet
+	heartbeatAllNow    chan struct{}
+	settlement         settlement
+	stopping           atomic.Bool
+	drained            chan error
 }
 
-// listeners are the three doors of an instance.
+// listeners are the listeners of an instance, one each for callers, operators and peers.
 type listeners struct {
 	caller   net.Listener
 	operator net.Listener
 	peer     net.Listener
 }
 
-// Run serves until the context ends, and then stops without cutting a request. Nothing is started
-// before everything that can fail at once has succeeded.
+// Run serves until the context ends, and then makes a planned stop. It starts the tasks only after every step that
+// can fail immediately has succeeded.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "daemon") }()
 	if err := d.listen(); err != nil {
@@ -93,7 +93,7 @@
 		DataCentre:  d.Settings.Instance.DataCentre,
 	}
 	d.drained = make(chan error, 1)
-	d.urgent = make(chan struct{}, 1)
+	d.heartbeatAllNow = make(chan struct{}, 1)
 	d.Log = d.Log.With().Str("Instance", d.self.Name).Logger()
 	closeParts, err := d.assemble()
 	if err != nil {
@@ -106,7 +106,7 @@
 		Str("PeerAddress", d.listeners.peer.Addr().String()).
 		Str("Incarnation", d.self.Incarnation).
 		Msg("listening")
-	return d.runDuties(ctx)
+	return d.runTasks(ctx)
 }
 
 func (d *Daemon) listen() (err error) {
@@ -129,18 +129,18 @@
 func (l listeners) close() {
 	for _, listener := range []net.Listener{l.caller, l.operator, l.peer} {
 		if listener != nil {
-			_ = listener.Close() // closed before by its server in a planned stop
+			_ = listener.Close() // in a planned stop its server has closed it already
 		}
 	}
 }
 
-// runDuties runs one goroutine for each duty until the first ends: in a planned stop that is stop.
-func (d *Daemon) runDuties(ctx context.Context) error {
-	working, cancel := context.WithCancel(context.Background())
+// runTasks runs each task in its own goroutine until the first one returns; in a planned stop that is runStop.
+func (d *Daemon) runTasks(ctx context.Context) error {
+	tasksCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group run.Group
-	add := func(duty func(context.Context) error) {
-		group.Add(func() error { return duty(working) }, func(error) { cancel() })
+	add := func(task func(context.Context) error) {
+		group.Add(func() error { return task(tasksCtx) }, func(error) { cancel() })
 	}
 	add(d.holding.Run)
 	add(d.brokering.Run)
@@ -153,87 +153,88 @@
 	add(d.runListing)
 	add(d.sweeper.Run)
 	add(d.runGauges)
-	add(d.runTopUps)
-	group.Add(d.servePeers, func(error) { d.peers.Stop() })
-	group.Add(d.serveOperators, func(error) { _ = d.operators.Close() })
-	add(func(working context.Context) error { return d.serveCallers(ctx, working) })
-	add(func(working context.Context) error { return d.runStop(ctx, working) })
+	add(d.runRebalancing)
+	group.Add(d.servePeers, func(error) { d.peerServer.Stop() })
+	group.Add(d.serveOperators, func(error) { _ = d.operatorServer.Close() })
+	add(func(tasksCtx context.Context) error { return d.serveCallers(ctx, tasksCtx) })
+	add(func(tasksCtx context.Context) error { return d.runStop(ctx, tasksCtx) })
 	return group.Run()
 }
 
 func (d *Daemon) servePeers() error {
-	err := d.peers.Serve(d.listeners.peer)
+	err := d.peerServer.Serve(d.listeners.peer)
 	return errors.WithMessage(err, "serve peers")
 }
 
 func (d *Daemon) serveOperators() error {
-	err := d.operators.Serve(d.listeners.operator)
+	err := d.operatorServer.Serve(d.listeners.operator)
 	if errors.Is(err, http.ErrServerClosed) {
 		err = nil
 	}
 	return errors.WithMessage(err, "serve operators")
 }
 
-// serveCallers serves until the order to stop, and then until the running requests have ended. It stays
-// until the other duties end, which have to go on meanwhile.
-func (d *Daemon) serveCallers(ordered, working context.Context) error {
-	serving, cancel := context.WithCancel(ordered)
+// serveCallers serves until a stop is requested, and then until the running requests have ended. After that it waits
+// for tasksCtx to end before it returns, since its return would end the other tasks, which the rest of the stop
+// needs.
+func (d *Daemon) serveCallers(stopCtx, tasksCtx context.Context) error {
+	serveCtx, cancel := context.WithCancel(stopCtx)
 	defer cancel()
-	defer context.AfterFunc(working, cancel)()
-	err := d.callers.Run(serving)
-	if ordered.Err() == nil {
+	defer context.AfterFunc(tasksCtx, cancel)()
+	err := d.callerServer.Run(serveCtx)
+	if stopCtx.Err() == nil {
 		return errors.WithMessage(err, "serve callers")
 	}
 	d.drained <- err
-	<-working.Done()
+	<-tasksCtx.Done()
 	return nil
 }
 
-// identity of this process in the ledger.
+// identity returns this process as the rate ledger identifies it.
 func (d *Daemon) identity() rate.Identity {
 	return rate.Identity{Name: d.self.Name, Incarnation: d.self.Incarnation}
 }
 
-// trackerMember is a head's member as freshness knows it.
+// trackerMember converts a member of a head to one of the freshness tracker.
 func trackerMember(m head.Member) freshness.Member {
 	return freshness.Member{Name: m.Name, Incarnation: m.Incarnation, Since: m.Since}
 }
 
-// detector is the membership.Detector with the lock that several duties need. It also remembers when
-// each member was last heard, for operators.
+// detector is a membership.Detector with a lock, since several tasks use it. It also records when each member last
+// answered a heartbeat or sent one, which the operators' API and the reading of the platform's list use.
 type detector struct {
-	mutex    sync.Mutex
-	detector *membership.Detector
-	heard    map[string]time.Time
+	mutex       sync.Mutex
+	detector    *membership.Detector
+	lastAnswers map[string]time.Time
 }
 
 func (d *detector) handle(event membership.Event) []membership.Action {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if heard, ok := event.(membership.HeartbeatAnswered); ok {
-		if d.heard == nil {
-			d.heard = map[string]time.Time{}
+	if answered, ok := event.(membership.HeartbeatAnswered); ok {
+		if d.lastAnswers == nil {
+			d.lastAnswers = map[string]time.Time{}
 		}
-		d.heard[heard.Name] = time.Now()
+		d.lastAnswers[answered.Name] = time.Now()
 	}
 	return d.detector.Handle(event)
 }
 
-// heardWithin tells whether a member was heard lately.
-func (d *detector) heardWithin(name string, within time.Duration) bool {
+// answeredWithin reports whether a heartbeat was exchanged with a member within the window.
+func (d *detector) answeredWithin(name string, window time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	at, found := d.heard[name]
-	return found && time.Since(at) <= within
+	at, found := d.lastAnswers[name]
+	return found && time.Since(at) <= window
 }
 
-// engines keeps one client for each engine.
+// engines caches one client for each engine.
 type engines struct {
 	mutex   sync.Mutex
 	clients map[string]*engine.Client
 }
 
-func (e *engines) at(address string, limits engine.Limits) *engine.Client {
+func (e *engines) clientFor(address string, limits engine.Limits) *engine.Client {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.clients == nil {
--- a/internal/entry/daemon/gauges.go
+++ b/internal/entry/daemon/gauges.go
@@ -7,16 +7,16 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// gauges.go tells the metrics how this instance stands.
+// gauges.go updates the gauges that describe the state of this instance.
 
-// gaugesEvery is how often; the exposition is renewed each second.
-const gaugesEvery = time.Second
+// gaugeInterval is how often the gauges are updated. The metrics exposition is renewed each second.
+const gaugeInterval = time.Second
 
 func (d *Daemon) runGauges(ctx context.Context) error {
-	for pause.For(ctx, gaugesEvery) {
+	for pause.For(ctx, gaugeInterval) {
 		current := d.repository.Current().Head
-		d.scope.Gauge("fresh").Update(truth(d.tracker.Fresh() == nil))
-		d.scope.Gauge("stopping").Update(truth(d.stopping.Load()))
+		d.scope.Gauge("fresh").Update(boolToFloat(d.tracker.Fresh() == nil))
+		d.scope.Gauge("stopping").Update(boolToFloat(d.stopping.Load()))
 		d.scope.Gauge("revision").Update(float64(current.Revision))
 		d.scope.Gauge("revision_in_force_everywhere").Update(float64(d.tracker.InForce()))
 		d.scope.Gauge("members").Update(float64(len(current.Members)))
@@ -26,8 +26,8 @@
 	return nil
 }
 
-func truth(holds bool) float64 {
-	if holds {
+func boolToFloat(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -17,68 +17,70 @@
 	"lacewingrock.example/lacewingrock/internal/placement/route"
 )
 
-// heartbeats.go exchanges with the other members what each knows: the revision and how lately it was
-// confirmed, upstreams, suspects, who is leaving, and loans given back.
+// heartbeats.go exchanges heartbeats with the other members. A heartbeat carries the installed revision and how long
+// ago it was confirmed, summaries of upstreams, suspect requests, names of leaving machines, and loans that are
+// returned.
 
 const (
-	// beatEvery and beatsAtOnce bound what heartbeats cost an instance, however large the fleet: four
-	// small calls a second. With eight instances each peer is asked within two seconds, and asks us too.
-	beatEvery   = 500 * time.Millisecond
-	beatsAtOnce = 2
-	// beatWithin bounds one heartbeat. A peer that takes longer tells nothing that is still of use.
-	beatWithin = time.Second
+	// heartbeatInterval and minHeartbeatsPerRound bound the cost of heartbeats for an instance, independent of the
+	// size of the fleet: four small calls a second. With eight instances each peer is sent a heartbeat within two
+	// seconds, and sends one to this instance as well.
+	heartbeatInterval     = 500 * time.Millisecond
+	minHeartbeatsPerRound = 2
+	// heartbeatTimeout bounds one heartbeat. What a slower peer reports is outdated when it arrives.
+	heartbeatTimeout = time.Second
 )
 
-// runHeartbeats asks some members each time, in turn, and all of them when there is something that they
-// must hear at once.
+// runHeartbeats sends heartbeats to a few members each interval, in random order, and to all of them at once when
+// requestHeartbeatsToAll asks for that.
 func (d *Daemon) runHeartbeats(ctx context.Context) error {
 	var queue []head.Member
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.urgent:
-			d.ping(ctx, d.others())
+		case <-d.heartbeatAllNow:
+			d.sendHeartbeats(ctx, d.otherMembers())
 			continue
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		}
-		members := d.others()
-		count := min(d.beats(len(members)), len(members))
+		members := d.otherMembers()
+		count := min(d.heartbeatsPerRound(len(members)), len(members))
 		if len(queue) < count {
 			queue = shuffled(members)
 		}
-		d.ping(ctx, queue[:count])
+		d.sendHeartbeats(ctx, queue[:count])
 		queue = queue[count:]
-		d.learnOwn(ctx)
+		d.updateOwnSummaries(ctx)
 	}
 }
 
-// tellAll has all members told at once what this instance knows. It does not wait.
-func (d *Daemon) tellAll() {
+// requestHeartbeatsToAll has heartbeats sent to all members at once. It does not block.
+func (d *Daemon) requestHeartbeatsToAll() {
 	select {
-	case d.urgent <- struct{}{}:
-	default: // already asked for, and not begun
+	case d.heartbeatAllNow <- struct{}{}:
+	default: // already requested and not started
 	}
 }
 
-func (d *Daemon) ping(ctx context.Context, members []head.Member) {
+func (d *Daemon) sendHeartbeats(ctx context.Context, members []head.Member) {
 	for _, member := range members {
-		if d.pinging.begin(member.Address) {
-			go d.runPing(ctx, member)
+		if d.inFlightHeartbeats.begin(member.Address) {
+			go d.sendHeartbeat(ctx, member)
 		}
 	}
 }
 
-// beats is how many members are asked at a time. While reads of the store confirm nothing, a majority
-// has to be heard within the freshness bound instead, and more are asked.
-func (d *Daemon) beats(others int) int {
+// heartbeatsPerRound returns how many members are sent a heartbeat in each interval. While no recent read of the
+// store confirms the revision, it returns more, since a majority then has to answer within the freshness bound.
+func (d *Daemon) heartbeatsPerRound(peerCount int) int {
 	_, age := d.tracker.Confirmed()
 	bound := d.Settings.Freshness.Bound
 	if age >= 0 && age < bound*3/5 {
-		return beatsAtOnce
+		return minHeartbeatsPerRound
 	}
-	rounds := float64(bound/2) / float64(beatEvery)
-	return max(beatsAtOnce, int(math.Ceil(float64(others)/max(rounds, 1))))
+	rounds := float64(bound/2) / float64(heartbeatInterval)
+	return max(minHeartbeatsPerRound, int(math.Ceil(float64(peerCount)/max(rounds, 1))))
 }
 
 func shuffled(members []head.Member) []head.Member {
@@ -86,7 +88,7 @@
 	return members
 }
 
-func (d *Daemon) others() []head.Member {
+func (d *Daemon) otherMembers() []head.Member {
 	var list []head.Member
 	for _, m := range d.repository.Current().Head.Members {
 		if m.Name != d.self.Name {
@@ -96,53 +98,54 @@
 	return list
 }
 
-// runPing asks one member and takes in its answer.
-func (d *Daemon) runPing(ctx context.Context, member head.Member) {
-	defer d.pinging.end(member.Address)
-	ctx, cancel := context.WithTimeout(ctx, beatWithin)
+// sendHeartbeat sends a heartbeat to one member and applies the reply.
+func (d *Daemon) sendHeartbeat(ctx context.Context, member head.Member) {
+	defer d.inFlightHeartbeats.end(member.Address)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	lender := rate.Identity{Name: member.Name, Incarnation: member.Incarnation}
-	beat := d.beat(ctx)
-	beat.Returns = d.ledger.PendingReturns(lender)
-	asked := time.Now()
-	answer, err := d.directory.Ping(ctx, member.Address, beat)
+	heartbeat := d.newHeartbeat(ctx)
+	heartbeat.Returns = d.ledger.PendingReturns(lender)
+	sentAt := time.Now()
+	reply, err := d.directory.Ping(ctx, member.Address, heartbeat)
 	if err != nil {
 		d.scope.Counter("heartbeats_failed").Inc(1)
-		d.Log.Info().Err(err).Str("Peer", member.Name).Int64("TookMillis", time.Since(asked).Milliseconds()).
+		d.Log.Info().Err(err).Str("Peer", member.Name).Int64("TookMillis", time.Since(sentAt).Milliseconds()).
 			Msg("HeartbeatFailed")
 		return
 	}
-	if answer.Incarnation == member.Incarnation {
-		d.ledger.AcknowledgeReturns(lender, beat.Returns)
+	if reply.Incarnation == member.Incarnation {
+		d.ledger.AcknowledgeReturns(lender, heartbeat.Returns)
 	}
 	d.tracker.RecordReply(freshness.Reply{
-		Member:       freshness.Member{Name: answer.Instance, Incarnation: answer.Incarnation},
-		SentAt:       asked,
-		Revision:     answer.Revision,
-		ConfirmedAge: answer.ConfirmedAge,
+		Member:       freshness.Member{Name: reply.Instance, Incarnation: reply.Incarnation},
+		SentAt:       sentAt,
+		Revision:     reply.Revision,
+		ConfirmedAge: reply.ConfirmedAge,
 	})
-	d.learn(asked, answer)
+	d.applyHeartbeat(sentAt, reply)
 }
 
-// learn takes in what any heartbeat tells that needs no question of ours to be true.
-func (d *Daemon) learn(at time.Time, beat peer.Beat) {
-	d.tracker.MergeReportBitmap(beat.Revision, beat.Told)
-	d.detector.handle(membership.HeartbeatAnswered{Name: beat.Instance, Incarnation: beat.Incarnation})
-	d.settlement.tell(rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.OldestRevision)
-	if _, member := d.repository.Current().Head.Member(beat.Instance); member {
-		d.leaving.tell(beat.Instance, beat.Leaving)
+// applyHeartbeat applies the parts of a heartbeat that are valid whether it is a request or a reply. A confirmation
+// of the revision is not among them: that needs the time at which this instance sent its own heartbeat.
+func (d *Daemon) applyHeartbeat(sampledAt time.Time, heartbeat peer.Beat) {
+	d.tracker.MergeReportBitmap(heartbeat.Revision, heartbeat.Told)
+	d.detector.handle(membership.HeartbeatAnswered{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation})
+	d.settlement.record(rate.Identity{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation}, heartbeat.OldestRevision)
+	if _, member := d.repository.Current().Head.Member(heartbeat.Instance); member {
+		d.leaving.set(heartbeat.Instance, heartbeat.Leaving)
 	}
 	now := time.Now()
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		for _, summary := range beat.Upstreams {
-			a.Router.Learn(now, routeSummary(summary, at))
+		for _, summary := range heartbeat.Upstreams {
+			a.Router.Learn(now, routeSummary(summary, sampledAt))
 		}
-		a.Suspects.Merge(now, beat.Instance, beat.Suspects)
+		a.Suspects.Merge(now, heartbeat.Instance, heartbeat.Suspects)
 	})
 }
 
-// learnOwn tells the router of the upstreams held here.
-func (d *Daemon) learnOwn(ctx context.Context) {
+// updateOwnSummaries updates the router with the upstreams that this instance holds.
+func (d *Daemon) updateOwnSummaries(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
@@ -165,10 +168,10 @@
 	}
 }
 
-// beat is what this instance tells.
-func (d *Daemon) beat(ctx context.Context) peer.Beat {
+// newHeartbeat returns the current state of this instance for its peers.
+func (d *Daemon) newHeartbeat(ctx context.Context) peer.Beat {
 	revision, age := d.tracker.Confirmed()
-	beat := peer.Beat{
+	heartbeat := peer.Beat{
 		Instance:       d.self.Name,
 		Incarnation:    d.self.Incarnation,
 		Revision:       revision,
@@ -177,38 +180,39 @@
 		Upstreams:      d.holding.Summaries(ctx),
 		Leaving:        d.leaving.own(),
 		Stopping:       d.stopping.Load(),
-		OldestRevision: d.settlement.toTell(d.ledger.OldestRevision()),
+		OldestRevision: d.settlement.oldestToReport(d.ledger.OldestRevision()),
 	}
-	if relayed, told := d.tracker.ReportBitmap(); relayed == revision {
-		beat.Told = told
+	if reportedRevision, bitmap := d.tracker.ReportBitmap(); reportedRevision == revision {
+		heartbeat.Told = bitmap
 	}
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		beat.Suspects = a.Suspects.Own(time.Now())
+		heartbeat.Suspects = a.Suspects.Own(time.Now())
 	})
-	return beat
+	return heartbeat
 }
 
-// pinging keeps a member that does not answer from being asked by many goroutines at once.
-type pinging struct {
-	mutex sync.Mutex
-	asked map[string]bool
+// addressSet holds the addresses with a heartbeat in flight, so that a member that does not answer blocks only one
+// goroutine.
+type addressSet struct {
+	mutex     sync.Mutex
+	addresses map[string]bool
 }
 
-func (p *pinging) begin(address string) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.asked[address] {
+func (s *addressSet) begin(address string) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.addresses[address] {
 		return false
 	}
-	if p.asked == nil {
-		p.asked = map[string]bool{}
+	if s.addresses == nil {
+		s.addresses = map[string]bool{}
 	}
-	p.asked[address] = true
+	s.addresses[address] = true
 	return true
 }
 
-func (p *pinging) end(address string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	delete(p.asked, address)
+func (s *addressSet) end(address string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.addresses, address)
 }
--- a/internal/entry/daemon/leaving.go
+++ b/internal/entry/daemon/leaving.go
@@ -11,22 +11,22 @@
 	"lacewingrock.example/lacewingrock/internal/entry/pipeline"
 )
 
-// leaving.go gathers who is said to be leaving: by the platform's list as read here, and by what other
-// members have seen. The list lags and may be unreachable from here, so one source is enough.
+// leaving.go collects the names of leaving machines from the platform's list as read by this instance and from what
+// other members report. The list lags and may be unreachable from here, so one source is enough.
 
-// leavingNames keeps the names by who told them; a source's newest word replaces its older one.
+// leavingNames holds the names by source. A newer report of a source replaces its older one.
 type leavingNames struct {
 	mutex   sync.Mutex
 	sources map[string][]string
 	applied []string
 }
 
-// ownSource is the source name of this instance's own reading, which no member can have.
+// ownSource is the source name for what this instance read itself. No member can have this name.
 const ownSource = ""
 
-func (l *leavingNames) setOwn(names []string) { l.tell(ownSource, names) }
+func (l *leavingNames) setOwn(names []string) { l.set(ownSource, names) }
 
-func (l *leavingNames) tell(source string, names []string) {
+func (l *leavingNames) set(source string, names []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.sources == nil {
@@ -35,10 +35,10 @@
 	l.sources[source] = names
 }
 
-// keepMembers drops the words of instances that are members no more. One that died after it had told that a
-// machine is leaving could never take it back: the machine, or a new one of its name, would get no work
-// from this instance for good.
-func (l *leavingNames) keepMembers(h head.Head) {
+// dropNonMembers drops the reports of instances that are no longer members. An instance that failed after it had
+// reported a leaving machine could never withdraw the report: the machine, or a new one of the same name, would never
+// get work from this instance again.
+func (l *leavingNames) dropNonMembers(h head.Head) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for source := range l.sources {
@@ -48,14 +48,15 @@
 	}
 }
 
-// isLeaving tells whether the machine at an address is said to be leaving; see leavingOn.
+// isLeaving reports whether the machine at an address is leaving; see listLeaving.
 func (l *leavingNames) isLeaving(address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Contains(l.union(), address)
 }
 
-// own is what this instance itself has read. Hearsay is not passed on: a name would never die out.
+// own returns the names that this instance read itself. Reports of others are not passed on: members would repeat a
+// name to each other forever.
 func (l *leavingNames) own() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,21 +79,21 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// changed tells whether the names differ from those last applied, and takes them as applied.
-func (l *leavingNames) changed() bool {
+// takeChange reports whether the names differ from those last applied, and marks them as applied.
+func (l *leavingNames) takeChange() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	now := l.union()
-	if slices.Equal(now, l.applied) {
+	names := l.union()
+	if slices.Equal(names, l.applied) {
 		return false
 	}
-	l.applied = now
+	l.applied = names
 	return true
 }
 
-// applyLeaving brings the names to the route and to the holders when they have changed.
+// applyLeaving passes the names to the router and to the holders if they have changed.
 func (d *Daemon) applyLeaving(ctx context.Context) {
-	if !d.leaving.changed() {
+	if !d.leaving.takeChange() {
 		return
 	}
 	names := d.leaving.all()
--- a/internal/entry/daemon/members.go
+++ b/internal/entry/daemon/members.go
@@ -13,28 +13,29 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// members.go changes who is a member: this instance joins, dead members are removed. Each change is one
-// swap of the head, and waits until the one before it is in force everywhere.
+// members.go changes the members of the fleet: this instance joins, failed members are removed. Each change is one
+// swap of the head, and waits until the previous change is in force everywhere.
 
 const (
-	// considerMembers is how often this instance looks whether it is a member and who has died.
-	considerMembers = 200 * time.Millisecond
-	// commitWithin bounds one change of members.
-	commitWithin = 3 * time.Second
-	// listEvery is how often the platform's list is read, and listReaders by how many members; the others
-	// hear of it in heartbeats. Read by all, the list alone would cost each instance more at 330 instances
-	// than it may spend on control, for it names every instance and upstream.
-	listEvery   = time.Second
-	listReaders = 3
-	listDuty    = "list"
-	// unlistedFor is how long a silent member must be missing from the platform's list before it counts
-	// as ended. The list lags by seconds; a member that is only cut off from us is still on it.
-	unlistedFor = 10 * time.Second
+	// membershipCheckInterval is how often this instance checks whether it is a member and which members have failed.
+	membershipCheckInterval = 200 * time.Millisecond
+	// commitTimeout bounds one change of members.
+	commitTimeout = 3 * time.Second
+	// listInterval is how often the platform's list is read, and listReaders the number of members that read it; the
+	// others receive the names of leaving machines in heartbeats. The list names every instance and upstream: if all
+	// members read it at 330 instances, the list alone would cost each instance more than it may spend on control.
+	listInterval = time.Second
+	listReaders  = 3
+	listDuty     = "list"
+	// unlistedTimeout is how long a member that answers no heartbeat must be missing from the platform's list before
+	// it counts as ended. The list lags by seconds. A member that is only partitioned from this instance is still on
+	// it.
+	unlistedTimeout = 10 * time.Second
 )
 
 func (d *Daemon) runMembership(ctx context.Context) error {
-	for pause.For(ctx, considerMembers) {
-		if d.stopping.Load() || d.repository.Current().Head.Revision == 0 && !d.storeRead() {
+	for pause.For(ctx, membershipCheckInterval) {
+		if d.stopping.Load() || d.repository.Current().Head.Revision == 0 && !d.hasReadStore() {
 			continue
 		}
 		d.join(ctx)
@@ -47,13 +48,14 @@
 	return nil
 }
 
-// storeRead tells whether the store was read at all: before that an empty head means nothing.
-func (d *Daemon) storeRead() bool {
+// hasReadStore reports whether the store has been read. Before that an empty head does not mean that there are no
+// members.
+func (d *Daemon) hasReadStore() bool {
 	return !d.repository.Current().ConfirmedAt.IsZero()
 }
 
-// join brings this process a step nearer to being a member. A member of the same name at this very
-// address has certainly ended, since this process has its port.
+// join makes one step towards making this process a member. A member of the same name at this same address has
+// certainly ended, since this process is bound to its port.
 func (d *Daemon) join(ctx context.Context) {
 	current := d.repository.Current().Head
 	listed, found := current.Member(d.self.Name)
@@ -78,7 +80,7 @@
 }
 
 func (d *Daemon) changeMembers(ctx context.Context, event string, mutate func(head.Head) (head.Head, error)) {
-	ctx, cancel := context.WithTimeout(ctx, commitWithin)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	revision, err := d.repository.CommitHead(ctx, mutate)
 	var unsettled *membership.UnsettledError
@@ -94,31 +96,32 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// runListing reads the platform's list: who is leaving, and who is gone.
+// runListing reads the platform's list for machines that are leaving and members that have ended.
 func (d *Daemon) runListing(ctx context.Context) error {
-	missing := map[head.Member]time.Time{}
-	for pause.For(ctx, listEvery) {
+	unlistedSince := map[head.Member]time.Time{}
+	for pause.For(ctx, listInterval) {
 		if !d.readsList() {
 			d.leaving.setOwn(nil)
-			clear(missing)
+			clear(unlistedSince)
 			d.applyLeaving(ctx)
 			continue
 		}
 		members, err := d.listing.Members(ctx)
 		if err == nil {
-			d.leaving.setOwn(leavingOn(members))
-			d.noteMissing(ctx, members, missing)
+			d.leaving.setOwn(listLeaving(members))
+			d.removeUnlisted(ctx, members, unlistedSince)
 		} else {
 			d.scope.Counter("list_unreadable").Inc(1)
-			clear(missing)
+			clear(unlistedSince)
 		}
 		d.applyLeaving(ctx)
 	}
 	return nil
 }
 
-// readsList tells whether this instance reads the list. Besides the few members that have the duty, those
-// do that are no members or hear somebody no more: the few may be just the ones that have died.
+// readsList reports whether this instance reads the list. A few members have that duty. An instance also reads it
+// while it is no member, or while it exchanges no heartbeats with some member: the few may be the very ones that have
+// failed.
 func (d *Daemon) readsList() bool {
 	current := d.repository.Current().Head
 	if membership.HasDuty(current, listDuty, d.self.Name, listReaders) {
@@ -127,14 +130,14 @@
 	if own, found := current.Member(d.self.Name); !found || own.Incarnation != d.self.Incarnation {
 		return true
 	}
-	return slices.ContainsFunc(d.others(), func(m head.Member) bool {
-		return !d.detector.heardWithin(m.Name, unlistedFor)
+	return slices.ContainsFunc(d.otherMembers(), func(m head.Member) bool {
+		return !d.detector.answeredWithin(m.Name, unlistedTimeout)
 	})
 }
 
-// leavingOn lists who is leaving. Machines of plain services stand there by their address as well: that is
-// what the configuration declares of them, and most members never read the list to know their names.
-func leavingOn(members []listing.Member) (names []string) {
+// listLeaving returns the names of the leaving machines. For machines of plain services it adds their addresses: the
+// configuration declares only the address, and most members never read the list that has the name.
+func listLeaving(members []listing.Member) (names []string) {
 	for _, m := range members {
 		if !m.Leaving {
 			continue
@@ -147,36 +150,37 @@
 	return names
 }
 
-// noteMissing finds members that are neither on the list nor answer. Such a one counts as ended, which
-// lets a fleet that was replaced whole go on: no majority of its old members will ever answer again.
-func (d *Daemon) noteMissing(ctx context.Context, members []listing.Member, missing map[head.Member]time.Time) {
+// removeUnlisted finds members that are not on the list and do not answer. Such a member counts as ended. Without
+// that, a fleet whose instances were all replaced could not go on: a majority of its old members will never answer
+// again.
+func (d *Daemon) removeUnlisted(ctx context.Context, members []listing.Member, unlistedSince map[head.Member]time.Time) {
 	listed := map[string]bool{}
 	for _, m := range members {
 		listed[m.Name] = true
 	}
-	var gone []head.Member
-	for _, m := range d.others() {
-		if listed[m.Name] || d.detector.heardWithin(m.Name, unlistedFor) || d.reachable(m) {
-			delete(missing, m)
+	var ended []head.Member
+	for _, m := range d.otherMembers() {
+		if listed[m.Name] || d.detector.answeredWithin(m.Name, unlistedTimeout) || d.answersHeartbeat(m) {
+			delete(unlistedSince, m)
 			continue
 		}
-		if _, found := missing[m]; !found {
-			missing[m] = time.Now()
+		if _, found := unlistedSince[m]; !found {
+			unlistedSince[m] = time.Now()
 		}
-		if time.Since(missing[m]) >= unlistedFor {
+		if time.Since(unlistedSince[m]) >= unlistedTimeout {
 			d.tracker.MarkEnded(trackerMember(m))
-			gone = append(gone, m)
+			ended = append(ended, m)
 		}
 	}
-	if len(gone) > 0 {
-		d.remove(ctx, gone[0].Name, gone[0].Incarnation) // one at a time, as all changes of members
+	if len(ended) > 0 {
+		d.remove(ctx, ended[0].Name, ended[0].Incarnation) // one at a time, like all changes of members
 	}
 }
 
-// reachable tells whether a member answers now.
-func (d *Daemon) reachable(m head.Member) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
+// answersHeartbeat sends a heartbeat to a member and reports whether it answers.
+func (d *Daemon) answersHeartbeat(m head.Member) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	answer, err := d.directory.Ping(ctx, m.Address, d.beat(ctx))
-	return err == nil && answer.Incarnation == m.Incarnation
+	reply, err := d.directory.Ping(ctx, m.Address, d.newHeartbeat(ctx))
+	return err == nil && reply.Incarnation == m.Incarnation
 }
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -12,73 +12,73 @@
 	"lacewingrock.example/lacewingrock/internal/placement/broker"
 )
 
-// peer_calls.go makes the calls to other members, or answers them here when this instance is the one
-// that is asked: a duty may lie with any member, and nobody has to know with which.
+// peer_calls.go calls other members. If this instance is the one to be called, it handles the call locally: any
+// member may have a duty, and the code that needs it does not check which.
 
-// fleet calls members.
-type fleet struct {
+// peerClient calls members.
+type peerClient struct {
 	daemon *Daemon
-	own    handler
+	local  handler
 }
 
-// errNoBroker means that the head lists no member.
+// errNoBroker means that the head lists no members, so that none is the load broker.
 var errNoBroker = errors.New("daemon: no load broker")
 
-func (f fleet) isSelf(member head.Member) bool {
-	return member.Incarnation == f.daemon.self.Incarnation
+func (c peerClient) isSelf(member head.Member) bool {
+	return member.Incarnation == c.daemon.self.Incarnation
 }
 
-// Place asks a holder for a place.
-func (f fleet) Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
-	if f.isSelf(member) {
-		return f.own.Place(ctx, request), nil
+// Place requests a batch slot from a holder.
+func (c peerClient) Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
+	if c.isSelf(member) {
+		return c.local.Place(ctx, request), nil
 	}
-	return f.daemon.directory.Place(ctx, member.Address, request)
+	return c.daemon.directory.Place(ctx, member.Address, request)
 }
 
-// Release ends a pin.
-func (f fleet) Release(ctx context.Context, member head.Member, request peer.ReleaseRequest) error {
-	if f.isSelf(member) {
-		f.own.Release(request)
+// Release releases a pin.
+func (c peerClient) Release(ctx context.Context, member head.Member, request peer.ReleaseRequest) error {
+	if c.isSelf(member) {
+		c.local.Release(request)
 		return nil
 	}
-	return f.daemon.directory.Release(ctx, member.Address, request)
+	return c.daemon.directory.Release(ctx, member.Address, request)
 }
 
-// AskTokens asks a member for a loan.
-func (f fleet) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
-	return f.daemon.directory.AskTokens(ctx, member.Address, request)
+// AskTokens requests a loan of tokens from a member.
+func (c peerClient) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
+	return c.daemon.directory.AskTokens(ctx, member.Address, request)
 }
 
-// Pins asks a member for its pins.
-func (f fleet) Pins(ctx context.Context, member head.Member, upstream string, epoch int64) (peer.PinList, error) {
-	if f.isSelf(member) {
-		return f.own.Pins(upstream, epoch), nil
+// Pins returns the pins of a member on an upstream.
+func (c peerClient) Pins(ctx context.Context, member head.Member, upstream string, epoch int64) (peer.PinList, error) {
+	if c.isSelf(member) {
+		return c.local.Pins(upstream, epoch), nil
 	}
-	return f.daemon.directory.Pins(ctx, member.Address, upstream, epoch)
+	return c.daemon.directory.Pins(ctx, member.Address, upstream, epoch)
 }
 
-// PermitLoad asks the load broker.
-func (f fleet) PermitLoad(ctx context.Context, asked broker.PermitRequested) (peer.LoadPermit, error) {
-	member, found := membership.Broker(f.daemon.repository.Current().Head)
+// PermitLoad requests a permit for a load from the load broker.
+func (c peerClient) PermitLoad(ctx context.Context, request broker.PermitRequested) (peer.LoadPermit, error) {
+	member, found := membership.Broker(c.daemon.repository.Current().Head)
 	if !found {
 		return peer.LoadPermit{}, errNoBroker
 	}
-	if f.isSelf(member) {
-		return f.own.PermitLoad(ctx, asked), nil
+	if c.isSelf(member) {
+		return c.local.PermitLoad(ctx, request), nil
 	}
-	return f.daemon.directory.PermitLoad(ctx, member.Address, asked)
+	return c.daemon.directory.PermitLoad(ctx, member.Address, request)
 }
 
-// EndLoad tells the load broker that a load has ended.
-func (f fleet) EndLoad(ctx context.Context, load broker.Load, unused bool) error {
-	member, found := membership.Broker(f.daemon.repository.Current().Head)
+// EndLoad notifies the load broker that a load has ended.
+func (c peerClient) EndLoad(ctx context.Context, load broker.Load, unused bool) error {
+	member, found := membership.Broker(c.daemon.repository.Current().Head)
 	if !found {
 		return errNoBroker
 	}
-	if f.isSelf(member) {
-		f.own.EndLoad(load, unused)
+	if c.isSelf(member) {
+		c.local.EndLoad(load, unused)
 		return nil
 	}
-	return f.daemon.directory.EndLoad(ctx, member.Address, load, unused)
+	return c.daemon.directory.EndLoad(ctx, member.Address, load, unused)
 }
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -11,28 +11,28 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// peer_handler.go answers what other members ask.
+// peer_handler.go handles the calls of other members.
 
-// handler serves the peers' calls.
+// handler implements peer.Handler.
 type handler struct {
 	daemon *Daemon
 }
 
 var _ peer.Handler = handler{}
 
-// Beat takes in a heartbeat and answers it.
-func (h handler) Beat(beat peer.Beat) peer.Beat {
+// Beat applies a heartbeat and returns the reply.
+func (h handler) Beat(heartbeat peer.Beat) peer.Beat {
 	d := h.daemon
-	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
-	d.ledger.ApplyReturns(sender, beat.Returns)
-	d.tracker.RecordHeartbeat(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
-	d.learn(time.Now(), beat)
-	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
+	sender := rate.Identity{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation}
+	d.ledger.ApplyReturns(sender, heartbeat.Returns)
+	d.tracker.RecordHeartbeat(freshness.Member{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation}, heartbeat.Revision)
+	d.applyHeartbeat(time.Now(), heartbeat)
+	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	return d.beat(ctx)
+	return d.newHeartbeat(ctx)
 }
 
-// LendTokens lends what this instance's share has.
+// LendTokens lends tokens of this instance's share.
 func (h handler) LendTokens(request peer.TokenRequest) rate.Loan {
 	if request.Spare {
 		return h.daemon.ledger.LendSpare(request.Workspace, request.Tokens, request.Borrower)
@@ -40,35 +40,35 @@
 	return h.daemon.ledger.Lend(request.Workspace, request.Tokens, request.Borrower)
 }
 
-// Place waits for a place on an upstream held here.
+// Place waits for a batch slot on an upstream that this instance holds.
 func (h handler) Place(ctx context.Context, request peer.PlaceRequest) peer.Placement {
 	return h.daemon.holding.Place(ctx, request)
 }
 
-// Release ends a pin on an upstream held here.
+// Release releases a pin on an upstream that this instance holds.
 func (h handler) Release(request peer.ReleaseRequest) {
 	h.daemon.holding.Release(context.Background(), request.Upstream, request.Released)
 }
 
-// Pins lists this instance's pins on an upstream.
+// Pins returns this instance's pins on an upstream.
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
-	pins, noted := d.pipeline.Pins.On(upstream, epoch)
-	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: noted, Pins: pins}
+	pins, known := d.pipeline.Pins.On(upstream, epoch)
+	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: known, Pins: pins}
 }
 
-// PermitLoad asks the load broker here. Another instance may believe itself to be the broker as well
-// while heads change; then for some seconds the weight store is asked for a few loads more.
-func (h handler) PermitLoad(ctx context.Context, asked broker.PermitRequested) peer.LoadPermit {
-	return h.daemon.brokering.Permit(ctx, asked)
+// PermitLoad requests a permit from the load broker of this instance. While heads change, another instance may also
+// act as broker; for some seconds the weight store then gets a few more loads.
+func (h handler) PermitLoad(ctx context.Context, request broker.PermitRequested) peer.LoadPermit {
+	return h.daemon.brokering.Permit(ctx, request)
 }
 
-// EndLoad tells the load broker here that a load has ended.
+// EndLoad notifies the load broker of this instance that a load has ended.
 func (h handler) EndLoad(load broker.Load, unused bool) {
 	h.daemon.brokering.End(context.Background(), load, unused)
 }
 
-// BurnCounts are this instance's counts.
+// BurnCounts returns this instance's counts.
 func (h handler) BurnCounts() []burn.Count {
 	return h.daemon.burn.Counts()
 }
--- a/internal/entry/daemon/rebalancing.go
+++ b/internal/entry/daemon/rebalancing.go
@@ -7,12 +7,12 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// topUpEvery is how often full and empty buckets are balanced between members. The figures of the outage
-// in docs/PROOFS.md were measured with it.
-const topUpEvery = 250 * time.Millisecond
+// rebalanceInterval is how often tokens are rebalanced from full to empty buckets between members. The outage figures
+// in docs/PROOFS.md hold for this interval.
+const rebalanceInterval = 250 * time.Millisecond
 
-func (d *Daemon) runTopUps(ctx context.Context) error {
-	for pause.For(ctx, topUpEvery) {
+func (d *Daemon) runRebalancing(ctx context.Context) error {
+	for pause.For(ctx, rebalanceInterval) {
 		d.pipeline.TopUp(ctx)
 	}
 	return nil
--- a/internal/entry/daemon/replaced_fleet_test.go
+++ b/internal/entry/daemon/replaced_fleet_test.go
@@ -13,9 +13,9 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// All instances are replaced at once, as after the loss of a data centre: new machines, new names. No
-// majority of the old members will ever answer again, and none of the new ones is a member that could
-// take them out. Callers would be refused until somebody mended the store by hand.
+// All instances are replaced at once, as after the loss of a data centre, by new machines with new names. A majority
+// of the old members will never answer again, and none of the new instances is a member that could remove them.
+// Callers would be refused until an operator repaired the store by hand.
 func TestFleetReplacedWholeComesBack(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -29,9 +29,9 @@
 		is.NoErr(err)
 	}
 	started := p.startWithin(t, time.Minute)
-	within(t, time.Minute, "the old members are out", func() bool {
+	waitUntil(t, time.Minute, "the old members are removed", func() bool {
 		return slices.Equal(p.members(t), []string{"i1"})
 	})
 	started.stop()
-	is.NoErr(started.end(t, 20*time.Second))
+	is.NoErr(started.waitForEnd(t, 20*time.Second))
 }
--- a/internal/entry/daemon/settlement.go
+++ b/internal/entry/daemon/settlement.go
@@ -8,83 +8,85 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// settlement gathers what the members tell of their oldest open reservations, and says up to which
-// revision all are settled. A member that left the head counts until its reservations have certainly
-// ended, unless it told so itself: a dead instance's requests may still be generating tokens.
+// settlement combines the oldest open reservation that each member reports into the revision up to which all
+// reservations are settled. A member that was removed from the head counts until its reservations have certainly
+// ended, or until its own reports show that they have: the requests of a failed instance may still be generating
+// tokens.
 type settlement struct {
-	mutex  sync.Mutex
-	oldest map[rate.Identity]int64
-	left   map[rate.Identity]time.Time
+	mutex      sync.Mutex
+	oldest     map[rate.Identity]int64
+	departedAt map[rate.Identity]time.Time
 }
 
-// certainlyEnded is how long after its removal nothing of a member's reservations and loans is left.
-const certainlyEnded = rate.MaxReservationTime + rate.LoanUseWindow + 10*time.Second
+// departedRetention is how long after its removal a member may still have reservations and loans.
+const departedRetention = rate.MaxReservationTime + rate.LoanUseWindow + 10*time.Second
 
-// tell notes what a process told; only those that matter are kept.
-func (s *settlement) tell(member rate.Identity, oldest int64) {
+// record records the oldest revision that a process reported. It ignores processes that do not count, and reports
+// older than the recorded one.
+func (s *settlement) record(member rate.Identity, oldest int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known, counts := s.oldest[member]; counts && oldest > known {
+	if known, tracked := s.oldest[member]; tracked && oldest > known {
 		s.oldest[member] = oldest
 	}
 }
 
-// toTell is what this process tells of itself: the oldest of its own, and of the members that left and
-// still count. A process that joins later never heard of those; it would take the share of one that is
-// frozen, and whose requests still generate tokens at the engines, and the workspace would get more than
-// its rate.
-func (s *settlement) toTell(own int64) int64 {
+// oldestToReport returns the oldest revision to report to peers, over the own reservations and those of removed
+// members that still count. A process that joins later has no record of those members. It would take the share of a
+// frozen one whose requests still generate tokens at the engines, and the workspace would get more than its rate.
+func (s *settlement) oldestToReport(oldest int64) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget()
-	for identity := range s.left {
-		own = min(own, s.oldest[identity])
+	s.dropExpired()
+	for identity := range s.departedAt {
+		oldest = min(oldest, s.oldest[identity])
 	}
-	return own
+	return oldest
 }
 
-// install makes the members of a head count, and those it left out for as long as they must.
+// install adds the members of a head, and records the removal of those that it no longer lists.
 func (s *settlement) install(h head.Head) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.oldest == nil {
-		s.oldest, s.left = map[rate.Identity]int64{}, map[rate.Identity]time.Time{}
+		s.oldest, s.departedAt = map[rate.Identity]int64{}, map[rate.Identity]time.Time{}
 	}
 	listed := map[rate.Identity]bool{}
 	for _, m := range h.Members {
 		identity := rate.Identity{Name: m.Name, Incarnation: m.Incarnation}
 		listed[identity] = true
-		delete(s.left, identity)
+		delete(s.departedAt, identity)
 		if _, known := s.oldest[identity]; !known {
 			s.oldest[identity] = 0
 		}
 	}
 	for identity := range s.oldest {
-		if _, noted := s.left[identity]; !listed[identity] && !noted {
-			s.left[identity] = time.Now()
+		if _, recorded := s.departedAt[identity]; !listed[identity] && !recorded {
+			s.departedAt[identity] = time.Now()
 		}
 	}
 }
 
-// revision is the one up to which everything is settled.
-func (s *settlement) revision() int64 {
+// settledRevision returns the revision up to which everything is settled.
+func (s *settlement) settledRevision() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget()
-	settled := int64(-1)
+	s.dropExpired()
+	lowest := int64(-1)
 	for _, oldest := range s.oldest {
-		if settled < 0 || oldest < settled {
-			settled = oldest
+		if lowest < 0 || oldest < lowest {
+			lowest = oldest
 		}
 	}
-	return max(settled, 0)
+	return max(lowest, 0)
 }
 
-// forget drops the members of which certainly nothing is left. It is called with the mutex held.
-func (s *settlement) forget() {
-	for identity, at := range s.left {
-		if time.Since(at) > certainlyEnded {
-			delete(s.left, identity)
+// dropExpired drops the removed members that certainly have no reservations or loans left. The caller holds the
+// mutex.
+func (s *settlement) dropExpired() {
+	for identity, at := range s.departedAt {
+		if time.Since(at) > departedRetention {
+			delete(s.departedAt, identity)
 			delete(s.oldest, identity)
 		}
 	}
--- a/internal/entry/daemon/settlement_test.go
+++ b/internal/entry/daemon/settlement_test.go
@@ -11,10 +11,10 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// An instance freezes with requests at the engines and is removed; then a new one joins, which has never
-// heard of it. The frozen one's tokens are still being generated. If the new one filled its share at
-// once, the workspace would get more than its rate.
-func TestJoinerWaitsForAFrozenMemberItNeverHeardOf(t *testing.T) {
+// An instance freezes with requests at the engines and is removed. Then a new instance joins, which has no record of
+// it. The requests of the frozen one are still generating tokens. If the new instance filled its share at once, the
+// workspace would get more than its rate.
+func TestJoinerWaitsForAFrozenMemberRemovedBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		kept := rate.Identity{Name: "kept", Incarnation: "1"}
@@ -29,17 +29,17 @@
 		}
 		var atKept, atJoiner settlement
 		atKept.install(membersOf(kept, frozen))
-		atKept.tell(frozen, 5)
+		atKept.record(frozen, 5)
 		atKept.install(membersOf(kept))
 		atKept.install(membersOf(kept, joiner))
 		atJoiner.install(membersOf(kept, joiner))
 
-		atJoiner.tell(joiner, atJoiner.toTell(12))
-		atJoiner.tell(kept, atKept.toTell(12))
-		is.Equal(atJoiner.revision(), int64(5))
+		atJoiner.record(joiner, atJoiner.oldestToReport(12))
+		atJoiner.record(kept, atKept.oldestToReport(12))
+		is.Equal(atJoiner.settledRevision(), int64(5))
 
-		time.Sleep(certainlyEnded + time.Second)
-		atJoiner.tell(kept, atKept.toTell(12))
-		is.Equal(atJoiner.revision(), int64(12))
+		time.Sleep(departedRetention + time.Second)
+		atJoiner.record(kept, atKept.oldestToReport(12))
+		is.Equal(atJoiner.settledRevision(), int64(12))
 	})
 }
--- a/internal/entry/daemon/start_and_stop_test.go
+++ b/internal/entry/daemon/start_and_stop_test.go
@@ -23,13 +23,13 @@
 	"lacewingrock.example/lacewingrock/internal/standin/list"
 )
 
-// TestMain finds goroutines that a stopped instance leaves behind: an instance started in a test again
-// and again would otherwise slow down, and one of them could act on what it knew before.
+// TestMain fails if a stopped instance leaves goroutines running. Tests that start instances again and again would
+// slow down, and such a goroutine could act on outdated configuration.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
 
-// platform is the stand-ins of one test.
+// platform is the stand-ins for the platform in one test.
 type platform struct {
 	kv   *kv.Server
 	list *list.Server
@@ -56,33 +56,33 @@
 	return p
 }
 
-// instance is a daemon that runs.
+// instance is a running daemon.
 type instance struct {
 	daemon *Daemon
-	log    *logged
+	log    *logBuffer
 	stop   context.CancelFunc
-	ended  chan error
+	done   chan error
 }
 
-// logged keeps an instance's log.
-type logged struct {
+// logBuffer holds an instance's log.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.String()
 }
 
-// start runs an instance and waits until it would be given requests.
+// start runs an instance and waits until its readiness probe succeeds.
 func (p *platform) start(t *testing.T) *instance {
 	t.Helper()
 	return p.startWithin(t, 10*time.Second)
@@ -107,16 +107,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &logged{}
+	log := &logBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
 	i := &instance{
 		daemon: &Daemon{Settings: parsed, Log: zerolog.New(log)},
-		log:    log, stop: cancel, ended: make(chan error, 1),
+		log:    log, stop: cancel, done: make(chan error, 1),
 	}
 	t.Cleanup(cancel)
-	go func() { i.ended <- i.daemon.Run(ctx) }()
+	go func() { i.done <- i.daemon.Run(ctx) }()
 	address := regexp.MustCompile(`"OperatorAddress":"([^"]+)"`)
-	within(t, limit, "the instance is ready", func() bool {
+	waitUntil(t, limit, "the instance is ready", func() bool {
 		found := address.FindStringSubmatch(log.String())
 		return found != nil && ready(found[1])
 	})
@@ -133,28 +133,28 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-func within(t *testing.T, limit time.Duration, what string, condition func() bool) {
+func waitUntil(t *testing.T, limit time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 	}
 }
 
-// end waits for the instance's end.
-func (i *instance) end(t *testing.T, limit time.Duration) error {
+// waitForEnd waits until the instance has ended and returns its error.
+func (i *instance) waitForEnd(t *testing.T, limit time.Duration) error {
 	t.Helper()
 	select {
-	case err := <-i.ended:
+	case err := <-i.done:
 		return err
 	case <-time.After(limit):
-		t.Fatalf("not ended within %v: %s", limit, i.log)
+		t.Fatalf("instance did not end within %v; log: %s", limit, i.log)
 		return nil
 	}
 }
 
-// members lists the fleet as the store has it.
+// members returns the names of the members that the store lists.
 func (p *platform) members(t *testing.T) (names []string) {
 	t.Helper()
 	stored := &repository.Repository{Store: &store.Client{Address: p.kv.Address}}
@@ -167,8 +167,8 @@
 	return names
 }
 
-// An instance is replaced as planned. It must be out of the fleet when it ends, or the others would keep
-// its shares and upstreams from being used until they take it for dead.
+// An instance is replaced in a planned stop. It must have left the fleet when it ends. Otherwise its shares and
+// upstreams would be unused until the other members detect it as failed.
 func TestPlannedStopLeavesTheFleet(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -176,34 +176,34 @@
 	i := p.start(t)
 	is.Equal(p.members(t), []string{"i1"})
 	i.stop()
-	is.NoErr(i.end(t, 10*time.Second))
+	is.NoErr(i.waitForEnd(t, 10*time.Second))
 	is.Equal(len(p.members(t)), 0)
 	is.True(strings.Contains(i.log.String(), "MemberLeaves"))
 }
 
-// The store is down when an instance is told to stop. It cannot hand over, and must end all the same
-// before the platform kills it.
+// The store is down when an instance is requested to stop. It cannot hand over, and must end anyway before the
+// platform kills it.
 func TestPlannedStopDuringAnOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	p := startPlatform(t)
 	i := p.start(t)
 	p.kv.SetFaults(kv.Faults{Outage: true})
-	began := time.Now()
+	startedAt := time.Now()
 	i.stop()
-	is.NoErr(i.end(t, 20*time.Second))
-	is.True(time.Since(began) >= leaveWithin)
+	is.NoErr(i.waitForEnd(t, 20*time.Second))
+	is.True(time.Since(startedAt) >= leaveTimeout)
 	is.True(strings.Contains(i.log.String(), "MemberCouldNotLeave"))
 }
 
-// One of an instance's listeners breaks. An instance that went on with the others would, without its
-// peers' one, slowly lose its share and upstreams, and look alive to the balancer. It has to end and say
-// why, so that the platform starts it anew.
+// One of an instance's listeners fails. If the instance went on without its listener for peers, it would gradually
+// lose its share and upstreams while the load balancer saw it as ready. It has to end and report why, so that the
+// platform restarts it.
 func TestInstanceEndsWithAListener(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name   string
-		broken func(l listeners) net.Listener
+		name     string
+		listener func(l listeners) net.Listener
 	}{
 		{"callers", func(l listeners) net.Listener { return l.caller }},
 		{"operators", func(l listeners) net.Listener { return l.operator }},
@@ -214,16 +214,16 @@
 			t.Parallel()
 			is := is.New(t)
 			i := startPlatform(t).start(t)
-			is.NoErr(c.broken(i.daemon.listeners).Close())
-			err := i.end(t, 10*time.Second)
+			is.NoErr(c.listener(i.daemon.listeners).Close())
+			err := i.waitForEnd(t, 10*time.Second)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), c.name))
 		})
 	}
 }
 
-// Another process has an address of this instance. It must end at once with everything given back, or its
-// next start would find the other addresses taken.
+// Another process is bound to an address of this instance. The instance must end at once and release all addresses,
+// or its next start would fail to bind the others.
 func TestInstanceThatCannotListen(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/entry/daemon/stop.go
+++ b/internal/entry/daemon/stop.go
@@ -11,49 +11,49 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// stop.go is the planned stop. Callers notice nothing of it: the balancer is told first, requests run to
-// their end, and only then shares and upstreams are handed over.
+// stop.go is the planned stop. It is invisible to callers: first the readiness probe fails, so that the load balancer
+// sends no new requests; then the running requests end; only then are shares and upstreams handed over.
 
 const (
-	// leaveWithin bounds the handing over. With the store down it can't be done; the others then find
-	// this instance silent and take over by themselves.
-	leaveWithin = 10 * time.Second
-	// leaveAgain is the pause while another change of members is not in force yet.
-	leaveAgain = 200 * time.Millisecond
+	// leaveTimeout bounds the handover. It is impossible while the store is down; the other members then detect this
+	// instance as failed and take over by themselves.
+	leaveTimeout = 10 * time.Second
+	// leaveRetryDelay is the pause between attempts, which fail while another change of members is not in force yet.
+	leaveRetryDelay = 200 * time.Millisecond
 )
 
-// errCut means that a planned stop had to cut requests, since they ran for longer than it may wait.
-var errCut = errors.New("daemon: requests were cut")
+// errRequestsCut means that a planned stop cut requests that ran for longer than the drain timeout.
+var errRequestsCut = errors.New("daemon: planned stop cut requests that ran past the drain timeout")
 
-// runStop waits for the order to stop and carries it out; the callers' server drains meanwhile. Working
-// ends when another duty has failed.
-func (d *Daemon) runStop(ordered, working context.Context) error {
+// runStop waits until stopCtx ends and then carries out the planned stop, while the callers' server drains. tasksCtx
+// ends when another task has failed.
+func (d *Daemon) runStop(stopCtx, tasksCtx context.Context) error {
 	select {
-	case <-ordered.Done():
-	case <-working.Done():
+	case <-stopCtx.Done():
+	case <-tasksCtx.Done():
 		return nil
 	}
 	d.stopping.Store(true)
 	d.Log.Info().Int("Running", d.pipeline.Running.Count()).Msg("StopBegins")
-	var cut error
+	var stopErr error
 	select {
 	case err := <-d.drained:
 		if err != nil {
 			d.Log.Warn().Int("Running", d.pipeline.Running.Count()).Err(err).Msg("RequestsCut")
-			cut = errCut
+			stopErr = errRequestsCut
 		}
-	case <-working.Done():
+	case <-tasksCtx.Done():
 		return nil
 	}
-	d.leave(working)
+	d.leave(tasksCtx)
 	d.Log.Info().Msg("StopEnds")
-	return cut
+	return stopErr
 }
 
-// leave takes this instance out of the head, and stays until that is in force everywhere or the others
-// have had time to take over: requests of theirs may still wait in a holder here.
+// leave removes this instance from the head. It returns once that is in force everywhere, or after leaveTimeout, when
+// the other members have had time to take over: until then their requests may still wait in a holder here.
 func (d *Daemon) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leaveWithin)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		revision, err := d.repository.CommitHead(ctx, func(h head.Head) (head.Head, error) {
@@ -63,12 +63,12 @@
 		if err == nil {
 			d.Log.Info().Int64("Revision", revision).Msg("MemberLeaves")
 			if len(d.repository.Current().Head.Members) == 0 {
-				return // the last one: nobody is left who could tell that the head is in force
+				return // the last member: none is left to report that the head is in force
 			}
-			_ = d.tracker.WaitInForce(ctx, revision) // the context's error means that it is not known; the stop goes on
+			_ = d.tracker.WaitInForce(ctx, revision) // after an error the stop goes on without knowing whether it is in force
 			return
 		}
-		pause.For(ctx, leaveAgain)
+		pause.For(ctx, leaveRetryDelay)
 	}
 	d.Log.Warn().Msg("MemberCouldNotLeave")
 }
