--- a/internal/command/daemon/check.go
+++ b/internal/command/daemon/check.go
@@ -12,37 +12,37 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/peer"
 )
 
-// The verb check: reads a settings file and reports everything that is wrong with it.
+// The command check reads a settings file and reports all problems in it.
 
-// errSettingsFile means that the verb was called without its file.
-var errSettingsFile = errors.New("name the settings file with -settings")
+// errNoSettingsFile means that no settings file was given.
+var errNoSettingsFile = errors.New("no settings file: use -settings FILE")
 
-type checkVerb struct {
+type checkCommand struct {
 	program *Program
 	file    string
-	reader  string
+	command string
 }
 
-// The verbs whose settings can be checked.
+// The commands whose settings can be checked.
 const (
-	readerRun   = "run"
-	readerServe = "serve"
+	commandRun   = "run"
+	commandServe = "serve"
 )
 
-// errReader means that the verb which reads the settings is not known.
-var errReader = errors.New("-for takes run or serve")
+// errUnknownCommand means that -for names no command that reads settings.
+var errUnknownCommand = errors.New("unknown command in -for: must be run or serve")
 
-// Name of the verb.
-func (*checkVerb) Name() string { return "check" }
+// Name returns the name of the command.
+func (*checkCommand) Name() string { return "check" }
 
-// Synopsis is one line for the list of verbs.
-func (*checkVerb) Synopsis() string { return "check a settings file" }
+// Synopsis returns the line for the list of commands.
+func (*checkCommand) Synopsis() string { return "check a settings file" }
 
-// Usage is the help text.
-func (*checkVerb) Usage() string {
+// Usage returns the help text.
+func (*checkCommand) Usage() string {
 	return `check -settings FILE [-for run|serve]
-  Reads a settings file, of the verb run if -for does not say else, and the certificates it names, and
-  reports all problems together, each with file, section and name. Starts nothing.
+  Reads a settings file and the certificates it names, and reports all problems together, each with
+  file, section and name. The file is for the command run unless -for names another. Starts nothing.
 
 The settings of run:
 
@@ -52,39 +52,39 @@
 ` + node.SettingsHelp()
 }
 
-// SetFlags sets the verb's flags.
-func (v *checkVerb) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&v.file, "settings", "", "the settings file (INI)")
-	f.StringVar(&v.reader, "for", readerRun, "the verb that reads it: run or serve")
+// SetFlags registers the flags of the command.
+func (c *checkCommand) SetFlags(f *flag.FlagSet) {
+	f.StringVar(&c.file, "settings", "", "the settings file (INI)")
+	f.StringVar(&c.command, "for", commandRun, "the command that reads the file: run or serve")
 }
 
-// Execute carries the verb out.
-func (v *checkVerb) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if v.file == "" || f.NArg() > 0 {
-		return v.program.fail(exitUsage, errSettingsFile)
+// Execute runs the command.
+func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if c.file == "" || f.NArg() > 0 {
+		return c.program.fail(exitUsage, errNoSettingsFile)
 	}
 	var err error
-	switch v.reader {
-	case readerRun:
-		err = checkRun(v.file)
-	case readerServe:
-		_, err = node.LoadSettings(v.file)
+	switch c.command {
+	case commandRun:
+		err = checkRunSettings(c.file)
+	case commandServe:
+		_, err = node.LoadSettings(c.file)
 	default:
-		return v.program.fail(exitUsage, errReader)
+		return c.program.fail(exitUsage, errUnknownCommand)
 	}
 	if err != nil {
-		return v.program.fail(exitInvalid, err)
+		return c.program.fail(exitInvalid, err)
 	}
-	say(v.program.Out, v.file+": no problems\n")
-	return exitDone
+	printText(c.program.Out, c.file+": no problems\n")
+	return exitSuccess
 }
 
-// checkRun reads the settings of run and the certificates that they name.
-func checkRun(file string) (err error) {
-	read, err := settings.Load(file)
+// checkRunSettings reads the settings of run and the certificates that they name.
+func checkRunSettings(file string) (err error) {
+	loaded, err := settings.Load(file)
 	if err != nil {
 		return err
 	}
-	_, _, err = peer.Credentials(read.Peers)
+	_, _, err = peer.Credentials(loaded.Peers)
 	return err
 }
--- a/internal/command/daemon/check_test.go
+++ b/internal/command/daemon/check_test.go
@@ -29,27 +29,27 @@
 		name, text string
 		arguments  []string
 		code       int
-		said       string
+		output     string
 	}{
-		{"sound settings of serve", serveSettings, []string{"-for", "serve"}, 0, "no problems"},
+		{"valid settings of serve", serveSettings, []string{"-for", "serve"}, 0, "no problems"},
 		{
 			"wrong and missing fields of serve", strings.Replace(serveSettings, "Name = i1\n", "Colour = red\n", 1),
 			[]string{"-for", "serve"},
 			4, "Colour",
 		},
-		{"settings of serve taken for those of run", serveSettings, nil, 4, "OperatorAddress"},
-		{"unknown verb", serveSettings, []string{"-for", "walk"}, 2, "run or serve"},
+		{"settings of serve checked as those of run", serveSettings, nil, 4, "OperatorAddress"},
+		{"unknown command", serveSettings, []string{"-for", "walk"}, 2, "run or serve"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			file := filepath.Join(t.TempDir(), "instance.ini")
 			is.NoErr(os.WriteFile(file, []byte(tt.text), 0o600))
-			var said bytes.Buffer
-			program := &daemon.Program{Out: &said, Err: &said}
+			var output bytes.Buffer
+			program := &daemon.Program{Out: &output, Err: &output}
 			code := program.Run(context.Background(), append([]string{"check", "-settings", file}, tt.arguments...))
 			is.Equal(code, tt.code)
-			is.True(strings.Contains(said.String(), tt.said))
+			is.True(strings.Contains(output.String(), tt.output))
 		})
 	}
 }
--- a/internal/command/daemon/daemon.go
+++ b/internal/command/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds the verbs of lacewingd. Each verb is a file of its own and stands in the look-up
-// table of this one, from which the help text is printed too.
+// Package daemon has the commands of lacewingd. Each command is in its own file and is registered in the table in
+// this file, from which the help text is generated too.
 package daemon
 
 import (
@@ -12,7 +12,7 @@
 
 // Exit codes, documented in the help text.
 const (
-	exitDone    subcommands.ExitStatus = 0
+	exitSuccess subcommands.ExitStatus = 0
 	exitFailed  subcommands.ExitStatus = 1
 	exitUsage   subcommands.ExitStatus = 2
 	exitInvalid subcommands.ExitStatus = 4
@@ -20,9 +20,9 @@
 
 const exitCodes = `
 Exit codes:
-  0  done; for run: stopped as planned, no request was cut
+  0  success; for run: planned stop without cutting a request
   1  failed; the last line of the log says why
-  2  wrong usage
+  2  invalid usage
   4  the settings are invalid; nothing was started
 `
 
@@ -32,17 +32,17 @@
 	Err io.Writer
 }
 
-// verbs is the look-up table.
-func (p *Program) verbs() []subcommands.Command {
+// commands returns the table of commands.
+func (p *Program) commands() []subcommands.Command {
 	return []subcommands.Command{
-		&runVerb{program: p},
-		&serveVerb{program: p},
-		&checkVerb{program: p},
-		&versionVerb{program: p},
+		&runCommand{program: p},
+		&serveCommand{program: p},
+		&checkCommand{program: p},
+		&versionCommand{program: p},
 	}
 }
 
-// Run carries out the verb that the arguments name and returns the exit code.
+// Run executes the command that the arguments name and returns the exit code.
 func (p *Program) Run(ctx context.Context, arguments []string) int {
 	flags := flag.NewFlagSet("lacewingd", flag.ContinueOnError)
 	flags.SetOutput(p.Err)
@@ -50,13 +50,13 @@
 	commander.Output = p.Out
 	commander.Error = p.Err
 	commander.Register(commander.HelpCommand(), "")
-	for _, verb := range p.verbs() {
-		commander.Register(verb, "")
+	for _, command := range p.commands() {
+		commander.Register(command, "")
 	}
 	explain := commander.Explain
 	commander.Explain = func(out io.Writer) {
 		explain(out)
-		say(out, exitCodes)
+		printText(out, exitCodes)
 	}
 	if err := flags.Parse(arguments); err != nil {
 		return int(exitUsage)
@@ -64,13 +64,13 @@
 	return int(commander.Execute(ctx))
 }
 
-// fail prints why a verb failed.
+// fail prints why a command failed and returns the status.
 func (p *Program) fail(status subcommands.ExitStatus, err error) subcommands.ExitStatus {
-	say(p.Err, "lacewingd: "+err.Error()+"\n")
+	printText(p.Err, "lacewingd: "+err.Error()+"\n")
 	return status
 }
 
-// say writes text for the operator. When that fails there is nobody left to tell.
-func say(out io.Writer, text string) {
+// printText writes text for the operator. A failed write is ignored, since there is no other output to report it on.
+func printText(out io.Writer, text string) {
 	_, _ = io.WriteString(out, text)
 }
--- a/internal/command/daemon/run.go
+++ b/internal/command/daemon/run.go
@@ -11,51 +11,51 @@
 	"lacewingrock.example/lacewingrock/internal/telemetry/logline"
 )
 
-// The verb run: serves as one entry instance until told to stop.
+// The command run serves as one entry instance until it is signalled to stop.
 
-type runVerb struct {
+type runCommand struct {
 	program *Program
 	file    string
 }
 
-// Name of the verb.
-func (*runVerb) Name() string { return "run" }
+// Name returns the name of the command.
+func (*runCommand) Name() string { return "run" }
 
-// Synopsis is one line for the list of verbs.
-func (*runVerb) Synopsis() string { return "serve as one entry instance" }
+// Synopsis returns the line for the list of commands.
+func (*runCommand) Synopsis() string { return "serve as one entry instance" }
 
-// Usage is the help text.
-func (*runVerb) Usage() string {
+// Usage returns the help text.
+func (*runCommand) Usage() string {
 	return `run -settings FILE
-  Serves as one entry instance until it gets SIGTERM or SIGINT. It then stops as planned: it takes no
-  new requests, lets running ones end, and hands over what it holds. A second signal stops it at once.
-  It logs to standard output, one line of key=value pairs for each event. The event "listening" tells
-  the addresses.
+  Serves as one entry instance until it gets SIGTERM or SIGINT. It then makes a planned stop: it takes
+  no new requests, lets running ones end, and hands over its share and upstreams. A second signal ends
+  it at once. It logs to standard output, one line of key=value pairs for each event. The event
+  "listening" has the addresses.
 `
 }
 
-// SetFlags sets the verb's flags.
-func (v *runVerb) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&v.file, "settings", "", "the settings file (INI)")
+// SetFlags registers the flags of the command.
+func (c *runCommand) SetFlags(f *flag.FlagSet) {
+	f.StringVar(&c.file, "settings", "", "the settings file (INI)")
 }
 
-// Execute carries the verb out.
-func (v *runVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if v.file == "" || f.NArg() > 0 {
-		return v.program.fail(exitUsage, errSettingsFile)
+// Execute runs the command.
+func (c *runCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if c.file == "" || f.NArg() > 0 {
+		return c.program.fail(exitUsage, errNoSettingsFile)
 	}
-	read, err := settings.Load(v.file)
+	loaded, err := settings.Load(c.file)
 	if err != nil {
-		return v.program.fail(exitInvalid, err)
+		return c.program.fail(exitInvalid, err)
 	}
-	logger, err := logline.New(v.program.Out, "lacewingd", read.Log.Level)
+	logger, err := logline.New(c.program.Out, "lacewingd", loaded.Log.Level)
 	if err != nil {
-		return v.program.fail(exitInvalid, err)
+		return c.program.fail(exitInvalid, err)
 	}
-	instance := &daemon.Daemon{Settings: read, Log: logger}
+	instance := &daemon.Daemon{Settings: loaded, Log: logger}
 	if err := instance.Run(ctx); err != nil {
 		logger.Error().Err(err).Msg("Failed")
 		return exitFailed
 	}
-	return exitDone
+	return exitSuccess
 }
--- a/internal/command/daemon/serve.go
+++ b/internal/command/daemon/serve.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/subcommands"
 
-	_ "lacewingrock.example/lacewingrock/internal/command/hangup" // ignores SIGHUP until outliveHangups
+	_ "lacewingrock.example/lacewingrock/internal/command/hangup" // ignores SIGHUP until catchHangups
 	"lacewingrock.example/lacewingrock/internal/entry/node"
 	"lacewingrock.example/lacewingrock/internal/gateway/socket"
 	"lacewingrock.example/lacewingrock/internal/telemetry/logline"
@@ -19,28 +19,28 @@
 	"lacewingrock.example/lacewingrock/platform"
 )
 
-// The verb serve: serves as one entry instance on the users' platform until told to stop.
+// The command serve serves as one entry instance on the users' platform until it is signalled to stop.
 
-// settingsVariable names the settings file where -settings does not.
+// settingsVariable names the settings file if -settings is not given.
 const settingsVariable = "LACEWINGROCK_SETTINGS"
 
-type serveVerb struct {
+type serveCommand struct {
 	program *Program
 	file    string
 }
 
-// Name of the verb.
-func (*serveVerb) Name() string { return "serve" }
+// Name returns the name of the command.
+func (*serveCommand) Name() string { return "serve" }
 
-// Synopsis is one line for the list of verbs.
-func (*serveVerb) Synopsis() string { return "serve as one entry instance on the platform" }
+// Synopsis returns the line for the list of commands.
+func (*serveCommand) Synopsis() string { return "serve as one entry instance on the platform" }
 
-// Usage is the help text.
-func (*serveVerb) Usage() string {
+// Usage returns the help text.
+func (*serveCommand) Usage() string {
 	return `serve [-settings FILE]
   Serves as one entry instance on the platform, whose store holds configuration, upstreams and
-  instances, until it gets SIGTERM or SIGINT. It then stops as planned: the balancer is told, running
-  requests end, and what it holds is given away. Without -settings the file is the one that the
+  instances, until it gets SIGTERM or SIGINT. It then makes a planned stop: its readiness probe fails,
+  running requests end, and its upstreams are handed over. Without -settings it reads the file that the
   variable ` + settingsVariable + ` names.
 
 The settings:
@@ -48,81 +48,81 @@
 ` + node.SettingsHelp()
 }
 
-// SetFlags sets the verb's flags.
-func (v *serveVerb) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&v.file, "settings", "", "the settings file (INI)")
+// SetFlags registers the flags of the command.
+func (c *serveCommand) SetFlags(f *flag.FlagSet) {
+	f.StringVar(&c.file, "settings", "", "the settings file (INI)")
 }
 
-// Execute carries the verb out.
-func (v *serveVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	outliveHangups()
-	if v.file == "" {
-		v.file = os.Getenv(settingsVariable)
+// Execute runs the command.
+func (c *serveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	catchHangups()
+	if c.file == "" {
+		c.file = os.Getenv(settingsVariable)
 	}
-	if v.file == "" || f.NArg() > 0 {
-		return v.program.fail(exitUsage, errSettingsFile)
+	if c.file == "" || f.NArg() > 0 {
+		return c.program.fail(exitUsage, errNoSettingsFile)
 	}
-	settings, err := node.LoadSettings(v.file)
+	settings, err := node.LoadSettings(c.file)
 	if err != nil {
-		return v.program.fail(exitInvalid, err)
+		return c.program.fail(exitInvalid, err)
 	}
-	ring := &logring.Ring{Out: logline.Format(v.program.Out), Budget: int(settings.Log.Budget)}
+	ring := &logring.Ring{Out: logline.Format(c.program.Out), Budget: int(settings.Log.Budget)}
 	ring.Start()
 	logger, err := logline.Through(ring, "lacewingd", settings.Log.Level)
 	if err != nil {
-		return v.program.fail(exitInvalid, err)
+		return c.program.fail(exitInvalid, err)
 	}
-	writing, stop := context.WithCancel(context.Background())
-	written := make(chan error, 1)
-	go func() { written <- ring.Run(writing) }()
-	store := &platform.Store{Client: client()}
+	logCtx, stopLog := context.WithCancel(context.Background())
+	logDone := make(chan error, 1)
+	go func() { logDone <- ring.Run(logCtx) }()
+	store := &platform.Store{Client: newHTTPClient()}
 	store.Set(settings.Platform.StoreAddress, settings.Platform.StoreTimeout)
 	instance := &node.Node{
 		Settings:         settings,
 		Store:            store,
 		Decoder:          platform.Decoder{},
 		Dialect:          platform.Dialect{},
-		Orders:           &platform.Orders{Client: client(), Timeout: orderTimeout},
+		Orders:           &platform.Orders{Client: newHTTPClient(), Timeout: orderTimeout},
 		ReadyPath:        platform.PathReady,
 		Log:              logger,
 		DroppedLogEvents: ring.Dropped,
-		ReloadSettings:   func() (node.Settings, error) { return node.LoadSettings(v.file) },
+		ReloadSettings:   func() (node.Settings, error) { return node.LoadSettings(c.file) },
 		ApplySettings: func(changed node.Settings) {
 			store.Set(changed.Platform.StoreAddress, changed.Platform.StoreTimeout)
 		},
 	}
 	err = instance.Run(ctx)
-	stop()
-	if unwritten := <-written; err == nil {
-		err = unwritten
+	stopLog()
+	if logErr := <-logDone; err == nil {
+		err = logErr
 	}
 	if err != nil {
-		return v.program.fail(exitFailed, err)
+		return c.program.fail(exitFailed, err)
 	}
-	return exitDone
+	return exitSuccess
 }
 
-// outliveHangups keeps SIGHUP from ending the process, which is its default, also before the instance waits
-// for it. The settings that it tells of are read after that anyway.
-func outliveHangups() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
+// catchHangups keeps SIGHUP from ending the process, which is its default action, before the instance handles the
+// signal. The settings are read after this call anyway, so that a changed file is not missed.
+func catchHangups() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
 
 const (
-	// orderTimeout bounds an upstream's answer to an order. One takes some milliseconds, and an order that
-	// got none is simply given again.
+	// orderTimeout bounds an upstream's response to an order. A response takes some milliseconds, and an order
+	// without one is sent again.
 	orderTimeout = 80 * time.Millisecond
-	// connectWithin bounds a new connection to the store or to an upstream's orders.
-	connectWithin = 300 * time.Millisecond
-	// keptConnections to each address, and for how long.
-	keptConnections = 4
-	keptFor         = 5 * time.Second
+	// connectTimeout bounds a new connection to the store or to an upstream's orders endpoint.
+	connectTimeout = 300 * time.Millisecond
+	// maxIdleConnections are kept to each address, each for idleConnectionTimeout.
+	maxIdleConnections    = 4
+	idleConnectionTimeout = 5 * time.Second
 )
 
-// client is an HTTP client whose connections notice that the other end is gone.
-func client() *http.Client {
+// newHTTPClient returns an HTTP client whose connections detect that the other end is gone.
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         socket.Dialer(connectWithin).DialContext,
-		MaxIdleConnsPerHost: keptConnections,
-		IdleConnTimeout:     keptFor,
+		DialContext:         socket.Dialer(connectTimeout).DialContext,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 	}}
 }
--- a/internal/command/daemon/version.go
+++ b/internal/command/daemon/version.go
@@ -8,30 +8,30 @@
 	"github.com/google/subcommands"
 )
 
-// The verb version: prints what the program was built from.
+// The command version prints the version from the build information.
 
-type versionVerb struct {
+type versionCommand struct {
 	program *Program
 }
 
-// Name of the verb.
-func (*versionVerb) Name() string { return "version" }
+// Name returns the name of the command.
+func (*versionCommand) Name() string { return "version" }
 
-// Synopsis is one line for the list of verbs.
-func (*versionVerb) Synopsis() string { return "print the version" }
+// Synopsis returns the line for the list of commands.
+func (*versionCommand) Synopsis() string { return "print the version" }
 
-// Usage is the help text.
-func (*versionVerb) Usage() string { return "version\n  Prints the version of this program.\n" }
+// Usage returns the help text.
+func (*versionCommand) Usage() string { return "version\n  Prints the version of this program.\n" }
 
-// SetFlags sets no flags.
-func (*versionVerb) SetFlags(*flag.FlagSet) {}
+// SetFlags registers no flags.
+func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
-// Execute carries the verb out.
-func (v *versionVerb) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+// Execute runs the command.
+func (c *versionCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
 	}
-	say(v.program.Out, "lacewingd "+version+"\n")
-	return exitDone
+	printText(c.program.Out, "lacewingd "+version+"\n")
+	return exitSuccess
 }
