--- a/internal/command/hangup/hangup.go
+++ b/internal/command/hangup/hangup.go
@@ -1,8 +1,10 @@
-// Package hangup keeps SIGHUP from ending "lacewingd serve" from the moment on in which it is loaded. Import it for that.
+// Package hangup keeps SIGHUP from ending "lacewingd serve" as soon as the program is loaded. Import it for this
+// effect.
 //
-// The platform sends SIGHUP when settings change, also to a process that has just been started. Go programs run their
-// packages' initialisation first, which takes some ten milliseconds, and until they ask for the signal its default holds:
-// the process ends without a word. What is ignored here is delivered as soon as the program asks for it.
+// The platform sends SIGHUP when settings change, also to a process that has just been started. A Go program first
+// initialises its packages, which takes some ten milliseconds. Until it subscribes to the signal, the default action
+// applies: the process ends without any message. An ignored signal is delivered again as soon as the program
+// subscribes to it.
 package hangup
 
 /*
