--- a/internal/placement/forecast/engine.go
+++ b/internal/placement/forecast/engine.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// engine.go predicts the first event of a generation.
+// engine.go predicts the time to first event of a generation.
 
 const (
-	// kept is the weight that earlier answers keep when another is seen: about thirty of them count. At some
-	// answers a second that follows an engine that changes its pace within seconds.
-	kept = 0.97
-	// certainAfter is how many answers it takes until one that is far off is taken for an exception; farOff
-	// bounds what such an answer counts as, in terms of what was predicted.
-	certainAfter = 20
-	farOff       = 3
-	// off is by which factor an answer has to differ to count as a sign that the engines have changed; after
-	// mostOff such answers in a row, all in one direction, what was seen before misleads.
-	off     = 1.5
-	mostOff = 6
-	// relativeFloor keeps very short answers from counting for everything: errors count in relation to what was
-	// predicted, and in relation to this below it. Until the forecast is certain they count in relation to the answer,
-	// which looks too quick by that, but is not led astray by a first answer that is far off.
-	relativeFloor = 100 * time.Millisecond
-	// tokensUnit makes the terms of the fit similar in size.
-	tokensUnit = 1000
+	// evidenceDecay is the weight that earlier answers keep when an answer is added, which gives an effective window
+	// of about thirty answers. At a few answers a second, the forecast follows a change in engine speed within
+	// seconds.
+	evidenceDecay = 0.97
+	// minAnswers is the number of answers after which an answer that is far off counts as an outlier. outlierFactor
+	// caps such an answer at this multiple of the prediction.
+	minAnswers    = 20
+	outlierFactor = 3
+	// driftFactor is the factor by which an answer must differ from the prediction to indicate that the engines have
+	// changed. After driftLimit such answers in a row, all in the same direction, the earlier evidence is misleading.
+	driftFactor = 1.5
+	driftLimit  = 6
+	// errorScaleFloor prevents very short answers from dominating the fit. Errors are weighted relative to the
+	// prediction, and relative to this floor below it. Below minAnswers, errors are weighted relative to the answer
+	// instead. That biases the forecast low, but a first answer that is far off does not distort it.
+	errorScaleFloor = 100 * time.Millisecond
+	// tokenScale brings the terms of the fit to a similar magnitude.
+	tokenScale = 1000
 	terms      = 4
 )
 
-// Engine predicts when the first event of a generation comes, as the sum of a base, a part for each token of its
-// prompt, a part for each prompt token that awaits prefill before it, which counts less where an engine does not
-// take them in the order of arrival, and a part for each request that runs there. It is fitted to the latest answers by
-// least squares. The zero value is ready for use; it is not safe for use by several goroutines.
+// Engine predicts the time to first event of a generation as a linear model with four terms: a base, a cost per
+// prompt token, a cost per prompt token that awaits prefill before it, and a cost per running request. The cost per
+// queued token is lower where an engine does not prefill in order of arrival. The coefficients are fitted to the
+// latest answers by least squares. The zero value is ready for use. It is not safe for concurrent use.
 type Engine struct {
-	own Evidence
-	// others is what other instances have seen.
-	others  Evidence
+	local Evidence
+	// peers is the sum of the evidence from other instances.
+	peers   Evidence
 	fitted  [terms]float64
 	answers int
-	// slower and quicker count the latest answers in a row that were off in the same direction.
-	slower  int
-	quicker int
+	// slower and faster count consecutive answers that were off in the same direction.
+	slower int
+	faster int
 }
 
-// Evidence is what was seen of the engines of a service: the sums of the least squares over the latest answers, in
-// which each one counts less than the next.
+// Evidence holds the sums of the normal equations for the engines of one service. Each answer has a lower weight than
+// the one after it.
 type Evidence struct {
 	Answers float64
 	Squares [terms][terms]float64
 	Moments [terms]float64
 }
 
-// Plus adds what others have seen, times a factor.
+// Plus returns the sum of v and other evidence times a factor.
 func (v Evidence) Plus(other Evidence, factor float64) Evidence {
 	v.Answers += factor * other.Answers
 	for i := range terms {
@@ -60,94 +61,94 @@
 	return v
 }
 
-// Own is what this instance has seen.
-func (e *Engine) Own() Evidence { return e.own }
+// Own returns the evidence that this instance has collected.
+func (e *Engine) Own() Evidence { return e.local }
 
-// SetOthers replaces what other instances have seen.
+// SetOthers replaces the evidence from other instances.
 //
-// Made for a large fleet, whose instances each see a few answers a second. From twenty answers, most of them of idle
-// engines, nobody can tell what thirty thousand tokens that await prefill cost: requests go where they wait for
-// seconds, and the next engine is idle.
-func (e *Engine) SetOthers(others Evidence) {
-	e.others = others
+// In a large fleet each instance sees only a few answers a second. Twenty answers, most of them from idle engines, do
+// not determine the cost of thirty thousand tokens that await prefill. Requests would then wait for seconds at a
+// loaded engine while the next engine is idle.
+func (e *Engine) SetOthers(peers Evidence) {
+	e.peers = peers
 	e.fit()
 }
 
-// FirstEvent is the time from sending a prompt until its first event.
+// FirstEvent returns the expected time from sending a prompt until its first event.
 func (e *Engine) FirstEvent(tokens int, backlog Backlog) time.Duration {
 	return e.predict(features(tokens, backlog))
 }
 
-// Prefill is the time that an engine needs for a prompt alone.
+// Prefill returns the time that an engine needs for the prompt alone, without queueing.
 func (e *Engine) Prefill(tokens int) time.Duration {
-	return seconds(e.coefficients()[1] * float64(tokens) / tokensUnit)
+	return seconds(e.coefficients()[1] * float64(tokens) / tokenScale)
 }
 
-// Observe takes note of an answer's first event.
+// Observe adds the measured time to first event of an answer.
 func (e *Engine) Observe(tokens int, backlog Backlog, took time.Duration) {
 	x := features(tokens, backlog)
-	e.compare(took, e.predict(x))
+	e.detectDrift(took, e.predict(x))
 	scale := took
-	if e.isCertain() {
+	if e.hasEnoughAnswers() {
 		scale = e.predict(x)
-		took = min(took, farOff*scale)
+		took = min(took, outlierFactor*scale)
 	}
 	e.answers++
-	weight := 1 / (scale + relativeFloor).Seconds()
+	weight := 1 / (scale + errorScaleFloor).Seconds()
 	weight *= weight
-	seen := Evidence{Answers: 1}
+	sample := Evidence{Answers: 1}
 	for i := range terms {
 		for j := range terms {
-			seen.Squares[i][j] = weight * x[i] * x[j]
+			sample.Squares[i][j] = weight * x[i] * x[j]
 		}
-		seen.Moments[i] = weight * x[i] * took.Seconds()
+		sample.Moments[i] = weight * x[i] * took.Seconds()
 	}
-	e.own = seen.Plus(e.own, kept)
+	e.local = sample.Plus(e.local, evidenceDecay)
 	e.fit()
 }
 
 // ---------------------------------------------------------------------------------------------
 
-func (e *Engine) isCertain() bool { return float64(e.answers)+e.others.Answers >= certainAfter }
+func (e *Engine) hasEnoughAnswers() bool { return float64(e.answers)+e.peers.Answers >= minAnswers }
 
-// compare finds out whether the engines have changed their pace: then all answers differ in the same direction.
-func (e *Engine) compare(took, predicted time.Duration) {
+// detectDrift resets the evidence if the engines have changed speed, which makes all answers differ from the
+// prediction in the same direction.
+func (e *Engine) detectDrift(took, predicted time.Duration) {
 	ratio := float64(took) / float64(max(predicted, 1))
-	e.slower = inARow(e.slower, ratio > off)
-	e.quicker = inARow(e.quicker, ratio < 1/off)
-	if e.isCertain() && (e.slower >= mostOff || e.quicker >= mostOff) {
-		e.forget()
+	e.slower = streak(e.slower, ratio > driftFactor)
+	e.faster = streak(e.faster, ratio < 1/driftFactor)
+	if e.hasEnoughAnswers() && (e.slower >= driftLimit || e.faster >= driftLimit) {
+		e.reset()
 	}
 }
 
-func inARow(count int, another bool) int {
-	if !another {
+func streak(count int, extend bool) int {
+	if !extend {
 		return 0
 	}
 	return count + 1
 }
 
-// forget begins anew.
-func (e *Engine) forget() { *e = Engine{} }
+func (e *Engine) reset() { *e = Engine{} }
 
 func features(tokens int, backlog Backlog) [terms]float64 {
 	return [terms]float64{
-		1, float64(tokens) / tokensUnit, float64(backlog.Prefill) / tokensUnit, float64(backlog.Running),
+		1, float64(tokens) / tokenScale, float64(backlog.Prefill) / tokenScale, float64(backlog.Running),
 	}
 }
 
-func guesses() [terms]float64 {
-	perUnit := tokensUnit * guessToken.Seconds()
-	return [terms]float64{guessBase.Seconds(), perUnit, perUnit, guessRunning.Seconds()}
+func priorCoefficients() [terms]float64 {
+	perUnit := tokenScale * initialPerToken.Seconds()
+	return [terms]float64{initialBase.Seconds(), perUnit, perUnit, initialPerRunning.Seconds()}
 }
 
-// guessWeights hold the terms at their guesses as long as answers do not tell otherwise, such as the base while all
-// prompts are long. They are in terms of the weight of one short answer.
-var guessWeights = [terms]float64{10, 5, 5, 20}
+// priorWeights hold the terms at their initial values until answers show otherwise, such as the base while all
+// prompts are long. They are multiples of the weight of one short answer.
+var priorWeights = [terms]float64{10, 5, 5, 20}
 
 func (e *Engine) coefficients() [terms]float64 {
-	if e.answers == 0 && e.others.Answers == 0 {
-		return guesses()
+	if e.answers == 0 && e.peers.Answers == 0 {
+		return priorCoefficients()
 	}
 	return e.fitted
 }
@@ -160,12 +161,12 @@
 	return seconds(total)
 }
 
-// fit solves the normal equations. A part below zero makes no sense and would have loaded engines look quicker than
-// idle ones; it is taken out, and the others are fitted again.
+// fit solves the normal equations. A negative coefficient has no meaning and would make loaded engines look faster
+// than idle ones, so its term is excluded and the others are fitted again.
 func (e *Engine) fit() {
-	var out [terms]bool
+	var excluded [terms]bool
 	for range terms {
-		e.fitted = e.solve(out)
+		e.fitted = e.solve(excluded)
 		lowest := 0
 		for i := range terms {
 			if e.fitted[i] < e.fitted[lowest] {
@@ -175,23 +176,23 @@
 		if e.fitted[lowest] >= 0 {
 			return
 		}
-		out[lowest] = true
+		excluded[lowest] = true
 	}
 }
 
-// solve gives the least squares for the terms that are not out, by Gaussian elimination. The guesses' weights make
-// every pivot positive.
-func (e *Engine) solve(out [terms]bool) (solution [terms]float64) {
-	all := e.own.Plus(e.others, 1)
-	matrix := all.Squares
-	right := all.Moments
-	guess := guesses()
+// solve returns the least-squares solution for the terms that are not excluded, by Gaussian elimination. The prior
+// weights make every pivot positive.
+func (e *Engine) solve(excluded [terms]bool) (solution [terms]float64) {
+	total := e.local.Plus(e.peers, 1)
+	matrix := total.Squares
+	right := total.Moments
+	prior := priorCoefficients()
 	for i := range terms {
-		matrix[i][i] += guessWeights[i]
-		right[i] += guessWeights[i] * guess[i]
+		matrix[i][i] += priorWeights[i]
+		right[i] += priorWeights[i] * prior[i]
 	}
 	for i := range terms {
-		if !out[i] {
+		if !excluded[i] {
 			continue
 		}
 		for j := range terms {
--- a/internal/placement/forecast/forecast.go
+++ b/internal/placement/forecast/forecast.go
@@ -1,28 +1,29 @@
-// Package forecast learns how long the upstreams of a service take, from the answers that an instance sees, and
-// predicts the next one. Nothing about an engine, a service or a weight store has to be set beforehand: what is
-// written here as a guess counts as little as a single answer, and is forgotten within some tens of them.
+// Package forecast predicts how long the upstreams of a service take, from the answers that this instance has
+// measured. Nothing about an engine, a service or a weight store is configured. The initial values have the weight of
+// a few answers at most, and some tens of answers replace them.
 //
-// The caller tells what was under way when each request was sent; the package needs no sockets and no clock.
+// The caller supplies the load that each request found at its upstream. The package uses no sockets and no clock.
 package forecast
 
 import "time"
 
-// Guesses count until some answers were seen.
+// Initial values, used until answers have been measured.
 const (
-	// GuessLoad and GuessReload are what loading an adapter takes, from the weight store and where the upstream had it
-	// lately.
+	// GuessLoad and GuessReload are the initial estimates of the time to load an adapter: from the weight store, and
+	// at an upstream that had it recently.
 	GuessLoad   = 300 * time.Millisecond
 	GuessReload = 30 * time.Millisecond
 
-	guessBase    = 25 * time.Millisecond
-	guessToken   = 50 * time.Microsecond
-	guessRunning = 2 * time.Millisecond
-	guessAnswer  = 40 * time.Millisecond
+	initialBase        = 25 * time.Millisecond
+	initialPerToken    = 50 * time.Microsecond
+	initialPerRunning  = 2 * time.Millisecond
+	initialServiceTime = 40 * time.Millisecond
 )
 
-// Backlog is what a request finds at its upstream when it is sent there.
+// Backlog is the load that a request finds at its upstream when it is sent.
 type Backlog struct {
-	// Prefill is the prompt tokens of requests before it without a first event, Running the requests that run there.
+	// Prefill is the number of prompt tokens of earlier requests without a first event. Running is the number of
+	// requests that are running.
 	Prefill int
 	Running int
 }
--- a/internal/placement/forecast/load.go
+++ b/internal/placement/forecast/load.go
@@ -5,53 +5,57 @@
 // load.go predicts how long an adapter takes to load.
 
 const (
-	// firstPollAt is the part of the usual time after which a load is polled first, and pollsEach how many polls go
-	// into the usual time from then on.
-	firstPollAt = 0.9
-	pollsEach   = 8
-	// leastPause and mostPause bound the time between two polls: each is a call to the upstream, and a request waits.
-	leastPause = 8 * time.Millisecond
-	mostPause  = 100 * time.Millisecond
-	// shorten is what is left of the usual time when a load was done at the first poll: it may have been done long
+	// firstPollFraction is the fraction of the expected load time after which a load is polled first. pollsPerLoad is
+	// the number of polls per expected load time from then on.
+	firstPollFraction = 0.9
+	pollsPerLoad      = 8
+	// minPollInterval and maxPollInterval bound the poll interval: each poll is a call to the upstream, and a request
+	// waits for the load.
+	minPollInterval = 8 * time.Millisecond
+	maxPollInterval = 100 * time.Millisecond
+	// firstPollFactor scales the estimate down when a load was done at the first poll, as it may have been done long
 	// before.
-	shorten = 0.85
-	// lengthen is the weight of a load that took longer.
-	lengthen = 0.5
+	firstPollFactor = 0.85
+	// laterPollWeight is the weight of a load that was done at a later poll.
+	laterPollWeight = 0.5
 )
 
-// Load predicts loads whose end nobody announces, so that the upstream has to be polled for it. Set Guess, what counts
-// until one was seen. It is not safe for use by several goroutines.
+// Load predicts the duration of loads whose end is not announced, so that the upstream has to be polled. Set Guess,
+// the estimate until the first load is measured. It is not safe for concurrent use.
 type Load struct {
 	Guess time.Duration
 
-	usual time.Duration
+	estimate time.Duration
 }
 
-// Usual is how long a load takes.
+// Usual returns the expected duration of a load.
 func (l *Load) Usual() time.Duration {
-	if l.usual == 0 {
+	if l.estimate == 0 {
 		return l.Guess
 	}
-	return l.usual
+	return l.estimate
 }
 
-// Seen tells whether any load was seen.
-func (l *Load) Seen() bool { return l.usual > 0 }
+// Seen reports whether a load has been measured.
+func (l *Load) Seen() bool { return l.estimate > 0 }
 
-// FirstPoll is how long after its order a load is polled first.
-func (l *Load) FirstPoll() time.Duration { return time.Duration(firstPollAt * float64(l.Usual())) }
+// FirstPoll returns the delay from the load order to the first poll.
+func (l *Load) FirstPoll() time.Duration {
+	return time.Duration(firstPollFraction * float64(l.Usual()))
+}
 
-// NextPoll is the pause until the next poll.
+// NextPoll returns the delay until the next poll.
 func (l *Load) NextPoll() time.Duration {
-	return min(max(l.Usual()/pollsEach, leastPause), mostPause)
+	return min(max(l.Usual()/pollsPerLoad, minPollInterval), maxPollInterval)
 }
 
-// Done takes note of a load that was found done some time after its order, at the first poll or a later one.
+// Done adds a measurement: the time from the load order to the poll that found the load done, and whether that was
+// the first poll.
 func (l *Load) Done(took time.Duration, firstPoll bool) {
-	usual := l.Usual()
+	expected := l.Usual()
 	if firstPoll {
-		l.usual = min(usual, max(time.Duration(shorten*float64(usual)), time.Millisecond))
+		l.estimate = min(expected, max(time.Duration(firstPollFactor*float64(expected)), time.Millisecond))
 		return
 	}
-	l.usual = usual + time.Duration(lengthen*float64(took-usual))
+	l.estimate = expected + time.Duration(laterPollWeight*float64(took-expected))
 }
--- a/internal/placement/forecast/service.go
+++ b/internal/placement/forecast/service.go
@@ -2,42 +2,41 @@
 
 import "time"
 
-// service.go predicts the answers of plain services.
+// service.go predicts the latency of plain services.
 
 const (
-	// learning is the weight of the newest answer, and learningFirst that of the first ones, as long as the guess
-	// is all there is.
-	learning      = 0.05
-	learningFirst = 0.3
-	firstAnswers  = 8
+	// sampleWeight is the weight of the newest answer. initialSampleWeight is used for the first initialAnswers
+	// answers, while the estimate is still based on the initial value.
+	sampleWeight        = 0.05
+	initialSampleWeight = 0.3
+	initialAnswers      = 8
 )
 
-// Service predicts how long a plain call takes. The zero value is ready for use; it is not safe for use by several
-// goroutines.
+// Service predicts the latency of a plain call. The zero value is ready for use. It is not safe for concurrent use.
 type Service struct {
-	usual   time.Duration
+	mean    time.Duration
 	answers int
 }
 
-// Answer is the time until the answer of a call that finds calls queued before it, in terms of the places that the
-// upstream has.
+// Answer returns the expected latency of a call. queued is the number of calls queued before it, divided by the
+// concurrency of the upstream.
 func (s *Service) Answer(queued float64) time.Duration {
-	usual := s.usual
+	mean := s.mean
 	if s.answers == 0 {
-		usual = guessAnswer
+		mean = initialServiceTime
 	}
-	return time.Duration(float64(usual) * (1 + queued))
+	return time.Duration(float64(mean) * (1 + queued))
 }
 
-// Observe takes note of an answer.
+// Observe adds the measured latency of an answer.
 func (s *Service) Observe(queued float64, took time.Duration) {
-	usual := s.Answer(0)
+	mean := s.Answer(0)
 	sample := time.Duration(float64(took) / (1 + queued))
-	weight := learningFirst
-	if s.answers >= firstAnswers {
-		weight = learning
-		sample = min(sample, farOff*usual)
+	weight := initialSampleWeight
+	if s.answers >= initialAnswers {
+		weight = sampleWeight
+		sample = min(sample, outlierFactor*mean)
 	}
 	s.answers++
-	s.usual = usual + time.Duration(weight*float64(sample-usual))
+	s.mean = mean + time.Duration(weight*float64(sample-mean))
 }
