--- a/internal/placement/retry/budget.go
+++ b/internal/placement/retry/budget.go
@@ -1,49 +1,47 @@
-// Package retry bounds the load that an instance's own retries add.
+// Package retry implements retry budgets, which bound the load that an instance's own retries add.
 package retry
 
-// Budget allows a retry for every so many first tries. The zero value allows none; use New. It is not
-// safe for use by several goroutines.
+// Budget is a token bucket for retries: each first try adds a fraction of a retry. The zero value allows no retries,
+// use New. It is not safe for concurrent use.
 type Budget struct {
 	ratio   float64
-	most    float64
+	max     float64
 	balance float64
 }
 
-// DefaultRatio is the share of first tries that may be retried: the limit the operators ask for.
+// DefaultRatio is the ratio of retries to first tries that operators have set as the limit.
 const DefaultRatio = 0.1
 
-// DefaultMost is how many unused retries are kept. It bounds the burst of retries that follows a
-// quiet hour; no measured reason yet.
+// DefaultMost is the maximum number of unused retries. It bounds the burst of retries after an hour of low traffic.
 const DefaultMost = 10
 
-// New makes an empty budget, so that retries are at no time more than ratio times the first tries.
+// New returns an empty budget. Retries never exceed ratio times the first tries.
 func New(ratio, most float64) *Budget {
-	return &Budget{ratio: ratio, most: most}
+	return &Budget{ratio: ratio, max: most}
 }
 
-// Filled makes a budget that is half full at the beginning, for a limit that allows some retries beside its
-// ratio. The other half is kept back for instances that are killed and start again within one window.
+// Filled returns a budget that is half full, for a limit that allows some retries beyond its ratio. The other half is
+// held back for instances that are killed and restart within one window.
 func Filled(ratio, most float64) *Budget {
-	return &Budget{ratio: ratio, most: most, balance: most / 2}
+	return &Budget{ratio: ratio, max: most, balance: most / 2}
 }
 
-// Bound changes how many unused retries are kept, as the part of a limit that instances share follows their
-// number. Those beyond it are gone.
+// Bound changes the maximum number of unused retries, and discards those above it. Instances share a limit, so the
+// maximum of each changes with the size of the fleet.
 func (b *Budget) Bound(most float64) {
-	b.most = most
+	b.max = most
 	b.balance = min(b.balance, most)
 }
 
 // First counts a first try.
 //
-// Made for the load of an outage, when every request fails and is retried: without a budget the
-// retries multiply the load just when there is the least capacity, seen as a rising number of sends
-// for each answered request.
+// In an outage every request fails and is retried. Without a budget the retries multiply the load when capacity is
+// lowest, and the number of sends per answered request rises.
 func (b *Budget) First() {
-	b.balance = min(b.balance+b.ratio, b.most)
+	b.balance = min(b.balance+b.ratio, b.max)
 }
 
-// Allow tells whether one retry may be sent, and takes it from the budget.
+// Allow reports whether a retry may be sent, and takes it from the budget.
 func (b *Budget) Allow() bool {
 	if b.balance < 1 {
 		return false
--- a/internal/placement/retry/budget_test.go
+++ b/internal/placement/retry/budget_test.go
@@ -9,8 +9,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/retry"
 )
 
-// In an outage every request fails and would be tried again. However first tries and retries follow
-// each other, the retries stay at a tenth of the first tries.
+// Guards against a retry storm in an outage, when every request fails and would be retried. In any order of first
+// tries and retries, the retries stay at a tenth of the first tries.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
@@ -29,7 +29,8 @@
 	})
 }
 
-// A quiet hour must not save up retries for a burst that hits an upstream just as it comes back.
+// Guards against retries that accumulate over an hour of low traffic and hit an upstream in one burst when it
+// recovers.
 func TestUnusedRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
@@ -43,9 +44,9 @@
 	is.Equal(allowed, retry.DefaultMost)
 }
 
-// A fleet grows from a few instances to eighty, which share one limit. An instance that kept its old part would
-// have the fleet send eight times as many retries as were allowed, just when an upstream is down.
-func TestPartOfTheLimitFollowsTheFleet(t *testing.T) {
+// Guards against instances that keep their old share of a limit when the fleet grows from a few instances to eighty.
+// The fleet would send eight times as many retries as allowed while an upstream is down.
+func TestBudgetShareFollowsFleetSize(t *testing.T) {
 	is := is.New(t)
 	budget := retry.Filled(0.1, 20)
 	budget.Bound(2)
@@ -63,8 +64,8 @@
 	is.Equal(allowed, 4)
 }
 
-// An instance has just started, and the first request fails at its upstream. The limit allows some retries
-// beside its ratio; with an empty budget the caller would get the failure all the same.
+// Guards against a new instance that cannot retry its first request. The limit allows some retries beyond its ratio,
+// but with an empty budget the caller would get the failure.
 func TestFilledBudgetAllowsRetriesFromTheStart(t *testing.T) {
 	is := is.New(t)
 	budget := retry.Filled(0.1, 6)
@@ -75,9 +76,9 @@
 	is.Equal(allowed, 3)
 }
 
-// A fleet serves thousands of generations, and a service of bookings beside them, where every call fails for some
-// seconds. Paid for by the generations, each of these calls would be tried again, and the service gets twice its load
-// while it is failing. What bookings may add to their service's load follows from the bookings.
+// Guards against one budget for several services. A fleet serves thousands of generations, and a bookings service
+// whose calls all fail for some seconds. If the generations paid for its retries, each booking would be retried and
+// the failing service would get twice its load.
 func TestRetriesOfAServiceArePaidByItsOwnCalls(t *testing.T) {
 	is := is.New(t)
 	budgets := &retry.Budgets{Ratio: 0.16, Most: 2}
@@ -91,7 +92,7 @@
 			retries++
 		}
 	}
-	is.True(retries <= 16+1) // the ratio, and the half of Most that is there at the beginning
+	is.True(retries <= 16+1) // the ratio, and the half of Most that a new budget starts with
 	is.True(budgets.Of("generations").Allow())
 	budgets.Bound(0)
 	is.True(!budgets.Of("generations").Allow())
--- a/internal/placement/retry/budgets.go
+++ b/internal/placement/retry/budgets.go
@@ -1,24 +1,24 @@
 package retry
 
-// budgets.go keeps apart what may be retried at each service.
+// budgets.go keeps a separate retry budget for each service.
 
-// Budgets keeps a budget for each service, as operators bound the retries that each of them gets. With one for all,
-// the first tries at a busy service pay for retries at another that is failing, and that one gets several times what
-// is allowed just when it can take the least. Set Ratio and Most before use. It is not safe for use by several
-// goroutines.
+// Budgets holds one budget per service, because operators bound the retries of each service. With a single budget,
+// the first tries of a busy service would pay for the retries of a failing one. The failing service would get several
+// times the allowed load when its capacity is lowest. Set Ratio and Most before use. It is not safe for concurrent
+// use.
 type Budgets struct {
-	// Ratio is the share of a service's first tries that may be retried there.
+	// Ratio is the allowed ratio of retries to first tries of a service.
 	Ratio float64
-	// Most is how many unused retries are kept for a service; half of them are there at the beginning.
+	// Most is the maximum number of unused retries per service. A new budget starts with half of them.
 	Most float64
 
 	services map[string]*Budget
 }
 
-// Of gives the budget of a service.
+// Of returns the budget of a service.
 func (b *Budgets) Of(service string) *Budget {
-	if known := b.services[service]; known != nil {
-		return known
+	if budget := b.services[service]; budget != nil {
+		return budget
 	}
 	if b.services == nil {
 		b.services = make(map[string]*Budget)
@@ -27,7 +27,7 @@
 	return b.services[service]
 }
 
-// Bound changes how many unused retries are kept for each service.
+// Bound changes the maximum number of unused retries per service.
 func (b *Budgets) Bound(most float64) {
 	b.Most = most
 	for _, budget := range b.services {
