--- a/internal/placement/turn/queue.go
+++ b/internal/placement/turn/queue.go
@@ -1,11 +1,11 @@
-// Package turn decides, for one engine, when each prompt is sent there. The holder of the engine asks it; it needs no
-// sockets, and the caller reads the runtime's clock and passes the time in.
+// Package turn schedules the prompts of one engine: it decides when each prompt is sent there. It is used by the
+// holder of the engine. It uses no sockets. The caller reads the runtime's clock and passes the time in.
 //
-// Made for long prompts among streams. An engine with chunked prefill decodes between the chunks, and several prompts
-// that come at once fill every chunk: each token then takes as long as a chunk, and streams stand still for seconds or
-// run out of time, although each request was sent where it was expected to be on time. Here prompts wait for their
-// turn, one prefill runs at a time, and the streams get a part of the engine's time between two. That costs the engine
-// this part of its capacity, and only while streams run.
+// It protects streams from long prompts. An engine with chunked prefill decodes between the chunks. Several prompts
+// that arrive together fill every chunk, so each token takes as long as a chunk. Streams then stall for seconds or
+// run into timeouts, although each request was placed where it was expected to be on time. With a queue, one prefill
+// runs at a time, and the streams get a share of the engine's time between two prefills. That costs this share of the
+// engine's capacity, and only while streams run.
 package turn
 
 import (
@@ -14,100 +14,102 @@
 )
 
 const (
-	// streamShare is what the streams get between two prefills, in terms of the time that the first takes.
-	streamShare = 0.1
-	// lead is about how long a prompt takes from its turn until the engine has it.
-	lead = 3 * time.Millisecond
-	// settle is how long after a turn nothing is known yet of the prompt at its engine: the instance that sends it
-	// tells with its next message.
-	settle = 50 * time.Millisecond
-	// shortWait is worth waiting also for a late answer: a caller that comes back would not be served sooner.
-	shortWait = 500 * time.Millisecond
+	// decodeShare is the time reserved for streams between two prefills, relative to the duration of the first.
+	decodeShare = 0.1
+	// dispatchLead is the approximate time from the dispatch of a prompt until its engine has received it.
+	dispatchLead = 3 * time.Millisecond
+	// reportDelay is how long after a dispatch the load report of the engine may not include the prompt yet: the
+	// instance that sends the prompt reports it in its next message.
+	reportDelay = 50 * time.Millisecond
+	// maxLateWait is the wait that is accepted even for an answer that will be late: a caller that retries would not
+	// be served sooner.
+	maxLateWait = 500 * time.Millisecond
 )
 
-// Prompt is a request that waits for its turn.
+// Prompt is a queued request.
 type Prompt struct {
-	// Prefill is how long the engine is expected to need for it.
+	// Prefill is the expected prefill time at the engine.
 	Prefill time.Duration
-	// Tokens is its length.
+	// Tokens is the length of the prompt.
 	Tokens   int
 	Priority int
-	// OnTimeUntil is until when its turn has to come for it to be on time.
+	// OnTimeUntil is the latest dispatch time with which the answer is on time.
 	OnTimeUntil time.Time
 
-	joined time.Time
+	enqueuedAt time.Time
 }
 
-// Line is the prompts that wait for one engine. The zero value is ready for use; it is not safe for use by several
-// goroutines.
+// Line is the queue of prompts for one engine. The zero value is ready for use. It is not safe for concurrent use.
 type Line struct {
 	waiting []*Prompt
-	// prefillUntil is when the prefill of what was let through is predicted to end; next is when the next prompt may be
-	// sent, and last when the latest one was.
-	prefillUntil time.Time
-	next         time.Time
-	last         time.Time
+	// prefillEnd is the predicted end of the prefill of all dispatched prompts. nextDispatch is the earliest time of
+	// the next dispatch, and lastDispatch the time of the latest one.
+	prefillEnd   time.Time
+	nextDispatch time.Time
+	lastDispatch time.Time
 }
 
-// Join adds a prompt. It has to be taken out by Take or Leave.
+// Join adds a prompt to the queue. It must be removed by Take or Leave.
 func (l *Line) Join(now time.Time, prompt *Prompt) {
-	prompt.joined = now
+	prompt.enqueuedAt = now
 	l.waiting = append(l.waiting, prompt)
 }
 
-// Leave takes a prompt out that does not wait any more.
+// Leave removes a prompt that was cancelled.
 func (l *Line) Leave(prompt *Prompt) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(other *Prompt) bool { return other == prompt })
 }
 
-// Take lets a prompt through if it is its turn; else it tells when to ask again at the latest.
-func (l *Line) Take(now time.Time, prompt *Prompt, streams bool) (again time.Time, taken bool) {
-	if now.Before(l.next) {
-		return l.next, false
+// Take dispatches the prompt if it is at the head of the queue and the engine is ready for it. Otherwise it returns
+// the latest time at which to try again.
+func (l *Line) Take(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
+	if now.Before(l.nextDispatch) {
+		return l.nextDispatch, false
 	}
-	if l.first(now) != prompt {
-		return now.Add(lead), false
+	if l.head(now) != prompt {
+		return now.Add(dispatchLead), false
 	}
 	l.Leave(prompt)
-	l.last = now
-	if l.prefillUntil.Before(now) {
-		l.prefillUntil = now
+	l.lastDispatch = now
+	if l.prefillEnd.Before(now) {
+		l.prefillEnd = now
 	}
-	l.prefillUntil = l.prefillUntil.Add(prompt.Prefill)
-	l.next = l.prefillUntil.Add(-lead)
+	l.prefillEnd = l.prefillEnd.Add(prompt.Prefill)
+	l.nextDispatch = l.prefillEnd.Add(-dispatchLead)
 	if streams {
-		l.next = l.next.Add(time.Duration(streamShare * float64(prompt.Prefill)))
+		l.nextDispatch = l.nextDispatch.Add(time.Duration(decodeShare * float64(prompt.Prefill)))
 	}
 	return time.Time{}, true
 }
 
-// Idle takes note that no prefill is left: a prompt whose prefix was cached takes less than predicted.
+// Idle records that the engine has no prefill left. A prompt whose prefix was cached takes less time than predicted.
 func (l *Line) Idle(now time.Time) {
-	if now.Sub(l.last) < settle || !now.Before(l.next) {
+	if now.Sub(l.lastDispatch) < reportDelay || !now.Before(l.nextDispatch) {
 		return
 	}
-	l.prefillUntil = now
-	l.next = now
+	l.prefillEnd = now
+	l.nextDispatch = now
 }
 
-// Wait is how long a prompt that waits, or one that would join, has to wait for its turn.
+// Wait returns the expected queueing delay of a prompt, whether it is in the queue or not.
 func (l *Line) Wait(now time.Time, prompt *Prompt) time.Duration {
-	wait := max(l.next.Sub(now), 0)
+	wait := max(l.nextDispatch.Sub(now), 0)
 	for _, other := range l.waiting {
-		if other != prompt && l.isBefore(now, other, prompt) {
+		if other != prompt && l.precedes(now, other, prompt) {
 			wait += other.Prefill
 		}
 	}
 	return wait
 }
 
-// IsHopeless tells whether a prompt had better not wait: its answer would be late, and the wait is not short.
+// IsHopeless reports whether a prompt should be rejected instead of queued: its answer would be late and its wait
+// would exceed maxLateWait.
 func (l *Line) IsHopeless(now time.Time, prompt *Prompt) bool {
 	wait := l.Wait(now, prompt)
-	return wait > shortWait && now.Add(wait).After(prompt.OnTimeUntil)
+	return wait > maxLateWait && now.Add(wait).After(prompt.OnTimeUntil)
 }
 
-// Tokens is the length of all that wait.
+// Tokens returns the total length of all queued prompts.
 func (l *Line) Tokens() (total int) {
 	for _, prompt := range l.waiting {
 		total += prompt.Tokens
@@ -117,23 +119,23 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func (l *Line) first(now time.Time) (first *Prompt) {
+func (l *Line) head(now time.Time) (first *Prompt) {
 	for _, prompt := range l.waiting {
-		if first == nil || l.isBefore(now, prompt, first) {
+		if first == nil || l.precedes(now, prompt, first) {
 			first = prompt
 		}
 	}
 	return first
 }
 
-// isBefore puts those first who can still be on time, of them the most urgent, and of them who came first. Who is
-// late has lost most of what the answer is worth; before the others they would make all of them late as well.
-func (l *Line) isBefore(now time.Time, a, b *Prompt) bool {
+// precedes orders prompts that can still be on time before late ones, then by priority, then by arrival. A late
+// prompt has lost most of the value of its answer. Dispatched first, it would make the others late as well.
+func (l *Line) precedes(now time.Time, a, b *Prompt) bool {
 	if late := now.After(a.OnTimeUntil); late != now.After(b.OnTimeUntil) {
 		return !late
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
-	return a.joined.Before(b.joined)
+	return a.enqueuedAt.Before(b.enqueuedAt)
 }
--- a/internal/placement/turn/queue_test.go
+++ b/internal/placement/turn/queue_test.go
@@ -12,14 +12,14 @@
 
 const ms = time.Millisecond
 
-func prompt(reading time.Duration, priority int, onTimeFor time.Duration) *turn.Prompt {
+func prompt(prefill time.Duration, priority int, onTimeFor time.Duration) *turn.Prompt {
 	return &turn.Prompt{
-		Prefill: reading, Tokens: int(reading / ms), Priority: priority, OnTimeUntil: time.Now().Add(onTimeFor),
+		Prefill: prefill, Tokens: int(prefill / ms), Priority: priority, OnTimeUntil: time.Now().Add(onTimeFor),
 	}
 }
 
-// joined adds prompts to a line, one a millisecond.
-func joined(l *turn.Line, prompts ...*turn.Prompt) []*turn.Prompt {
+// enqueue adds prompts to a queue, one a millisecond.
+func enqueue(l *turn.Line, prompts ...*turn.Prompt) []*turn.Prompt {
 	for _, one := range prompts {
 		l.Join(time.Now(), one)
 		time.Sleep(ms)
@@ -27,118 +27,119 @@
 	return prompts
 }
 
-// serve lets all prompts through that wait, and tells when each was.
-func serve(l *turn.Line, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
-	began := time.Now()
-	taken := make(map[*turn.Prompt]time.Duration)
-	for len(taken) < len(prompts) {
+// dispatchAll dispatches all queued prompts and returns the time at which each was dispatched.
+func dispatchAll(l *turn.Line, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
+	start := time.Now()
+	dispatched := make(map[*turn.Prompt]time.Duration)
+	for len(dispatched) < len(prompts) {
 		for _, one := range prompts {
-			if _, done := taken[one]; done {
+			if _, done := dispatched[one]; done {
 				continue
 			}
-			if _, now := l.Take(time.Now(), one, streams); now {
-				taken[one] = time.Since(began)
+			if _, ok := l.Take(time.Now(), one, streams); ok {
+				dispatched[one] = time.Since(start)
 			}
 		}
 		time.Sleep(ms)
 	}
-	return taken
+	return dispatched
 }
 
-// A burst of long prompts reaches an engine at which streams run. Sent at once, the engine would read for over a second
-// without a pause, and every stream would stand still for as long. One after the other, the streams get some of the
-// engine's time after each.
+// Guards against a burst of long prompts that stalls the streams of an engine. Sent together, the prompts would keep
+// the engine in prefill for over a second without a pause. Queued, they leave time for the streams after each
+// prefill.
 func TestBurstOfLongPromptsLeavesTimeForStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
-		prompts := joined(&l, prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second),
+		prompts := enqueue(&l, prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second),
 			prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second))
 		is.Equal(l.Tokens(), 1200)
-		taken := serve(&l, true, prompts...)
+		dispatched := dispatchAll(&l, true, prompts...)
 		for i := 1; i < len(prompts); i++ {
-			is.True(taken[prompts[i]]-taken[prompts[i-1]] >= 320*ms) // 300 to read, and more than 20 for the streams
+			is.True(dispatched[prompts[i]]-dispatched[prompts[i-1]] >= 320*ms) // 300 ms of prefill, and more than 20 ms for the streams
 		}
-		is.True(taken[prompts[3]] < 1050*ms) // and the engine is hardly ever idle
+		is.True(dispatched[prompts[3]] < 1050*ms) // the engine is almost never idle
 		is.Equal(l.Tokens(), 0)
 	})
 }
 
-// Without streams nobody waits for a pause, and the engine reads one prompt right after the other.
-func TestWithoutStreamsTheEngineIsNeverIdle(t *testing.T) {
+// Without streams no time is reserved for decoding, and the engine prefills one prompt directly after the other.
+func TestPromptsFollowDirectlyWithoutStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
 		a, b := prompt(200*ms, 1, time.Second), prompt(200*ms, 1, time.Second)
-		joined(&l, a, b)
-		taken := serve(&l, false, a, b)
-		is.True(taken[b] <= 200*ms)
+		enqueue(&l, a, b)
+		dispatched := dispatchAll(&l, false, a, b)
+		is.True(dispatched[b] <= 200*ms)
 	})
 }
 
-// Long and short prompts, urgent and patient ones, and one that is late already meet at a full engine. Served as they
-// came, the late one would make the others late as well.
-func TestWhoCanBeOnTimeGoesFirst(t *testing.T) {
+// Guards against a queue in order of arrival at a full engine. A prompt that is already late would make the others
+// late as well.
+func TestPromptsThatCanMeetTheirDeadlineGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
 		late := prompt(300*ms, 0, -ms)
 		patient := prompt(300*ms, 2, 5*time.Second)
 		urgent := prompt(20*ms, 0, time.Second)
-		joined(&l, late, patient, urgent)
+		enqueue(&l, late, patient, urgent)
 		is.Equal(l.Wait(time.Now(), urgent), time.Duration(0))
 		is.Equal(l.Wait(time.Now(), late), 320*ms)
-		taken := serve(&l, true, late, patient, urgent)
-		is.True(taken[urgent] < taken[patient])
-		is.True(taken[patient] < taken[late])
+		dispatched := dispatchAll(&l, true, late, patient, urgent)
+		is.True(dispatched[urgent] < dispatched[patient])
+		is.True(dispatched[patient] < dispatched[late])
 	})
 }
 
-// A prompt's parts are kept at its engine, which reads it in no time. Prompts that wait until it would have been read
-// otherwise leave the engine idle.
-func TestPromptThatIsReadSoonerLetsTheNextThrough(t *testing.T) {
+// Guards against an engine that is left idle. A prompt with a cached prefix takes almost no prefill time, and the
+// prompts behind it must not wait for the predicted end of its prefill.
+func TestCachedPrefixReleasesTheNextPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
-		kept, next := prompt(500*ms, 1, time.Second), prompt(100*ms, 1, time.Second)
-		joined(&l, kept, next)
-		_, taken := l.Take(time.Now(), kept, true)
-		is.True(taken)
-		l.Idle(time.Now()) // its sender has not told yet that it is on its way
-		_, taken = l.Take(time.Now(), next, true)
-		is.True(!taken)
+		cached, next := prompt(500*ms, 1, time.Second), prompt(100*ms, 1, time.Second)
+		enqueue(&l, cached, next)
+		_, dispatched := l.Take(time.Now(), cached, true)
+		is.True(dispatched)
+		l.Idle(time.Now()) // its sender has not reported it yet
+		_, dispatched = l.Take(time.Now(), next, true)
+		is.True(!dispatched)
 		time.Sleep(80 * ms)
 		l.Idle(time.Now())
-		_, taken = l.Take(time.Now(), next, true)
-		is.True(taken)
+		_, dispatched = l.Take(time.Now(), next, true)
+		is.True(dispatched)
 	})
 }
 
-// A caller leaves while its prompt waits. If it kept its place nobody behind it would ever be served.
-func TestWhoLeavesHoldsNobodyUp(t *testing.T) {
+// Guards against a cancelled prompt that blocks the queue. If it stayed at the head, no prompt behind it would be
+// dispatched.
+func TestRemovedPromptDoesNotBlockTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
-		gone, next := prompt(300*ms, 0, time.Second), prompt(300*ms, 1, time.Second)
-		joined(&l, gone, next)
-		l.Leave(gone)
-		_, taken := l.Take(time.Now(), next, true)
-		is.True(taken)
+		cancelled, next := prompt(300*ms, 0, time.Second), prompt(300*ms, 1, time.Second)
+		enqueue(&l, cancelled, next)
+		l.Leave(cancelled)
+		_, dispatched := l.Take(time.Now(), next, true)
+		is.True(dispatched)
 	})
 }
 
-// A queue of long prompts stands before an engine. Who would be late for it is told at once; held until the queue is
-// through, the caller could have been served elsewhere or come back by then. A short wait is worth it even if late.
-func TestHopelessWaitsAreTold(t *testing.T) {
+// Guards against callers that wait for an answer that would be late. Rejected at once, they can be served by another
+// engine or retry. A short wait is accepted even for a late answer.
+func TestPromptThatWouldBeLateIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var l turn.Line
-		before := joined(&l, prompt(400*ms, 1, 5*time.Second), prompt(400*ms, 1, 5*time.Second))
-		hasty, calm := prompt(100*ms, 1, 600*ms), prompt(100*ms, 1, 5*time.Second)
-		joined(&l, hasty, calm)
-		is.True(l.IsHopeless(time.Now(), hasty))
-		is.True(!l.IsHopeless(time.Now(), calm))
-		l.Leave(before[0])
-		is.True(!l.IsHopeless(time.Now(), hasty)) // 400 ms are left
+		earlier := enqueue(&l, prompt(400*ms, 1, 5*time.Second), prompt(400*ms, 1, 5*time.Second))
+		tight, relaxed := prompt(100*ms, 1, 600*ms), prompt(100*ms, 1, 5*time.Second)
+		enqueue(&l, tight, relaxed)
+		is.True(l.IsHopeless(time.Now(), tight))
+		is.True(!l.IsHopeless(time.Now(), relaxed))
+		l.Leave(earlier[0])
+		is.True(!l.IsHopeless(time.Now(), tight)) // a wait of 400 ms remains
 	})
 }
