--- a/internal/placement/suspect/tracker.go
+++ b/internal/placement/suspect/tracker.go
@@ -1,6 +1,6 @@
-// Package suspect finds the request that crashes each upstream that runs it. Every instance counts,
-// for the fingerprints of its own requests, the crashes they were in flight at, and shares the counts
-// in heartbeats. The caller reads the runtime's clock and passes the time in.
+// Package suspect detects poisonous requests: requests that crash each upstream that runs them. Every instance
+// counts, by the fingerprints of its own requests, the crashes that they were in flight at, and shares the counts in
+// heartbeats. The caller reads the runtime's clock and passes the time in.
 package suspect
 
 import (
@@ -10,80 +10,79 @@
 	"time"
 )
 
-// fingerprintBytes is the length kept of the hash: 16 bytes make a chance match of two requests
-// unlikely beyond any number of requests a fleet serves.
+// fingerprintBytes is the truncated length of the hash. With 16 bytes a collision is unlikely for any number of
+// requests that a fleet serves.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request's content, so that a caller's second send is known again.
+// Fingerprint identifies the content of a request, so that a retry by the caller is recognized.
 type Fingerprint string
 
-// Count is what one instance has seen of a fingerprint: the crashes it was in flight at, and how many
-// of those it was cleared of by running to its end later.
+// Count holds the observations of one instance for a fingerprint: the crashes that the request was in flight at, and
+// how many of those were cleared because it ran to completion later.
 type Count struct {
 	Fingerprint Fingerprint
 	Crashes     int
 	Cleared     int
 }
 
-// Verdict tells how a request may run.
+// Verdict is how a request may run.
 type Verdict string
 
 // The verdicts.
 const (
-	// Free: beside others.
+	// Free: with any other requests.
 	Free Verdict = "free"
-	// Apart: beside others, few of which are suspect too. Those that shared a batch with the cause would
-	// else share the next one with it as well, and all of them would have to run alone.
+	// Apart: with other requests, few of which are suspect. Otherwise requests that shared a batch with the cause
+	// would share the next one with it too, and all of them would have to run alone.
 	Apart Verdict = "apart"
-	// Alone: with nothing else on the upstream, so that a further crash hits no other and proves it.
+	// Alone: as the only request on the upstream. A further crash then affects no other request and proves the cause.
 	Alone Verdict = "alone"
-	// Refused: not at all, for it crashed an upstream that it had for itself.
+	// Refused: not at all, because it crashed an upstream on which it ran alone.
 	Refused Verdict = "refused"
 )
 
 // Settings of a Register.
 type Settings struct {
-	// ApartAfter, AloneAfter and RefuseAfter are the crashes after which a request runs apart from other
-	// suspects, alone, or not at all.
+	// ApartAfter, AloneAfter and RefuseAfter are the numbers of crashes after which a request runs apart from other
+	// suspects, runs alone, or is refused.
 	ApartAfter  int
 	AloneAfter  int
 	RefuseAfter int
-	// Forget is how long after its last crash a fingerprint is remembered.
+	// Forget is how long a fingerprint is kept after its last crash.
 	Forget time.Duration
-	// Most is how many fingerprints an instance remembers of its own.
+	// Most is the maximum number of fingerprints that an instance keeps of its own requests.
 	Most int
 }
 
-// DefaultSettings bound a request to three crashes within ten minutes.
+// DefaultSettings limit a request to three crashes within ten minutes.
 func DefaultSettings() Settings {
 	return Settings{ApartAfter: 1, AloneAfter: 2, RefuseAfter: 3, Forget: 10 * time.Minute, Most: 1024}
 }
 
-// Register holds the counts. Set the exported field before use; it is not safe for use by several
-// goroutines.
+// Register tracks crash counts. Set the exported field before use. It is not safe for concurrent use.
 //
-// Made for the request that crashes each upstream that runs it and that its caller sends again. The
-// harm it prevents: one more upstream lost, with all that runs in the same batch, for each try.
+// It stops a caller that retries a request which crashes each upstream that runs it. Otherwise each retry would crash
+// one more upstream, with all requests in the same batch.
 type Register struct {
 	Settings Settings
 
-	own   map[Fingerprint]record
-	peers map[string]told
+	local map[Fingerprint]localCount
+	peers map[string]peerCounts
 }
 
-// told is what a peer told last, and when.
-type told struct {
-	counts map[Fingerprint]Count
-	at     time.Time
+// peerCounts are the latest counts of a peer and when they were received.
+type peerCounts struct {
+	counts     map[Fingerprint]Count
+	receivedAt time.Time
 }
 
-// record is an own count and when it last changed.
-type record struct {
+// localCount is a count of this instance and the time of its last change.
+type localCount struct {
 	Count
-	at time.Time
+	changedAt time.Time
 }
 
-// Of gives the fingerprint of a request: the same for the caller's next send of the same body.
+// Of returns the fingerprint of a request. Retries with the same body have the same fingerprint.
 func Of(workspace, model string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{workspace, model} {
@@ -94,103 +93,104 @@
 	return Fingerprint(hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes]))
 }
 
-// Crashed tells that the upstream was lost while these requests of this instance were in flight there.
+// Crashed records that an upstream crashed while these requests of this instance were in flight there.
 func (r *Register) Crashed(now time.Time, inFlight []Fingerprint) {
-	r.prepare()
-	r.forget(now)
+	r.initialize()
+	r.dropExpired(now)
 	for _, fingerprint := range inFlight {
-		known := r.own[fingerprint]
-		known.Fingerprint = fingerprint
-		known.Crashes++
-		known.at = now
-		r.own[fingerprint] = known
+		count := r.local[fingerprint]
+		count.Fingerprint = fingerprint
+		count.Crashes++
+		count.changedAt = now
+		r.local[fingerprint] = count
 	}
-	for len(r.own) > r.Settings.Most {
+	for len(r.local) > r.Settings.Most {
 		r.dropOldest()
 	}
 }
 
-// Completed tells that the request ran to its end: it is no cause of the crashes so far. What peers
-// counted is cleared by an own count, which they learn in turn.
+// Completed records that the request ran to completion, so it did not cause the crashes so far. Crashes counted by
+// peers are cleared with a local count, which peers receive in the next heartbeat.
 func (r *Register) Completed(now time.Time, fingerprint Fingerprint) {
-	r.prepare()
-	open := r.suspicions(fingerprint)
-	if open <= 0 {
+	r.initialize()
+	crashes := r.openCrashes(fingerprint)
+	if crashes <= 0 {
 		return
 	}
-	known := r.own[fingerprint]
-	known.Fingerprint = fingerprint
-	known.Cleared += open
-	known.at = now
-	r.own[fingerprint] = known
+	count := r.local[fingerprint]
+	count.Fingerprint = fingerprint
+	count.Cleared += crashes
+	count.changedAt = now
+	r.local[fingerprint] = count
 }
 
-// Judge tells how the request may run, and when to come back if it is refused.
+// Judge returns how the request may run, and when to retry if it is refused.
 func (r *Register) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
-	r.prepare()
-	r.forget(now)
-	open := r.suspicions(fingerprint)
+	r.initialize()
+	r.dropExpired(now)
+	crashes := r.openCrashes(fingerprint)
 	switch {
-	case open >= r.Settings.RefuseAfter:
+	case crashes >= r.Settings.RefuseAfter:
 		return Refused, r.Settings.Forget
-	case open >= r.Settings.AloneAfter:
+	case crashes >= r.Settings.AloneAfter:
 		return Alone, 0
-	case open >= r.Settings.ApartAfter:
+	case crashes >= r.Settings.ApartAfter:
 		return Apart, 0
 	default:
 		return Free, 0
 	}
 }
 
-// Own lists this instance's counts, for its heartbeat, in the order of the fingerprints.
+// Own returns the counts of this instance, for its heartbeat, sorted by fingerprint.
 func (r *Register) Own(now time.Time) []Count {
-	r.prepare()
-	r.forget(now)
-	counts := make([]Count, 0, len(r.own))
-	for _, known := range r.own {
-		counts = append(counts, known.Count)
+	r.initialize()
+	r.dropExpired(now)
+	counts := make([]Count, 0, len(r.local))
+	for _, count := range r.local {
+		counts = append(counts, count.Count)
 	}
 	sort.Slice(counts, func(i, j int) bool { return counts[i].Fingerprint < counts[j].Fingerprint })
 	return counts
 }
 
-// Merge replaces what a peer told earlier by what it tells now. A peer tells all its counts each time,
-// so that a lost heartbeat loses nothing and one told twice counts once.
+// Merge replaces the counts of a peer. A heartbeat contains all counts of its sender, so a lost heartbeat loses
+// nothing and a duplicate has no effect.
 func (r *Register) Merge(now time.Time, instance string, counts []Count) {
-	r.prepare()
+	r.initialize()
 	if len(counts) == 0 {
 		delete(r.peers, instance)
 		return
 	}
-	latest := told{counts: make(map[Fingerprint]Count, len(counts)), at: now}
+	received := peerCounts{counts: make(map[Fingerprint]Count, len(counts)), receivedAt: now}
 	for _, count := range counts {
-		latest.counts[count.Fingerprint] = count
+		received.counts[count.Fingerprint] = count
 	}
-	r.peers[instance] = latest
+	r.peers[instance] = received
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// suspicions is the number of crashes, seen by any instance, that the request is not cleared of.
-func (r *Register) suspicions(fingerprint Fingerprint) (open int) {
-	known := r.own[fingerprint]
-	open = known.Crashes - known.Cleared
+// openCrashes returns the number of crashes, counted by any instance, that the request is not cleared of.
+func (r *Register) openCrashes(fingerprint Fingerprint) (crashes int) {
+	count := r.local[fingerprint]
+	crashes = count.Crashes - count.Cleared
 	for _, peer := range r.peers {
-		open += peer.counts[fingerprint].Crashes - peer.counts[fingerprint].Cleared
+		crashes += peer.counts[fingerprint].Crashes - peer.counts[fingerprint].Cleared
 	}
-	return open
+	return crashes
 }
 
-// forget drops own counts that have not changed for long, and those of instances that are gone. A caller that sends a refused request again
-// does not extend its time, so an engine that was mended is tried again.
-func (r *Register) forget(now time.Time) {
-	for fingerprint, known := range r.own {
-		if now.Sub(known.at) > r.Settings.Forget {
-			delete(r.own, fingerprint)
+// dropExpired drops local counts that have not changed within the retention time, and the counts of instances that no
+// longer send heartbeats. A retry of a refused request does not extend the retention, so the request is allowed again
+// after the engine was repaired.
+func (r *Register) dropExpired(now time.Time) {
+	for fingerprint, count := range r.local {
+		if now.Sub(count.changedAt) > r.Settings.Forget {
+			delete(r.local, fingerprint)
 		}
 	}
 	for instance, peer := range r.peers {
-		if now.Sub(peer.at) > r.Settings.Forget {
+		if now.Sub(peer.receivedAt) > r.Settings.Forget {
 			delete(r.peers, instance)
 		}
 	}
@@ -198,18 +198,18 @@
 
 func (r *Register) dropOldest() {
 	var oldest Fingerprint
-	for fingerprint, known := range r.own {
-		if oldest == "" || known.at.Before(r.own[oldest].at) {
+	for fingerprint, count := range r.local {
+		if oldest == "" || count.changedAt.Before(r.local[oldest].changedAt) {
 			oldest = fingerprint
 		}
 	}
-	delete(r.own, oldest)
+	delete(r.local, oldest)
 }
 
-// prepare makes the zero value usable, as the exported field is set after it is made.
-func (r *Register) prepare() {
-	if r.own == nil {
-		r.own = make(map[Fingerprint]record)
-		r.peers = make(map[string]told)
+// initialize makes the zero value usable, as the exported field is set after construction.
+func (r *Register) initialize() {
+	if r.local == nil {
+		r.local = make(map[Fingerprint]localCount)
+		r.peers = make(map[string]peerCounts)
 	}
 }
--- a/internal/placement/suspect/tracker_test.go
+++ b/internal/placement/suspect/tracker_test.go
@@ -10,7 +10,7 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-func newRegister() *suspect.Register {
+func newTracker() *suspect.Register {
 	return &suspect.Register{Settings: suspect.DefaultSettings()}
 }
 
@@ -19,19 +19,19 @@
 	return v
 }
 
-// A request crashes each engine that runs it, and its caller sends it again, each time to another
-// instance. Without shared counts every instance would lose engines to it anew.
-func TestThirdCrashRefuses(t *testing.T) {
+// Guards against counts that are not shared. A caller retries a request that crashes engines, each time at another
+// instance, and each instance would lose engines to it.
+func TestThirdCrashIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, b := newRegister(), newRegister()
+		a, b := newTracker(), newTracker()
 		bad := suspect.Of("w", "bids@v1", []byte("body"))
 		a.Crashed(time.Now(), []suspect.Fingerprint{bad, "innocent"})
 		b.Merge(time.Now(), "a", a.Own(time.Now()))
 		is.Equal(verdict(b, bad), suspect.Apart)
 		b.Crashed(time.Now(), []suspect.Fingerprint{bad})
 		a.Merge(time.Now(), "b", b.Own(time.Now()))
-		a.Merge(time.Now(), "b", b.Own(time.Now())) // a heartbeat told twice counts once
+		a.Merge(time.Now(), "b", b.Own(time.Now())) // a duplicate heartbeat has no effect
 		is.Equal(verdict(a, bad), suspect.Alone)
 		is.Equal(verdict(a, "innocent"), suspect.Apart)
 		a.Crashed(time.Now(), []suspect.Fingerprint{bad})
@@ -44,12 +44,12 @@
 	})
 }
 
-// Requests that only shared a batch with the one that crashes must not be shut out with it: one that
-// runs to its end alone is as free as before, at every instance.
-func TestInnocentIsCleared(t *testing.T) {
+// Guards against refusing requests that only shared a batch with the cause of a crash. A request that runs to
+// completion alone is unrestricted again at every instance.
+func TestCompletionClearsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, b := newRegister(), newRegister()
+		a, b := newTracker(), newTracker()
 		a.Crashed(time.Now(), []suspect.Fingerprint{"innocent"})
 		a.Crashed(time.Now(), []suspect.Fingerprint{"innocent"})
 		b.Merge(time.Now(), "a", a.Own(time.Now()))
@@ -61,11 +61,12 @@
 	})
 }
 
-// A flood of different requests crashes engines. The register keeps the latest and stays bounded.
-func TestRegisterIsBounded(t *testing.T) {
+// Guards against unbounded memory when a flood of different requests crashes engines. Only the latest fingerprints
+// are kept.
+func TestTrackerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRegister()
+		r := newTracker()
 		r.Settings.Most = 10
 		for i := range 100 {
 			time.Sleep(time.Second)
