--- a/internal/placement/route/ring.go
+++ b/internal/placement/route/ring.go
@@ -9,39 +9,39 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// ring.go gives each adapter version its home among the upstreams of a base model, the same at every
-// instance: consistent hashing with many points for each upstream. Plain rendezvous hashing was weighed:
-// its cost grows with the number of upstreams, where the ring's search grows with its logarithm.
+// ring.go assigns each adapter version a home among the upstreams of a base model, the same at every instance. It uses
+// consistent hashing with several points per upstream. Plain rendezvous hashing was considered: its cost grows with the
+// number of upstreams, while the search on the ring grows with its logarithm.
 
-// pointsEach is the number of points of one upstream: with 64, the shares of the upstreams differ by an
-// eighth or so, which spilling evens out.
-const pointsEach = 64
+// pointsPerUpstream is the number of points of one upstream. With 64 points the shares of the upstreams differ by
+// about an eighth, which spilling evens out.
+const pointsPerUpstream = 64
 
 type point struct {
-	hash uint64
-	at   *upstream
+	hash     uint64
+	upstream *upstream
 }
 
 type ring []point
 
 func newRing(upstreams []*upstream) ring {
-	points := make(ring, 0, len(upstreams)*pointsEach)
+	points := make(ring, 0, len(upstreams)*pointsPerUpstream)
 	for _, u := range upstreams {
-		for i := range pointsEach {
+		for i := range pointsPerUpstream {
 			key := u.name() + "#" + strconv.Itoa(i)
-			points = append(points, point{hash: xxhash.Sum64String(key), at: u})
+			points = append(points, point{hash: xxhash.Sum64String(key), upstream: u})
 		}
 	}
 	sort.Slice(points, func(i, j int) bool {
 		if points[i].hash != points[j].hash {
 			return points[i].hash < points[j].hash
 		}
-		return points[i].at.name() < points[j].at.name()
+		return points[i].upstream.name() < points[j].upstream.name()
 	})
 	return points
 }
 
-// start is where the walk for the version begins.
+// start returns the index of the first point for the version.
 func (r ring) start(ref model.Reference) int {
 	hash := xxhash.Sum64String(ref.Adapter)
 	hash ^= xxhash.Sum64String(ref.Version) * 0x9e3779b97f4a7c15
--- a/internal/placement/route/route.go
+++ b/internal/placement/route/route.go
@@ -1,7 +1,7 @@
-// Package route chooses an upstream for a request at an entry instance, from what the holders tell of
-// their upstreams in heartbeats. The choice is a guess: the upstream's holder has the last word. It
-// decides without sockets; the caller reads the runtime's clock and passes the time in, so that the
-// measuring program can drive the same code on a simulated clock.
+// Package route chooses an upstream for a request at an entry instance, from the summaries that holders send in
+// heartbeats. The choice is an estimate: the holder of the upstream makes the final decision. The package uses no
+// sockets. The caller reads the runtime's clock and passes the time in, so that the measuring program can run the
+// same code on a simulated clock.
 package route
 
 import (
@@ -12,11 +12,11 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// ErrNoUpstream tells that no upstream of the base model may get work now.
+// ErrNoUpstream is returned if no upstream of the base model accepts requests.
 var ErrNoUpstream = errors.New("route: no upstream takes work")
 
-// Summary is what a holder told of its upstream. At is when that was true, by this instance's clock:
-// the time the heartbeat was asked for.
+// Summary is the state of an upstream as reported by its holder. At is when it was valid, by the clock of this
+// instance: the time at which the heartbeat was requested.
 type Summary struct {
 	Upstream   string
 	Epoch      int64
@@ -24,13 +24,13 @@
 	Backlog    time.Duration
 	Resident   []model.Reference
 	Healthy    bool
-	// Coldest is the recent demand, in requests, of the version that the next load there evicts.
+	// Coldest is the recent demand, in requests, for the version that the next load at the upstream evicts.
 	Coldest float64
 	At      time.Time
 }
 
-// Query describes the request to be placed. Cost is its expected tokens. Exclude names upstreams that
-// were tried before.
+// Query describes the request to be placed. Cost is its expected number of tokens. Exclude lists upstreams that were
+// tried before.
 type Query struct {
 	Model     model.Reference
 	BaseModel string
@@ -39,22 +39,22 @@
 	Exclude   []string
 }
 
-// Why names the rule that decided, for logs and measurements.
+// Why is the rule that decided a choice, for logs and measurements.
 type Why string
 
-// The rules of a Choice.
+// The reasons for a Choice.
 const (
-	// WhyResident: the version is loaded there and the wait is the shortest of those.
+	// WhyResident: the version is loaded there, and the wait is the shortest among such upstreams.
 	WhyResident Why = "resident"
-	// WhyHome: the version is loaded nowhere within reach, and this is its rendezvous home.
+	// WhyHome: the version is loaded on no eligible upstream, and this is its home on the hash ring.
 	WhyHome Why = "home"
-	// WhySpill: the home or the resident ones are busy, and a load elsewhere is sooner.
+	// WhySpill: the home or the upstreams with the version loaded are busy, and a load elsewhere is faster.
 	WhySpill Why = "spill"
-	// WhyProbe: the upstream has failed and is tried with one request.
+	// WhyProbe: the upstream has failed, and one request is sent as a probe.
 	WhyProbe Why = "probe"
 )
 
-// Choice is the upstream to ask for a place. Expected is the time until dispatch as far as known.
+// Choice is the upstream to request a slot from. Expected is the estimated time until dispatch.
 type Choice struct {
 	Upstream  string
 	Why       Why
@@ -62,8 +62,7 @@
 	NeedsLoad bool
 }
 
-// Outcome is how a request that was sent to an upstream ended there. Took is from dispatch to the
-// last token.
+// Outcome is the result of a request that was sent to an upstream. Took is the time from dispatch to the last token.
 type Outcome struct {
 	Upstream string
 	Tokens   float64
@@ -73,24 +72,23 @@
 
 // Settings of a Router.
 type Settings struct {
-	// ExpectedLoad is how long a load is expected to take, the wait for a permit included.
+	// ExpectedLoad is the expected duration of a load, including the wait for a permit.
 	ExpectedLoad time.Duration
-	// LoadPrice is added to the expected time of a choice that needs a load while the weight store is
-	// fully used: what the load costs the others who wait for it. A higher price means fewer loads and
-	// longer queues.
+	// LoadPrice is the penalty on a choice that needs a load while the weight store is fully used: the delay of the
+	// others that wait for it. A higher price means fewer loads and longer queues.
 	LoadPrice time.Duration
-	// LoadRate is the loads a second that the weight store allows the whole fleet. The price of a load
-	// rises with the square of the share of it that is in use.
+	// LoadRate is the number of loads a second that the weight store allows the whole fleet. The price of a load rises
+	// with the square of the utilization of this rate.
 	LoadRate float64
-	// StaleAfter is the age at which a summary is not used any more.
+	// StaleAfter is the age at which a summary is no longer used.
 	StaleAfter time.Duration
-	// ProbeEvery is the time between two requests to an upstream that has failed.
+	// ProbeEvery is the time between two probes of an upstream that has failed.
 	ProbeEvery time.Duration
-	// TokenTime is how long one token is expected to take until measured.
+	// TokenTime is the expected time per token until it is measured.
 	TokenTime time.Duration
 }
 
-// DefaultSettings for today's sizes.
+// DefaultSettings returns the settings for current fleet sizes.
 func DefaultSettings() Settings {
 	return Settings{
 		ExpectedLoad: 500 * time.Millisecond,
--- a/internal/placement/route/router.go
+++ b/internal/placement/route/router.go
@@ -9,48 +9,47 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// router.go makes the choice. For each request it looks at a bounded number of upstreams, some that
-// have the version loaded and some near its home, and takes the one that is expected to be done first.
+// router.go compares a bounded number of upstreams for each request, some that have the version loaded and some near its
+// home on the ring, and chooses the one with the earliest expected completion.
 
-// residentsSeen and homesSeen bound the cost of a decision, whatever the size of the fleet. More than
-// eight replicas are looked at in turn; a home that is busy is stood in for by its next two neighbours.
+// maxResidentCandidates and maxHomeCandidates bound the cost of a decision independently of the size of the fleet.
+// More than eight replicas are considered in rotation. A busy home is replaced by the next two upstreams on the ring.
 const (
-	residentsSeen = 8
-	homesSeen     = 3
+	maxResidentCandidates = 8
+	maxHomeCandidates     = 3
 )
 
-// mostEvictionCost bounds what an eviction may count for, in prices of a load: what is asked for often
-// is loaded again once, and then is there. Measured: 4 and 8 do the same, 1 stalls by 3 in 100 more.
-const mostEvictionCost = 4
+// maxEvictionCost bounds the cost of an eviction, in multiples of the price of a load: a version in demand is loaded
+// again once and then stays loaded. Measured: 4 and 8 give the same result, and 1 gives 3 in 100 more stalls.
+const maxEvictionCost = 4
 
-// Router chooses upstreams. Set the exported field before use. It is not safe for use by several
-// goroutines.
+// Router chooses upstreams. Set the exported field before use. It is not safe for concurrent use.
 type Router struct {
 	Settings Settings
 
-	upstreams map[string]*upstream
-	rings     map[string]ring
-	resident  map[model.Reference][]*upstream
-	loading   map[model.Reference]loading
-	forgot    time.Time
-	loads     loads
-	turn      int
+	upstreams    map[string]*upstream
+	rings        map[string]ring
+	resident     map[model.Reference][]*upstream
+	pendingLoads map[model.Reference]pendingLoad
+	lastExpiry   time.Time
+	loadRate     decayingCount
+	rotation     int
 }
 
-// loading is a load that this instance's requests wait for, since a choice that needed it.
-type loading struct {
-	at    *upstream
-	since time.Time
+// pendingLoad is a load that requests of this instance wait for, since a choice that needed it.
+type pendingLoad struct {
+	upstream *upstream
+	since    time.Time
 }
 
-// SetUpstreams tells the declared upstreams; call it when the configuration changes.
+// SetUpstreams replaces the declared upstreams. Call it when the configuration changes.
 func (r *Router) SetUpstreams(declared []resource.Upstream) {
-	r.prepare()
-	before := r.upstreams
+	r.initialize()
+	previous := r.upstreams
 	r.upstreams = make(map[string]*upstream, len(declared))
 	byModel := make(map[string][]*upstream)
 	for _, d := range declared {
-		u := before[d.Meta.Name]
+		u := previous[d.Meta.Name]
 		if u == nil {
 			u = &upstream{}
 		}
@@ -59,24 +58,24 @@
 		byModel[d.BaseModel] = append(byModel[d.BaseModel], u)
 	}
 	r.rings = make(map[string]ring, len(byModel))
-	for baseModel, list := range byModel {
-		r.rings[baseModel] = newRing(list)
+	for baseModel, members := range byModel {
+		r.rings[baseModel] = newRing(members)
 	}
-	for name, u := range before {
+	for name, u := range previous {
 		if r.upstreams[name] == nil {
 			r.index(u, nil)
 		}
 	}
 }
 
-// SetLeaving tells the upstreams seen to be leaving by other sources than the configuration.
+// SetLeaving replaces the set of upstreams that are leaving according to sources other than the configuration.
 func (r *Router) SetLeaving(names []string) {
 	for name, u := range r.upstreams {
 		u.leaving = slices.Contains(names, name)
 	}
 }
 
-// Learn takes note of a holder's summary; one that is older than the known one is dropped.
+// Learn stores the summary of a holder. A summary older than the stored one is dropped.
 func (r *Router) Learn(now time.Time, summary Summary) {
 	u := r.upstreams[summary.Upstream]
 	if u == nil || summary.Epoch < u.summary.Epoch || !summary.At.After(u.summary.At) {
@@ -85,41 +84,41 @@
 	r.countLoads(now, u, summary)
 	r.index(u, summary.Resident)
 	u.summary = summary
-	u.forgetSent(summary.At)
+	u.dropSentBefore(summary.At)
 }
 
-// Choose picks an upstream and counts the request as sent there until a newer summary comes.
+// Choose selects an upstream and counts the request as sent there until a newer summary arrives.
 //
-// Made for skewed popularity, one slow upstream and full saturation. The harm it prevents: a load for
-// every request (random or even spread), or all requests of a hot adapter behind one upstream.
+// It handles skewed popularity, one slow upstream and full saturation. Random or even spreading would need a load for
+// every request, and plain affinity would queue all requests of a hot adapter behind one upstream.
 func (r *Router) Choose(now time.Time, query Query) (choice Choice, err error) {
 	best := candidate{}
-	room := [residentsSeen + homesSeen + 1]candidate{}
-	for _, c := range r.candidates(now, query, room[:0]) {
-		if best.at == nil || c.total < best.total {
+	buffer := [maxResidentCandidates + maxHomeCandidates + 1]candidate{}
+	for _, c := range r.candidates(now, query, buffer[:0]) {
+		if best.upstream == nil || c.total < best.total {
 			best = c
 		}
 	}
-	if best.at == nil {
+	if best.upstream == nil {
 		return Choice{}, ErrNoUpstream
 	}
-	best.at.noteSent(now, r.work(now, best.at, query))
-	if best.why == WhyProbe {
-		best.at.nextProbe = now.Add(r.Settings.ProbeEvery)
+	best.upstream.recordSent(now, r.workTime(now, best.upstream, query))
+	if best.reason == WhyProbe {
+		best.upstream.nextProbe = now.Add(r.Settings.ProbeEvery)
 	}
 	if best.needsLoad {
-		r.noteLoading(now, query.Model, best.at)
+		r.addPendingLoad(now, query.Model, best.upstream)
 	}
-	return Choice{Upstream: best.at.name(), Why: best.why, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
+	return Choice{Upstream: best.upstream.name(), Why: best.reason, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
 }
 
-// Ended takes note of how a request ended.
+// Ended records the outcome of a request.
 func (r *Router) Ended(now time.Time, outcome Outcome) {
 	u := r.upstreams[outcome.Upstream]
 	if u == nil {
 		return
 	}
-	u.ended(now, outcome, r.Settings.TokenTime)
+	u.recordOutcome(now, outcome, r.Settings.TokenTime)
 	if u.hasFailed() {
 		u.nextProbe = now.Add(r.Settings.ProbeEvery)
 	}
@@ -127,118 +126,118 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// candidate is an upstream that may be chosen. wait is the time until dispatch, total what is compared.
+// candidate is an upstream that may be chosen. wait is the time until dispatch, total the time that candidates are
+// compared by.
 type candidate struct {
-	at        *upstream
-	why       Why
+	upstream  *upstream
+	reason    Why
 	wait      time.Duration
 	total     time.Duration
 	needsLoad bool
 }
 
-// candidates appends the upstreams worth comparing; the first of equal ones is taken.
+// candidates appends the upstreams to compare. Among equal ones the first is chosen.
 func (r *Router) candidates(now time.Time, query Query, list []candidate) []candidate {
-	with := r.resident[query.Model]
-	r.turn++
-	for i := 0; i < len(with) && len(list) < residentsSeen; i++ {
-		u := with[(i+r.turn)%len(with)]
+	residents := r.resident[query.Model]
+	r.rotation++
+	for i := 0; i < len(residents) && len(list) < maxResidentCandidates; i++ {
+		u := residents[(i+r.rotation)%len(residents)]
 		if r.eligible(now, u, query) && u.isFresh(now, r.Settings.StaleAfter) {
-			list = append(list, r.weigh(now, u, query, WhyResident, 0))
+			list = append(list, r.estimate(now, u, query, WhyResident, 0))
 		}
 	}
-	if l, ok := r.loading[query.Model]; ok && r.eligible(now, l.at, query) && !hasCandidate(list, l.at) {
-		left := max(0, r.Settings.ExpectedLoad-now.Sub(l.since))
+	if l, ok := r.pendingLoads[query.Model]; ok && r.eligible(now, l.upstream, query) && !containsUpstream(list, l.upstream) {
+		remaining := max(0, r.Settings.ExpectedLoad-now.Sub(l.since))
 		if now.Sub(l.since) < r.Settings.StaleAfter {
-			list = append(list, r.weigh(now, l.at, query, WhyHome, left))
+			list = append(list, r.estimate(now, l.upstream, query, WhyHome, remaining))
 		}
 	}
-	return r.addHomes(now, query, list)
+	return r.appendHomes(now, query, list)
 }
 
-// addHomes adds the upstreams next to the version's place on the ring.
-func (r *Router) addHomes(now time.Time, query Query, list []candidate) []candidate {
+// appendHomes appends the upstreams that follow the hash of the version on the ring.
+func (r *Router) appendHomes(now time.Time, query Query, list []candidate) []candidate {
 	points := r.rings[query.BaseModel]
 	why := WhyHome
 	start := points.start(query.Model)
 	found := 0
-	for i := 0; i < len(points) && found < homesSeen; i++ {
-		u := points[(start+i)%len(points)].at
+	for i := 0; i < len(points) && found < maxHomeCandidates; i++ {
+		u := points[(start+i)%len(points)].upstream
 		if !r.eligible(now, u, query) {
 			continue
 		}
-		if hasCandidate(list, u) {
+		if containsUpstream(list, u) {
 			continue
 		}
 		found++
-		list = append(list, r.weigh(now, u, query, why, r.loadCost(now, u)))
+		list = append(list, r.estimate(now, u, query, why, r.loadCost(now, u)))
 		why = WhySpill
 	}
 	return list
 }
 
-func hasCandidate(list []candidate, u *upstream) bool {
-	return slices.ContainsFunc(list, func(c candidate) bool { return c.at == u })
+func containsUpstream(list []candidate, u *upstream) bool {
+	return slices.ContainsFunc(list, func(c candidate) bool { return c.upstream == u })
 }
 
-// eligible tells whether the upstream may be chosen at all. One that has failed is tried with one
-// request every now and then: with none its recovery would not be noticed, with all of them each
+// eligible reports whether the upstream may be chosen at all. One that has failed gets one probe per interval, as in
+// a half-open circuit breaker: without probes its recovery would not be noticed, and with all requests each of them
 // would fail.
 func (r *Router) eligible(now time.Time, u *upstream, query Query) bool {
-	if !u.takesWork(now, r.Settings.StaleAfter) || slices.Contains(query.Exclude, u.name()) {
+	if !u.acceptsRequests(now, r.Settings.StaleAfter) || slices.Contains(query.Exclude, u.name()) {
 		return false
 	}
 	return !u.hasFailed() || !now.Before(u.nextProbe)
 }
 
-// weigh compares upstreams by when the request would be done there: the wait for a place, the load,
-// and the work at the upstream's own speed.
-func (r *Router) weigh(now time.Time, u *upstream, query Query, why Why, load time.Duration) candidate {
-	c := candidate{at: u, why: why, needsLoad: why != WhyResident}
+// estimate computes when the request would be completed at the upstream: the wait for a slot, the load, and the work
+// at the measured speed of the upstream.
+func (r *Router) estimate(now time.Time, u *upstream, query Query, why Why, load time.Duration) candidate {
+	c := candidate{upstream: u, reason: why, needsLoad: why != WhyResident}
 	c.wait = u.wait(now, r.Settings.StaleAfter) + load
-	c.total = c.wait + r.work(now, u, query)
+	c.total = c.wait + r.workTime(now, u, query)
 	if u.hasFailed() {
-		c.why = WhyProbe
+		c.reason = WhyProbe
 	}
 	return c
 }
 
-// loadCost is what a load there costs: the wait for it, its price, and as often the price again as the
-// version it evicts is asked for and has to be loaded again.
+// loadCost returns the cost of a load there: its duration, its price, and the price again for each recent request for
+// the version that it evicts, which would have to be loaded again.
 func (r *Router) loadCost(now time.Time, u *upstream) time.Duration {
-	again := min(u.summary.Coldest, mostEvictionCost)
-	used := min(1, r.loads.rate(now)/r.Settings.LoadRate)
-	price := used * used * float64(r.Settings.LoadPrice)
-	return r.Settings.ExpectedLoad + time.Duration((1+again)*price)
+	evictions := min(u.summary.Coldest, maxEvictionCost)
+	utilization := min(1, r.loadRate.perSecond(now)/r.Settings.LoadRate)
+	price := utilization * utilization * float64(r.Settings.LoadPrice)
+	return r.Settings.ExpectedLoad + time.Duration((1+evictions)*price)
 }
 
-func (r *Router) work(now time.Time, u *upstream, query Query) time.Duration {
+func (r *Router) workTime(now time.Time, u *upstream, query Query) time.Duration {
 	return time.Duration(query.Cost * float64(u.speed(now, r.Settings.TokenTime)))
 }
 
-// noteLoading remembers where a load is under way, so that the next request for the version joins it
-// instead of starting another elsewhere.
-func (r *Router) noteLoading(now time.Time, ref model.Reference, u *upstream) {
-	if l, ok := r.loading[ref]; ok && l.at == u && now.Sub(l.since) < r.Settings.StaleAfter {
+// addPendingLoad records where a load is in progress, so that the next request for the version joins it instead of
+// starting another load elsewhere.
+func (r *Router) addPendingLoad(now time.Time, ref model.Reference, u *upstream) {
+	if l, ok := r.pendingLoads[ref]; ok && l.upstream == u && now.Sub(l.since) < r.Settings.StaleAfter {
 		return
 	}
-	if now.Sub(r.forgot) >= r.Settings.StaleAfter {
-		r.forgetLoading(now)
+	if now.Sub(r.lastExpiry) >= r.Settings.StaleAfter {
+		r.expirePendingLoads(now)
 	}
-	r.loading[ref] = loading{at: u, since: now}
+	r.pendingLoads[ref] = pendingLoad{upstream: u, since: now}
 }
 
-// forgetLoading drops what is stale. It is done once in a while, so that its cost is spread over many
-// choices.
-func (r *Router) forgetLoading(now time.Time) {
-	r.forgot = now
-	for ref, l := range r.loading {
+// expirePendingLoads drops stale entries. It runs periodically, so that its cost is amortized over many choices.
+func (r *Router) expirePendingLoads(now time.Time) {
+	r.lastExpiry = now
+	for ref, l := range r.pendingLoads {
 		if now.Sub(l.since) >= r.Settings.StaleAfter {
-			delete(r.loading, ref)
+			delete(r.pendingLoads, ref)
 		}
 	}
 }
 
-// index replaces what the upstream is known to have loaded.
+// index replaces the set of versions loaded on the upstream.
 func (r *Router) index(u *upstream, loaded []model.Reference) {
 	for _, ref := range u.summary.Resident {
 		if !slices.Contains(loaded, ref) {
@@ -249,60 +248,62 @@
 		if !slices.Contains(r.resident[ref], u) {
 			r.resident[ref] = append(r.resident[ref], u)
 		}
-		if l, ok := r.loading[ref]; ok && l.at == u {
-			delete(r.loading, ref)
+		if l, ok := r.pendingLoads[ref]; ok && l.upstream == u {
+			delete(r.pendingLoads, ref)
 		}
 	}
 }
 
-// countLoads counts what the upstream has loaded since its last summary: all instances hear of all
-// loads, and so know how much of the weight store's rate is in use.
+// countLoads counts the loads on the upstream since its last summary. All instances receive the summaries of all
+// upstreams, so each knows the utilization of the weight store's rate.
 func (r *Router) countLoads(now time.Time, u *upstream, summary Summary) {
 	if !u.isFresh(now, r.Settings.StaleAfter) || summary.Epoch != u.summary.Epoch {
 		return
 	}
 	for _, ref := range summary.Resident {
 		if !slices.Contains(r.resident[ref], u) {
-			r.loads = r.loads.with(now)
+			r.loadRate = r.loadRate.increment(now)
 		}
 	}
 }
 
-// loadsHalfLife is the time in which past loads count half: long enough to tell one a second from two,
-// short enough to follow a shift of popularity.
+// loadsHalfLife is the half-life of the load count: long enough to distinguish one load a second from two, short
+// enough to follow a shift in popularity.
 const loadsHalfLife = 10 * time.Second
 
-// loads is a count of loads that halves every loadsHalfLife.
-type loads struct {
-	value float64
-	at    time.Time
+// decayingCount is a count with exponential decay that halves every loadsHalfLife.
+type decayingCount struct {
+	value     float64
+	updatedAt time.Time
 }
 
-func (l loads) now(now time.Time) float64 {
-	return l.value * math.Exp2(-now.Sub(l.at).Seconds()/loadsHalfLife.Seconds())
+func (l decayingCount) valueAt(now time.Time) float64 {
+	return l.value * math.Exp2(-now.Sub(l.updatedAt).Seconds()/loadsHalfLife.Seconds())
 }
 
-func (l loads) with(now time.Time) loads { return loads{value: l.now(now) + 1, at: now} }
+func (l decayingCount) increment(now time.Time) decayingCount {
+	return decayingCount{value: l.valueAt(now) + 1, updatedAt: now}
+}
 
-// rate is the loads a second.
-func (l loads) rate(now time.Time) float64 {
-	return l.now(now) * math.Ln2 / loadsHalfLife.Seconds()
+// perSecond returns the rate of loads a second.
+func (l decayingCount) perSecond(now time.Time) float64 {
+	return l.valueAt(now) * math.Ln2 / loadsHalfLife.Seconds()
 }
 
 func (r *Router) unindex(ref model.Reference, u *upstream) {
-	kept := slices.DeleteFunc(r.resident[ref], func(other *upstream) bool { return other == u })
-	if len(kept) == 0 {
+	remaining := slices.DeleteFunc(r.resident[ref], func(other *upstream) bool { return other == u })
+	if len(remaining) == 0 {
 		delete(r.resident, ref)
 		return
 	}
-	r.resident[ref] = kept
+	r.resident[ref] = remaining
 }
 
-// prepare makes the zero value usable, as the exported field is set after it is made.
-func (r *Router) prepare() {
+// initialize makes the zero value usable, as the exported field is set after construction.
+func (r *Router) initialize() {
 	if r.resident != nil {
 		return
 	}
 	r.resident = make(map[model.Reference][]*upstream)
-	r.loading = make(map[model.Reference]loading)
+	r.pendingLoads = make(map[model.Reference]pendingLoad)
 }
--- a/internal/placement/route/router_test.go
+++ b/internal/placement/route/router_test.go
@@ -34,57 +34,57 @@
 	return route.Query{Model: ref(i), BaseModel: baseModel, Cost: 200, Deadline: time.Now().Add(10 * time.Second)}
 }
 
-func tell(r *route.Router, upstream string, free int, backlog time.Duration, resident ...model.Reference) {
+func updateSummary(r *route.Router, upstream string, free int, backlog time.Duration, resident ...model.Reference) {
 	r.Learn(time.Now(), route.Summary{
 		Upstream: upstream, Epoch: 1, FreePlaces: free, Backlog: backlog,
 		Resident: resident, Healthy: true, At: time.Now(),
 	})
 }
 
-// Instances that know nothing yet choose the same upstream for an adapter, so that equal requests meet
-// there and one load serves them all.
-func TestHomeIsTheSameEverywhere(t *testing.T) {
+// Instances without summaries choose the same upstream for an adapter, so that requests for it meet there and one
+// load serves them all.
+func TestInstancesAgreeOnTheHome(t *testing.T) {
 	is := is.New(t)
-	used := map[string]int{}
+	counts := map[string]int{}
 	for i := range 900 {
-		first, err := newRouterOnce.Choose(time.Now(), query(i))
+		first, err := sharedRouter.Choose(time.Now(), query(i))
 		is.NoErr(err)
 		second, err := newRouter(9).Choose(time.Now(), query(i))
 		is.NoErr(err)
 		is.Equal(first.Upstream, second.Upstream)
-		used[first.Upstream]++
+		counts[first.Upstream]++
 	}
-	for _, n := range used {
+	for _, n := range counts {
 		is.True(n > 50 && n < 170)
 	}
-	is.Equal(len(used), 9)
+	is.Equal(len(counts), 9)
 }
 
-var newRouterOnce = newRouter(9)
+var sharedRouter = newRouter(9)
 
-// Heartbeats come twice a second. If the requests sent since the last one did not count, all of them
-// would go to the one upstream that was idle then.
-func TestSentSinceTheReportCounts(t *testing.T) {
+// Heartbeats arrive twice a second. If the requests sent since the last one did not count, all of them would go to
+// the one upstream that was idle then.
+func TestRequestsSinceTheSummaryCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRouter(2)
-		tell(r, "u0", 4, 0, ref(1))
-		tell(r, "u1", 4, 0, ref(1))
-		used := map[string]int{}
+		updateSummary(r, "u0", 4, 0, ref(1))
+		updateSummary(r, "u1", 4, 0, ref(1))
+		counts := map[string]int{}
 		for range 8 {
 			choice, err := r.Choose(time.Now(), query(1))
 			is.NoErr(err)
 			is.Equal(choice.Why, route.WhyResident)
-			used[choice.Upstream]++
+			counts[choice.Upstream]++
 		}
-		is.Equal(used["u0"], 4)
-		is.Equal(used["u1"], 4)
+		is.Equal(counts["u0"], 4)
+		is.Equal(counts["u1"], 4)
 	})
 }
 
-// A hot adapter is loaded on one upstream. Behind a long queue there, callers would wait while another
-// upstream stands idle; but while the weight store is busy, a load takes its time from others.
-func TestQueueBehindOrLoad(t *testing.T) {
+// A hot adapter is loaded on one upstream. Behind a long queue there, callers would wait while another upstream is
+// idle. While the weight store is busy, a load delays the loads of others.
+func TestChoiceBetweenQueueAndLoad(t *testing.T) {
 	tests := []struct {
 		name      string
 		backlog   time.Duration
@@ -102,15 +102,15 @@
 				is := is.New(t)
 				r := newRouter(3)
 				for i := range 3 {
-					tell(r, fmt.Sprint("u", i), 8, 0)
+					updateSummary(r, fmt.Sprint("u", i), 8, 0)
 				}
 				for i := range tt.loads {
 					time.Sleep(500 * time.Millisecond)
-					tell(r, "u0", 8, 0, ref(100+i))
-					tell(r, "u2", 8, 0)
+					updateSummary(r, "u0", 8, 0, ref(100+i))
+					updateSummary(r, "u2", 8, 0)
 				}
 				time.Sleep(time.Second)
-				tell(r, "u1", 0, tt.backlog, ref(1))
+				updateSummary(r, "u1", 0, tt.backlog, ref(1))
 				choice, err := r.Choose(time.Now(), query(1))
 				is.NoErr(err)
 				is.Equal(choice.NeedsLoad, tt.needsLoad)
@@ -120,14 +120,14 @@
 	}
 }
 
-// An upstream is three times slower than the others. Callers sent there would wait three times as long
-// for each token; once it is well again it has to get its part.
+// An upstream is three times slower than the others, and callers sent there would wait three times as long for each
+// token. After it recovers it must get its share again.
 func TestSlowUpstreamGetsLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRouter(2)
-		tell(r, "u0", 8, 0, ref(1))
-		tell(r, "u1", 8, 0, ref(1))
+		updateSummary(r, "u0", 8, 0, ref(1))
+		updateSummary(r, "u1", 8, 0, ref(1))
 		for range 20 {
 			r.Ended(time.Now(), route.Outcome{Upstream: "u0", Tokens: 100, Took: 6 * time.Second})
 			r.Ended(time.Now(), route.Outcome{Upstream: "u1", Tokens: 100, Took: 2 * time.Second})
@@ -138,22 +138,22 @@
 			is.Equal(choice.Upstream, "u1")
 		}
 		time.Sleep(time.Minute)
-		tell(r, "u0", 8, 0, ref(1))
-		tell(r, "u1", 0, 5*time.Second, ref(1))
+		updateSummary(r, "u0", 8, 0, ref(1))
+		updateSummary(r, "u1", 0, 5*time.Second, ref(1))
 		choice, err := r.Choose(time.Now(), query(1))
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "u0")
 	})
 }
 
-// An upstream fails every request. It gets one every two seconds, so that its recovery is seen, and the
-// callers of all others are spared.
+// An upstream fails every request. It gets one probe every two seconds, so that its recovery is noticed and other
+// requests do not fail.
 func TestFailingUpstreamGetsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRouter(2)
-		tell(r, "u0", 8, 0, ref(1))
-		tell(r, "u1", 0, 2*time.Second, ref(1))
+		updateSummary(r, "u0", 8, 0, ref(1))
+		updateSummary(r, "u1", 0, 2*time.Second, ref(1))
 		sent := 0
 		for range 100 {
 			choice, err := r.Choose(time.Now(), query(1))
@@ -163,27 +163,27 @@
 				r.Ended(time.Now(), route.Outcome{Upstream: "u0", Failed: true})
 			}
 			time.Sleep(100 * time.Millisecond)
-			tell(r, "u0", 8, 0, ref(1))
-			tell(r, "u1", 0, 2*time.Second, ref(1))
+			updateSummary(r, "u0", 8, 0, ref(1))
+			updateSummary(r, "u1", 0, 2*time.Second, ref(1))
 		}
-		is.True(sent >= 4 && sent <= 7) // two to find out, then one every two seconds
+		is.True(sent >= 4 && sent <= 7) // two failures to detect it, then one probe every two seconds
 	})
 }
 
-// An upstream is leaving, its holder finds it dead, or it was tried before: nothing new goes there.
-func TestNothingForTheLeaving(t *testing.T) {
+// No new request goes to an upstream that is leaving, that its holder reports unhealthy, or that was retried before.
+func TestUnavailableUpstreamsGetNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRouter(3)
-		tell(r, "u0", 8, 0, ref(1))
+		updateSummary(r, "u0", 8, 0, ref(1))
 		r.SetLeaving([]string{"u0"})
 		r.Learn(time.Now(), route.Summary{Upstream: "u1", Epoch: 1, Resident: []model.Reference{ref(1)}, At: time.Now()})
 		choice, err := r.Choose(time.Now(), query(1))
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "u2")
-		tried := query(1)
-		tried.Exclude = []string{"u2"}
-		_, err = r.Choose(time.Now(), tried)
+		retried := query(1)
+		retried.Exclude = []string{"u2"}
+		_, err = r.Choose(time.Now(), retried)
 		is.True(errors.Is(err, route.ErrNoUpstream))
 	})
 }
--- a/internal/placement/route/upstream.go
+++ b/internal/placement/route/upstream.go
@@ -6,37 +6,37 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// upstream.go is what a router knows of one upstream.
+// upstream.go holds the state that a router keeps for one upstream.
 
-// failedAfter is how many requests in a row have to fail before the upstream gets probes only. One
-// may have been the request's own fault.
-const failedAfter = 2
+// probeAfterFailures is the number of consecutive failures after which the upstream gets probes only. A single
+// failure may be caused by the request itself.
+const probeAfterFailures = 2
 
-// learning is the weight of the newest sample in a moving mean: about the last ten count. No measured
-// reason yet.
-const learning = 0.1
+// speedSampleWeight is the weight of the newest sample in the moving average, with an effective window of about ten
+// samples.
+const speedSampleWeight = 0.1
 
-// forgetSpeed is how long a measured speed is believed. Without it an upstream that was slow once
-// would get nothing, and its recovery would never be seen. No measured reason yet.
-const forgetSpeed = 10 * time.Second
+// speedMaxAge is how long a measured speed is used. Without it an upstream that was slow once would get no requests,
+// and its recovery would not be measured.
+const speedMaxAge = 10 * time.Second
 
-// mostSent bounds what is remembered of the requests sent since the last summary.
-const mostSent = 256
+// maxSent bounds the number of requests recorded since the last summary.
+const maxSent = 256
 
 type upstream struct {
-	declared  resource.Upstream
-	leaving   bool
-	summary   Summary
-	sent      []sent
-	sentWork  time.Duration
-	tokenTime time.Duration
-	measured  time.Time
-	failures  int
-	nextProbe time.Time
+	declared   resource.Upstream
+	leaving    bool
+	summary    Summary
+	sent       []sentRequest
+	sentWork   time.Duration
+	tokenTime  time.Duration
+	measuredAt time.Time
+	failures   int
+	nextProbe  time.Time
 }
 
-// sent is a request that went to the upstream after its last summary was made.
-type sent struct {
+// sentRequest is a request sent to the upstream after its last summary was created.
+type sentRequest struct {
 	at   time.Time
 	work time.Duration
 }
@@ -47,19 +47,19 @@
 	return !u.summary.At.IsZero() && now.Sub(u.summary.At) <= staleAfter
 }
 
-// takesWork tells whether the upstream may be chosen. One that is leaving gets nothing; nor does one
-// whose holder finds it dead.
-func (u *upstream) takesWork(now time.Time, staleAfter time.Duration) bool {
+// acceptsRequests reports whether the upstream may be chosen: it is not leaving, and its holder does not report it
+// unhealthy.
+func (u *upstream) acceptsRequests(now time.Time, staleAfter time.Duration) bool {
 	if u.leaving || u.declared.Leaving {
 		return false
 	}
 	return !u.isFresh(now, staleAfter) || u.summary.Healthy
 }
 
-func (u *upstream) hasFailed() bool { return u.failures >= failedAfter }
+func (u *upstream) hasFailed() bool { return u.failures >= probeAfterFailures }
 
-// wait is how long a request waits for a place there. Summaries lag, so what this instance sent since
-// counts too: without it every request of a heartbeat's time goes to the same idle upstream.
+// wait returns the expected wait for a slot. Summaries lag behind, so requests that this instance sent since the last
+// one count too. Otherwise all requests between two heartbeats would go to the same idle upstream.
 func (u *upstream) wait(now time.Time, staleAfter time.Duration) time.Duration {
 	if !u.isFresh(now, staleAfter) {
 		return 0
@@ -70,37 +70,37 @@
 	return u.summary.Backlog + u.sentWork/time.Duration(max(u.declared.Batch, 1))
 }
 
-// speed is the time per token, as measured lately.
-func (u *upstream) speed(now time.Time, usual time.Duration) time.Duration {
-	if u.measured.IsZero() || now.Sub(u.measured) > forgetSpeed {
-		return usual
+// speed returns the recently measured time per token.
+func (u *upstream) speed(now time.Time, fallback time.Duration) time.Duration {
+	if u.measuredAt.IsZero() || now.Sub(u.measuredAt) > speedMaxAge {
+		return fallback
 	}
 	return u.tokenTime
 }
 
-func (u *upstream) noteSent(now time.Time, work time.Duration) {
-	if len(u.sent) >= mostSent {
+func (u *upstream) recordSent(now time.Time, work time.Duration) {
+	if len(u.sent) >= maxSent {
 		u.sentWork -= u.sent[0].work
 		u.sent = u.sent[1:]
 	}
-	u.sent = append(u.sent, sent{at: now, work: work})
+	u.sent = append(u.sent, sentRequest{at: now, work: work})
 	u.sentWork += work
 }
 
-// forgetSent drops what the summary made at made accounts for.
-func (u *upstream) forgetSent(made time.Time) {
-	kept := u.sent[:0]
+// dropSentBefore drops the requests that a summary with this time includes.
+func (u *upstream) dropSentBefore(summaryAt time.Time) {
+	remaining := u.sent[:0]
 	for _, s := range u.sent {
-		if s.at.After(made) {
-			kept = append(kept, s)
+		if s.at.After(summaryAt) {
+			remaining = append(remaining, s)
 			continue
 		}
 		u.sentWork -= s.work
 	}
-	u.sent = kept
+	u.sent = remaining
 }
 
-func (u *upstream) ended(now time.Time, outcome Outcome, usual time.Duration) {
+func (u *upstream) recordOutcome(now time.Time, outcome Outcome, fallback time.Duration) {
 	if outcome.Failed {
 		u.failures++
 		return
@@ -110,7 +110,7 @@
 		return
 	}
 	sample := time.Duration(float64(outcome.Took) / outcome.Tokens)
-	mean := u.speed(now, usual)
-	u.tokenTime = mean + time.Duration(learning*float64(sample-mean))
-	u.measured = now
+	mean := u.speed(now, fallback)
+	u.tokenTime = mean + time.Duration(speedSampleWeight*float64(sample-mean))
+	u.measuredAt = now
 }
