--- a/internal/caller/api/bad_input_test.go
+++ b/internal/caller/api/bad_input_test.go
@@ -21,14 +21,13 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-// Callers send what they like. Each mistake gets its code at once, in the API's error shape, and none
-// of them reaches an upstream.
+// Each invalid request gets its error code at once, in the API's error format, and does not reach an upstream.
 func TestBadRequests(t *testing.T) {
 	pipeline := &fakePipeline{}
-	small := limits()
-	small.Completion.BodyBytes = 1 << 10
-	small.ServiceBodyBytes = 1 << 10
-	server := start(t, pipeline, small)
+	smallLimits := limits()
+	smallLimits.Completion.BodyBytes = 1 << 10
+	smallLimits.ServiceBodyBytes = 1 << 10
+	server := start(t, pipeline, smallLimits)
 	long := strings.Repeat("x", 2<<10)
 	const completions = "/v1/completions"
 	cases := []struct {
@@ -38,23 +37,23 @@
 	}{
 		{"no key", "POST", completions, "", `{}`, 401, "missing_key"},
 		{"wrong key", "POST", completions, "other", `{}`, 401, "invalid_key"},
-		{"no path", "GET", "/v2", "secret", "", 404, "not_found"},
-		{"method", "GET", completions, "secret", "", 405, "method_not_allowed"},
-		{"empty", "POST", completions, "secret", "", 400, "bad_request"},
+		{"unknown path", "GET", "/v2", "secret", "", 404, "not_found"},
+		{"wrong method", "GET", completions, "secret", "", 405, "method_not_allowed"},
+		{"empty body", "POST", completions, "secret", "", 400, "bad_request"},
 		{"not JSON", "POST", completions, "secret", "{", 400, "bad_request"},
-		{"list", "POST", completions, "secret", "[]", 400, "bad_request"},
+		{"JSON list", "POST", completions, "secret", "[]", 400, "bad_request"},
 		{"no prompt", "POST", completions, "secret", `{"model":"a"}`, 400, "bad_request"},
-		{"large", "POST", completions, "secret", `{"prompt":"` + long + `"}`, 413, "body_too_large"},
-		{"deep", "POST", completions, "secret", `{"a":` + strings.Repeat("[", 500), 400, "bad_request"},
-		{"large call", "POST", "/services/orders/a", "secret", long, 413, "body_too_large"},
-		{"dots", "POST", "/services/orders/%2e%2e/a", "secret", "", 400, "bad_request"},
+		{"large body", "POST", completions, "secret", `{"prompt":"` + long + `"}`, 413, "body_too_large"},
+		{"deep nesting", "POST", completions, "secret", `{"a":` + strings.Repeat("[", 500), 400, "bad_request"},
+		{"large service call", "POST", "/services/orders/a", "secret", long, 413, "body_too_large"},
+		{"dot segments", "POST", "/services/orders/%2e%2e/a", "secret", "", 400, "bad_request"},
 		{"service without key", "POST", "/services/orders", "", "", 401, "missing_key"},
-		{"service method", "TRACE", "/services/orders", "secret", "", 405, "method_not_allowed"},
+		{"wrong service method", "TRACE", "/services/orders", "secret", "", 405, "method_not_allowed"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			response, text := ask(t, c.method, server.url(c.path), c.key, c.body)
+			response, text := doRequest(t, c.method, server.url(c.path), c.key, c.body)
 			is.Equal(response.StatusCode, c.status)
 			is.Equal(response.Header.Get("X-Run"), "not-run")
 			is.True(response.Header.Get(api.HeaderRequestID) != "")
@@ -73,7 +72,7 @@
 	is := is.New(t)
 	pipeline := &fakePipeline{}
 	server := start(t, pipeline, limits())
-	response, text := ask(t, "POST", server.url("/services/orders/a%2Fb/c?x=1"), "secret", "{}")
+	response, text := doRequest(t, "POST", server.url("/services/orders/a%2Fb/c?x=1"), "secret", "{}")
 	is.Equal(response.StatusCode, http.StatusCreated)
 	is.Equal(text, "POST /a%2Fb/c")
 	is.Equal(response.Header.Get("X-Run"), "ran")
@@ -92,8 +91,8 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// send opens a connection, sends the text, and returns what comes back until the server closes.
-func send(t *testing.T, address, text string) string {
+// sendRaw opens a connection, sends the text, and returns everything received until the server closes the connection.
+func sendRaw(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -106,76 +105,74 @@
 	return string(answer)
 }
 
-func head(lines ...string) string {
+func requestHead(lines ...string) string {
 	return "POST /v1/completions HTTP/1.1\r\nHost: a\r\n" + strings.Join(lines, "\r\n")
 }
 
-// A sender is slow on purpose, or its machine has died: its headers or its body never end. Its
-// connection must be given back in bounded time and nothing may be asked of an upstream; the same goes
-// for headers without end.
+// A slow or dead client never completes its headers or its body, or sends endless headers. Its connection must be
+// released within bounded time, and no upstream may be called.
 func TestSlowAndEndlessSenders(t *testing.T) {
 	pipeline := &fakePipeline{}
-	quick := limits()
-	quick.HeaderWithin = 200 * time.Millisecond
-	quick.BodyWithin = 200 * time.Millisecond
-	server := start(t, pipeline, quick)
+	shortLimits := limits()
+	shortLimits.HeaderWithin = 200 * time.Millisecond
+	shortLimits.BodyWithin = 200 * time.Millisecond
+	server := start(t, pipeline, shortLimits)
 	flood := strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 200)
 	cases := []struct {
 		name, text, want string
 	}{
-		{"half a header", head("X-A"), "400 Bad Request"},
-		{"half a body", head("Authorization: Bearer secret", "Content-Length: 9", "", "{"), "body_too_slow"},
-		{"half a body without a key", head("Content-Length: 9", "", "{"), "missing_key"},
-		{"cut chunk", head("Authorization: Bearer secret", "Transfer-Encoding: chunked", "", "zz\r\n"), "bad_request"},
-		{"header flood", head(flood, ""), "431"},
+		{"half a header", requestHead("X-A"), "400 Bad Request"},
+		{"half a body", requestHead("Authorization: Bearer secret", "Content-Length: 9", "", "{"), "body_too_slow"},
+		{"half a body without a key", requestHead("Content-Length: 9", "", "{"), "missing_key"},
+		{"malformed chunk", requestHead("Authorization: Bearer secret", "Transfer-Encoding: chunked", "", "zz\r\n"), "bad_request"},
+		{"header flood", requestHead(flood, ""), "431"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			answer := send(t, server.address, c.text)
+			answer := sendRaw(t, server.address, c.text)
 			if !strings.Contains(answer, c.want) {
-				t.Fatalf("answered %q", answer)
+				t.Fatalf("unexpected answer %q", answer)
 			}
 		})
 	}
 	is.New(t).Equal(pipeline.calls.Load(), int32(0))
 }
 
-// A caller stops reading in the middle of its stream but keeps the connection. Its request would hold a
-// batch place for ever; the pipeline must be told that it is gone.
+// A caller stops reading in the middle of its stream but keeps the connection open. Its request would occupy a batch
+// slot indefinitely, so the pipeline must be notified that the caller has disconnected.
 func TestCallerStopsReading(t *testing.T) {
 	is := is.New(t)
-	told := make(chan error, 1)
+	result := make(chan error, 1)
 	pipeline := &fakePipeline{complete: func(_ context.Context, _ completion.Request, sink api.Sink) (err error) {
-		defer func() { told <- err }()
+		defer func() { result <- err }()
 		long := fmt.Sprintf(`{"choices":[{"index":0,"text":%q}]}`, strings.Repeat("a", 100<<10))
 		for n := 1; err == nil; n++ {
 			err = sink.Event(stream.Event{ID: fmt.Sprint(n), Data: []byte(long)}, n)
 		}
 		return err
 	}}
-	impatient := limits()
-	impatient.WriteWithin = 200 * time.Millisecond
-	server := start(t, pipeline, impatient)
+	shortLimits := limits()
+	shortLimits.WriteWithin = 200 * time.Millisecond
+	server := start(t, pipeline, shortLimits)
 	conn, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
 	defer conn.Close()
 	body := `{"model":"a","prompt":"b","stream":true}`
-	_, err = io.WriteString(conn, head("Authorization: Bearer secret", fmt.Sprintf("Content-Length: %d", len(body)), "", body))
+	_, err = io.WriteString(conn, requestHead("Authorization: Bearer secret", fmt.Sprintf("Content-Length: %d", len(body)), "", body))
 	is.NoErr(err)
-	is.True(refusal.Is(<-told, refusal.Cancelled))
+	is.True(refusal.Is(<-result, refusal.Cancelled))
 }
 
-// More connections come than the instance has room for. Those over the limit are told so at once, and
-// the place of a closed one is free again.
+// Connections above the limit are rejected at once with an error response, and a closed connection frees its slot.
 func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
-	few := limits()
-	few.Connections = 1
-	server := start(t, &fakePipeline{}, few)
+	connectionLimits := limits()
+	connectionLimits.Connections = 1
+	server := start(t, &fakePipeline{}, connectionLimits)
 	held, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
 	for {
-		answer := send(t, server.address, "")
+		answer := sendRaw(t, server.address, "")
 		if strings.Contains(answer, "503") {
 			is.True(strings.Contains(answer, "Retry-After: 1"))
 			is.True(strings.Contains(answer, `"code":"busy"`))
@@ -183,14 +180,14 @@
 		}
 	}
 	is.NoErr(held.Close())
-	for !strings.Contains(send(t, server.address, "GET /v2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"), "not_found") {
+	for !strings.Contains(sendRaw(t, server.address, "GET /v2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"), "not_found") {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Callers send bodies far above the limit, with and without saying how long they are. The instance
-// would run out of memory if it took them in before judging them.
-func TestLargeBodiesTakeNoMemory(t *testing.T) {
+// Callers send bodies far above the limit, with and without a Content-Length. The instance would run out of memory if
+// it buffered them before checking the size.
+func TestLargeBodiesAreNotBuffered(t *testing.T) {
 	is := is.New(t)
 	pipeline := &fakePipeline{}
 	server := start(t, pipeline, limits())
@@ -219,7 +216,7 @@
 				ended <- err
 				return
 			}
-			ended <- nil // the connection was closed under the body, which is as good
+			ended <- nil // the connection was closed while the body was sent, which is also valid
 		}()
 	}
 	for range senders {
@@ -232,7 +229,7 @@
 	is.Equal(pipeline.calls.Load(), int32(0))
 }
 
-// endless is a body without end.
+// endless is a body of unlimited length.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) {
@@ -244,40 +241,39 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// An operator stops an instance while a stream runs and a caller holds an open connection. The stream
-// must come to its end, the connection's next request must be answered, and that answer must tell the
-// caller to open a new connection.
+// An operator stops an instance while a stream runs and a caller holds an open connection. The stream must complete,
+// the next request on the connection must be answered, and that answer must ask the caller to close the connection.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	is := is.New(t)
-	begun, goOn := make(chan struct{}), make(chan struct{})
-	pipeline := &stoppingPipeline{begun: begun, goOn: goOn}
-	settling := limits()
-	settling.Settle = 2 * time.Second
-	server := start(t, pipeline, settling)
+	started, release := make(chan struct{}), make(chan struct{})
+	pipeline := &blockingPipeline{started: started, release: release}
+	stopLimits := limits()
+	stopLimits.Settle = 2 * time.Second
+	server := start(t, pipeline, stopLimits)
 	kept, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
 	defer kept.Close()
 	keptReader := bufio.NewReader(kept)
-	is.Equal(modelsOver(t, kept, keptReader), "")
-	whole := make(chan string)
+	is.Equal(listModels(t, kept, keptReader), "")
+	completed := make(chan string)
 	go func() {
-		_, text := ask(t, "POST", server.url("/v1/completions"), "secret", `{"model":"a","prompt":"b","stream":true}`)
-		whole <- text
+		_, text := doRequest(t, "POST", server.url("/v1/completions"), "secret", `{"model":"a","prompt":"b","stream":true}`)
+		completed <- text
 	}()
-	<-begun
+	<-started
 	server.stop()
-	time.Sleep(100 * time.Millisecond) // less than Settle; the flag is set within microseconds
-	is.Equal(modelsOver(t, kept, keptReader), "close")
-	time.Sleep(settling.Settle)
-	close(goOn)
-	is.True(strings.Contains(<-whole, "[DONE]"))
+	time.Sleep(100 * time.Millisecond) // shorter than Settle; the flag is set within microseconds
+	is.Equal(listModels(t, kept, keptReader), "close")
+	time.Sleep(stopLimits.Settle)
+	close(release)
+	is.True(strings.Contains(<-completed, "[DONE]"))
 	is.NoErr(<-server.ended)
 	_, err = net.Dial("tcp", server.address)
 	is.True(err != nil)
 }
 
-// modelsOver asks over a kept connection and returns the answer's Connection header.
-func modelsOver(t *testing.T, conn net.Conn, reader *bufio.Reader) string {
+// listModels sends a request over a kept connection and returns the Connection header of the answer.
+func listModels(t *testing.T, conn net.Conn, reader *bufio.Reader) string {
 	t.Helper()
 	_, err := io.WriteString(conn, "GET /v1/models HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer secret\r\n\r\n")
 	if err != nil {
--- a/internal/caller/api/completions.go
+++ b/internal/caller/api/completions.go
@@ -1,6 +1,7 @@
 package api
 
-// The completion API, plain and streamed. Both run the same stream; the plain one is assembled here.
+// The completion API, non-streaming and streaming. Both run the same stream. For non-streaming requests the answer is
+// assembled here.
 
 import (
 	"net/http"
@@ -14,129 +15,129 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-func (s *Server) completions(kind completion.API) echo.HandlerFunc {
+func (s *Server) completions(format completion.API) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		body, err := s.body(c, s.Limits.Completion.BodyBytes)
+		body, err := s.readBody(c, s.Limits.Completion.BodyBytes)
 		if err != nil {
 			return err
 		}
-		request, err := completion.Parse(kind, body, s.Limits.Completion)
+		request, err := completion.Parse(format, body, s.Limits.Completion)
 		if err != nil {
 			return err
 		}
-		v := visitOf(c)
-		v.observation.Model = request.Model()
-		request = request.WithID(v.observation.RequestID)
+		state := stateOf(c)
+		state.record.Model = request.Model()
+		request = request.WithID(state.record.RequestID)
 		if request.Stream {
-			return s.streamed(c, request)
+			return s.completeStreaming(c, request)
 		}
-		return s.plain(c, request)
+		return s.completeBuffered(c, request)
 	}
 }
 
-// plain answers with the whole completion or with a refusal, never with a part of it.
-func (s *Server) plain(c echo.Context, request completion.Request) error {
-	v := visitOf(c)
-	sink := &plainSink{visit: v, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.AnswerBytes)}
-	if err := s.Pipeline.Complete(c.Request().Context(), v.identity, request, sink); err != nil {
+// completeBuffered answers with the complete completion or with a refusal, never with a partial answer.
+func (s *Server) completeBuffered(c echo.Context, request completion.Request) error {
+	state := stateOf(c)
+	sink := &bufferedSink{state: state, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.AnswerBytes)}
+	if err := s.Pipeline.Complete(c.Request().Context(), state.identity, request, sink); err != nil {
 		return err
 	}
 	answer, err := sink.assembler.Answer(request.ID)
 	if err != nil {
-		return unusable(err)
+		return unusableAnswer(err)
 	}
 	c.Response().Header().Set(refusal.HeaderRun, string(refusal.Ran))
-	s.boundWrite(c)
+	s.extendWriteDeadline(c)
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, answer)
 }
 
-// unusable is an answer that ran but can't be given.
-func unusable(err error) error {
+// unusableAnswer is the error for a request that ran but whose answer cannot be returned.
+func unusableAnswer(err error) error {
 	refused := refusal.New(refusal.UpstreamFailed, "the upstream's answer can't be used").WithRun(refusal.Ran)
 	return errors.WithMessage(refused, err.Error())
 }
 
-// plainSink gathers the events of a plain completion.
-type plainSink struct {
-	visit     *visit
+// bufferedSink collects the events of a non-streaming completion.
+type bufferedSink struct {
+	state     *requestState
 	header    http.Header
 	assembler *stream.Assembler
 }
 
-// Begin names what runs the completion.
-func (p *plainSink) Begin(served Served) error {
+// Begin sets the header with the served model.
+func (p *bufferedSink) Begin(served Served) error {
 	p.header.Set(HeaderServedModel, served.Model)
 	return nil
 }
 
-// Event adds one event.
-func (p *plainSink) Event(event stream.Event, tokens int) error {
-	p.visit.observation.Tokens = tokens
-	p.visit.sentFirst()
+// Event adds an event to the answer.
+func (p *bufferedSink) Event(event stream.Event, tokens int) error {
+	p.state.record.Tokens = tokens
+	p.state.recordFirstToken()
 	if err := p.assembler.Add(event); err != nil {
-		return unusable(err)
+		return unusableAnswer(err)
 	}
 	return nil
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// streamed sends events as they come. Nothing is sent before the first, so that a failure until then
-// is an ordinary refusal; one after it is an error event, and the end mark stays away, by which a
-// caller knows that its answer is not whole.
-func (s *Server) streamed(c echo.Context, request completion.Request) error {
-	v := visitOf(c)
-	sink := &streamSink{server: s, context: c, request: request, visit: v}
+// completeStreaming sends events as they arrive. Nothing is sent before the first event, so that an earlier failure
+// is an ordinary refusal. A later failure is sent as an error event without the [DONE] event, so the caller knows
+// that its answer is incomplete.
+func (s *Server) completeStreaming(c echo.Context, request completion.Request) error {
+	state := stateOf(c)
+	sink := &streamingSink{server: s, context: c, request: request, state: state}
 	sink.writer = stream.Writer{Destination: c.Response(), Flush: c.Response().Flush}
-	err := s.Pipeline.Complete(c.Request().Context(), v.identity, request, sink)
+	err := s.Pipeline.Complete(c.Request().Context(), state.identity, request, sink)
 	switch {
-	case err == nil && !sink.begun:
-		return unusable(stream.ErrNotWhole)
+	case err == nil && !sink.started:
+		return unusableAnswer(stream.ErrNotWhole)
 	case err == nil:
 		return sink.write(stream.Done())
-	case sink.begun:
-		_ = sink.write(stream.Event{Data: refusalOf(err).Body()}) // a caller that is gone needs none
+	case sink.started:
+		_ = sink.write(stream.Event{Data: refusalOf(err).Body()}) // a disconnected caller needs no error event
 	}
 	return err
 }
 
-// streamSink passes events on to the caller.
-type streamSink struct {
-	server  *Server
-	context echo.Context
-	request completion.Request
-	visit   *visit
-	writer  stream.Writer
-	begun   bool
-	bounded time.Time
+// streamingSink forwards events to the caller.
+type streamingSink struct {
+	server      *Server
+	context     echo.Context
+	request     completion.Request
+	state       *requestState
+	writer      stream.Writer
+	started     bool
+	deadlineSet time.Time
 }
 
-// Begin names what runs the completion; the headers go out with the first event.
-func (p *streamSink) Begin(served Served) error {
+// Begin sets the header with the served model. The headers are sent with the first event.
+func (p *streamingSink) Begin(served Served) error {
 	p.context.Response().Header().Set(HeaderServedModel, served.Model)
 	return nil
 }
 
-// Event sends one event, or nothing if all it holds is a usage that was not asked for.
-func (p *streamSink) Event(event stream.Event, tokens int) error {
-	p.visit.observation.Tokens = tokens
+// Event sends an event, or nothing if it only contains a usage that the caller did not request.
+func (p *streamingSink) Event(event stream.Event, tokens int) error {
+	p.state.record.Tokens = tokens
 	rewritten, send, err := stream.ForCaller(event, p.request.ID, p.request.IncludeUsage)
 	if err != nil {
-		return unusable(err)
+		return unusableAnswer(err)
 	}
 	if !send {
 		return nil
 	}
-	p.begin()
+	p.start()
 	return p.write(rewritten)
 }
 
-func (p *streamSink) begin() {
-	if p.begun {
+func (p *streamingSink) start() {
+	if p.started {
 		return
 	}
-	p.begun = true
-	p.visit.sentFirst()
+	p.started = true
+	p.state.recordFirstToken()
 	header := p.context.Response().Header()
 	header.Set(echo.HeaderContentType, "text/event-stream")
 	header.Set(echo.HeaderCacheControl, "no-cache")
@@ -144,28 +145,28 @@
 	p.context.Response().WriteHeader(http.StatusOK)
 }
 
-// write sends an event within the caller's time limit.
-func (p *streamSink) write(event stream.Event) error {
-	p.boundWrite()
+// write sends an event within the caller's write deadline.
+func (p *streamingSink) write(event stream.Event) error {
+	p.renewDeadline()
 	if err := p.writer.Write(event); err != nil {
 		return refusal.New(refusal.Cancelled, "the caller does not read its answer").WithRun(refusal.Ran)
 	}
 	return nil
 }
 
-// writeRenewals is how often in a write's time limit a stream renews it.
-const writeRenewals = 16
+// deadlineRenewals is how many times per write timeout a stream renews its write deadline.
+const deadlineRenewals = 16
 
-// boundWrite sees to it that the caller has at least its time limit from now, and at most a sixteenth
-// more. Made for streams of many small events: a deadline set anew for each was a twentieth of a token's
-// processor time. Sixteen renewals a limit cost nothing that can be measured, and the caller that stops
-// reading is still given up in about the same time.
-func (p *streamSink) boundWrite() {
-	slack := p.server.Limits.WriteWithin / writeRenewals
+// renewDeadline gives the caller at least the write timeout from now, and at most a sixteenth more. In streams of
+// many small events, setting a deadline for each event was a twentieth of the processor time of a token. Sixteen
+// renewals per timeout have no measurable cost, and a caller that stops reading is still detected after about the
+// same time.
+func (p *streamingSink) renewDeadline() {
+	slack := p.server.Limits.WriteWithin / deadlineRenewals
 	now := time.Now()
-	if now.Sub(p.bounded) < slack {
+	if now.Sub(p.deadlineSet) < slack {
 		return
 	}
-	p.bounded = now
-	p.server.boundWriteUntil(p.context, now.Add(p.server.Limits.WriteWithin+slack))
+	p.deadlineSet = now
+	p.server.setWriteDeadline(p.context, now.Add(p.server.Limits.WriteWithin+slack))
 }
--- a/internal/caller/api/completions_test.go
+++ b/internal/caller/api/completions_test.go
@@ -16,7 +16,7 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-func ask(t *testing.T, method, url, key, body string) (response *http.Response, text string) {
+func doRequest(t *testing.T, method, url, key, body string) (response *http.Response, text string) {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -74,7 +74,7 @@
 			if c.body == "" {
 				method = http.MethodGet
 			}
-			response, text := ask(t, method, server.url(c.path), "secret", c.body)
+			response, text := doRequest(t, method, server.url(c.path), "secret", c.body)
 			is.Equal(response.StatusCode, http.StatusOK)
 			is.True(response.Header.Get(api.HeaderRequestID) != "")
 			for _, want := range c.want {
@@ -90,8 +90,8 @@
 	}
 }
 
-// failing sends some tokens and then fails.
-func failing(tokens int) *fakePipeline {
+// failingPipeline sends the given number of tokens and then fails.
+func failingPipeline(tokens int) *fakePipeline {
 	return &fakePipeline{complete: func(_ context.Context, _ completion.Request, sink api.Sink) error {
 		if tokens > 0 {
 			if err := sink.Begin(api.Served{Model: "bids@2"}); err != nil {
@@ -99,7 +99,7 @@
 			}
 		}
 		for n := 1; n <= tokens; n++ {
-			if err := token(sink, n); err != nil {
+			if err := sendToken(sink, n); err != nil {
 				return err
 			}
 		}
@@ -107,9 +107,9 @@
 	}}
 }
 
-// An upstream is lost before or after the first token. A caller that does not stream gets an error, never
-// a part; one that does gets an ordinary error before the first token, and after it an error event in
-// the place of the end mark.
+// An upstream is lost before or after the first token. A non-streaming caller gets an error and never a partial
+// answer. A streaming caller gets an ordinary error before the first token, and afterwards an error event instead of
+// the [DONE] event.
 func TestUpstreamFails(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -126,9 +126,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			server := start(t, failing(c.tokens), limits())
+			server := start(t, failingPipeline(c.tokens), limits())
 			body := `{"model":"bids","prompt":"a","stream":` + c.stream + `}`
-			response, text := ask(t, http.MethodPost, server.url("/v1/completions"), "secret", body)
+			response, text := doRequest(t, http.MethodPost, server.url("/v1/completions"), "secret", body)
 			is.Equal(response.StatusCode, c.status)
 			for _, part := range c.parts {
 				is.True(strings.Contains(text, part))
@@ -143,27 +143,27 @@
 	}
 }
 
-// An upstream's stream ends well but without a finish reason. The caller would take a part for the
-// whole answer.
-func TestPartIsNotAnAnswer(t *testing.T) {
+// An upstream's stream ends without an error but also without a finish reason. The caller must not get the partial
+// answer as a complete one.
+func TestIncompleteAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	pipeline := &fakePipeline{complete: func(_ context.Context, _ completion.Request, sink api.Sink) error {
-		return token(sink, 1)
+		return sendToken(sink, 1)
 	}}
 	server := start(t, pipeline, limits())
-	response, _ := ask(t, http.MethodPost, server.url("/v1/completions"), "secret", `{"model":"bids","prompt":"a"}`)
+	response, _ := doRequest(t, http.MethodPost, server.url("/v1/completions"), "secret", `{"model":"bids","prompt":"a"}`)
 	is.Equal(response.StatusCode, http.StatusBadGateway)
 	is.Equal(response.Header.Get("X-Run"), "ran")
 }
 
-// A caller hangs up while its request waits or runs. Its work must end, or tokens are generated for
-// nobody.
-func TestCallerHangsUp(t *testing.T) {
+// A caller disconnects while its request waits or runs. The request must be cancelled, or tokens are generated that
+// nobody receives.
+func TestCallerDisconnects(t *testing.T) {
 	for _, stream := range []string{"true", "false"} {
 		is := is.New(t)
-		begun, ended := make(chan struct{}), make(chan struct{})
+		started, ended := make(chan struct{}), make(chan struct{})
 		pipeline := &fakePipeline{complete: func(ctx context.Context, _ completion.Request, _ api.Sink) error {
-			close(begun)
+			close(started)
 			<-ctx.Done()
 			close(ended)
 			return ctx.Err()
@@ -175,7 +175,7 @@
 		is.NoErr(err)
 		request.Header.Set("Authorization", "Bearer secret")
 		go func() {
-			<-begun
+			<-started
 			cancel()
 		}()
 		_, err = http.DefaultClient.Do(request)
@@ -183,7 +183,7 @@
 		select {
 		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the pipeline was not told")
+			t.Fatal("the pipeline's context was not cancelled within 10 s")
 		}
 	}
 }
--- a/internal/caller/api/connection_limit.go
+++ b/internal/caller/api/connection_limit.go
@@ -9,17 +9,17 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// limitedListener turns connections away at once when too many are open. Each costs buffers and a
-// goroutine even if its sender never ends its headers, so a flood of them would exhaust the memory of
-// a small instance; left waiting in the kernel's queue, callers would hang without an answer.
+// limitedListener rejects connections at once when too many are open. Each connection costs buffers and a goroutine
+// even if its headers never end, so a flood of them would exhaust the memory of a small instance. Left in the
+// kernel's accept queue, callers would wait without an answer.
 type limitedListener struct {
 	net.Listener
-	open *atomic.Int64
-	most int64
+	open  *atomic.Int64
+	limit int64
 }
 
-// turnAwayWithin bounds the write to a connection that is turned away.
-const turnAwayWithin = 100 * time.Millisecond
+// rejectTimeout bounds the write to a rejected connection.
+const rejectTimeout = 100 * time.Millisecond
 
 // Accept returns the next connection within the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
@@ -28,30 +28,30 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.limit {
 			return &countedConn{Conn: conn, open: l.open}, nil
 		}
 		l.open.Add(-1)
-		turnAway(conn)
+		reject(conn)
 	}
 }
 
-// turnAway answers without reading the request. The answer is small enough for the kernel's buffer, so
-// the write does not hold up the next Accept.
-func turnAway(conn net.Conn) {
+// reject answers without reading the request. The answer fits into the kernel's buffer, so the write does not delay
+// the next Accept.
+func reject(conn net.Conn) {
 	defer conn.Close()
-	_ = conn.SetWriteDeadline(time.Now().Add(turnAwayWithin))
+	_ = conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
 	_, _ = conn.Write(refusal.New(refusal.Busy, "too many connections are open").RawResponse())
 }
 
-// countedConn gives its place back once, however often it is closed.
+// countedConn releases its slot once, however often it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
 	once sync.Once
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and releases its slot.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/caller/api/fake_pipeline_test.go
+++ b/internal/caller/api/fake_pipeline_test.go
@@ -16,8 +16,8 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// fakePipeline knows one key, "secret", and counts what would have reached an upstream. Complete and
-// Call answer with three tokens and with the call itself unless replaced.
+// fakePipeline accepts one key, "secret", and counts the requests that would have reached an upstream. By default
+// Complete answers with three tokens and Call with the call itself.
 type fakePipeline struct {
 	complete func(ctx context.Context, request completion.Request, sink api.Sink) error
 	call     func(call api.ServiceCall) (service.Answer, error)
@@ -40,7 +40,7 @@
 	if p.complete != nil {
 		return p.complete(ctx, request, sink)
 	}
-	return threeTokens(sink)
+	return sendThreeTokens(sink)
 }
 
 func (p *fakePipeline) Call(_ context.Context, _ api.Identity, call api.ServiceCall) (service.Answer, error) {
@@ -51,13 +51,13 @@
 	return service.Answer{Status: http.StatusCreated, Body: []byte(call.Call.Method + " " + call.Call.Path)}, nil
 }
 
-// threeTokens sends a whole stream.
-func threeTokens(sink api.Sink) error {
+// sendThreeTokens sends a complete stream.
+func sendThreeTokens(sink api.Sink) error {
 	if err := sink.Begin(api.Served{Model: "bids@2"}); err != nil {
 		return err
 	}
 	for n := 1; n <= 3; n++ {
-		if err := token(sink, n); err != nil {
+		if err := sendToken(sink, n); err != nil {
 			return err
 		}
 	}
@@ -69,57 +69,57 @@
 	return sink.Event(stream.Event{ID: "3", Data: []byte(usage)}, 3)
 }
 
-func token(sink api.Sink, n int) error {
+func sendToken(sink api.Sink, n int) error {
 	data := fmt.Sprintf(`{"id":"x","model":"bids@2","choices":[{"index":0,"text":"t%d ","finish_reason":null}]}`, n)
 	return sink.Event(stream.Event{ID: fmt.Sprint(n), Data: []byte(data)}, n)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// running is a server on loopback.
-type running struct {
+// testServer is a server on the loopback interface.
+type testServer struct {
 	address string
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-func start(t *testing.T, pipeline api.Pipeline, limits api.Limits) *running {
+func start(t *testing.T, pipeline api.Pipeline, limits api.Limits) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{address: listener.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	r := &testServer{address: listener.Addr().String(), stop: cancel, ended: make(chan error, 1)}
 	server := &api.Server{Listener: listener, Pipeline: pipeline, Limits: limits}
 	go func() { r.ended <- server.Run(ctx) }()
 	t.Cleanup(cancel)
 	return r
 }
 
-// limits are short in time, and none of the times is asserted on from below.
+// limits returns the default limits without a delay at the stop. No test asserts a lower bound on any of the times.
 func limits() api.Limits {
 	limits := api.DefaultLimits()
 	limits.Settle = 0
 	return limits
 }
 
-func (r *running) url(path string) string { return "http://" + r.address + path }
+func (r *testServer) url(path string) string { return "http://" + r.address + path }
 
-// stoppingPipeline holds its streams after the first token until it may go on.
-type stoppingPipeline struct {
+// blockingPipeline blocks its streams after the first token until they are released.
+type blockingPipeline struct {
 	fakePipeline
-	begun, goOn chan struct{}
+	started, release chan struct{}
 }
 
-func (p *stoppingPipeline) Complete(_ context.Context, _ api.Identity, _ completion.Request, sink api.Sink) error {
+func (p *blockingPipeline) Complete(_ context.Context, _ api.Identity, _ completion.Request, sink api.Sink) error {
 	if err := sink.Begin(api.Served{Model: "bids@2"}); err != nil {
 		return err
 	}
-	if err := token(sink, 1); err != nil {
+	if err := sendToken(sink, 1); err != nil {
 		return err
 	}
-	close(p.begun)
-	<-p.goOn
-	return threeTokens(sink)
+	close(p.started)
+	<-p.release
+	return sendThreeTokens(sink)
 }
--- a/internal/caller/api/forwarding_benchmark_test.go
+++ b/internal/caller/api/forwarding_benchmark_test.go
@@ -1,9 +1,8 @@
 package api_test
 
-// What forwarding costs this process, end to end over loopback: the server, the engine's client and
-// the stream between them run here; the callers and the engine run in a process of their own, which is
-// this test program again. So the processor time that the operating system counts for this process,
-// and a profile of it, are the instance's part and nothing else.
+// The processor cost of forwarding, end to end over loopback. The server, the engine's client and the stream between them
+// run in this process. The callers and the engine run in a second process of the same test program. The processor time
+// that the operating system counts for this process, and a profile of it, are therefore those of the instance only.
 
 import (
 	"bufio"
@@ -28,48 +27,48 @@
 )
 
 const (
-	// farEndVariable makes the test program play the callers and the engine.
-	farEndVariable = "FORWARDING_COST_FAR_END"
-	costStreams    = 16
-	costTokens     = 1000
-	costInterval   = time.Millisecond
+	// remoteVariable makes the test program run as the callers and the engine.
+	remoteVariable   = "FORWARDING_COST_FAR_END"
+	benchmarkStreams = 16
+	benchmarkTokens  = 1000
+	tokenInterval    = time.Millisecond
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(farEndVariable) != "" {
-		playFarEnd()
+	if os.Getenv(remoteVariable) != "" {
+		runRemote()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// BenchmarkForwardToken is the cost of a token of streams of costTokens tokens, one each millisecond.
-// It needs costTokens*costStreams operations or more to be exact.
+// BenchmarkForwardToken measures the cost of a token in streams of benchmarkTokens tokens, one each millisecond. It
+// needs at least benchmarkTokens*benchmarkStreams operations for an exact result.
 func BenchmarkForwardToken(b *testing.B) {
-	streams := (b.N + costTokens - 1) / costTokens
-	measureForwarding(b, streams, costTokens, streams*costTokens)
+	streams := (b.N + benchmarkTokens - 1) / benchmarkTokens
+	measureForwarding(b, streams, benchmarkTokens, streams*benchmarkTokens)
 }
 
-// BenchmarkForwardRequest is the cost of a request whose answer has one token.
+// BenchmarkForwardRequest measures the cost of a request whose answer has one token.
 func BenchmarkForwardRequest(b *testing.B) {
 	measureForwarding(b, b.N, 1, b.N)
 }
 
-// measureForwarding reports the processor time of this process for each operation.
+// measureForwarding reports the processor time of this process per operation.
 func measureForwarding(b *testing.B, requests, tokens, operations int) {
-	far := startFarEnd(b)
+	remoteEnd := startRemote(b)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	forward := &forwardingPipeline{client: &engine.Client{Address: far.engine}}
+	forward := &forwardingPipeline{client: &engine.Client{Address: remoteEnd.engine}}
 	server := &http.Server{Handler: (&api.Server{Pipeline: forward}).Handler()}
 	go server.Serve(listener)
 	defer server.Close()
-	far.load(b, listener.Addr().String(), costStreams, 1) // opens the connections
+	remoteEnd.sendRequests(b, listener.Addr().String(), benchmarkStreams, 1) // open the connections before measuring
 	before := processorTime(b)
 	b.ResetTimer()
-	far.load(b, listener.Addr().String(), requests, tokens)
+	remoteEnd.sendRequests(b, listener.Addr().String(), requests, tokens)
 	b.StopTimer()
 	spent := processorTime(b) - before
 	b.ReportMetric(float64(spent.Microseconds())/float64(operations), "cpu-us/op")
@@ -83,7 +82,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// forwardingPipeline dispatches each request to one engine and decides nothing.
+// forwardingPipeline sends each request to one engine, without admission or placement.
 type forwardingPipeline struct {
 	fakePipeline
 	client *engine.Client
@@ -114,22 +113,22 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// farEnd is the process that plays the callers and the engine.
-type farEnd struct {
-	engine string
-	orders io.Writer
-	lines  *bufio.Reader
+// remote is the process that runs the callers and the engine.
+type remote struct {
+	engine   string
+	commands io.Writer
+	output   *bufio.Reader
 }
 
-func startFarEnd(b *testing.B) *farEnd {
+func startRemote(b *testing.B) *remote {
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), farEndVariable+"=1")
+	command.Env = append(os.Environ(), remoteVariable+"=1")
 	command.Stderr = os.Stderr
-	orders, err := command.StdinPipe()
+	commands, err := command.StdinPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
-	lines, err := command.StdoutPipe()
+	output, err := command.StdoutPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -137,52 +136,52 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		orders.Close() // ends the process
+		commands.Close() // the process exits when its input ends
 		command.Wait()
 	})
-	far := &farEnd{orders: orders, lines: bufio.NewReader(lines)}
-	far.engine = far.line(b)
-	return far
+	remoteEnd := &remote{commands: commands, output: bufio.NewReader(output)}
+	remoteEnd.engine = remoteEnd.readLine(b)
+	return remoteEnd
 }
 
-func (f *farEnd) line(b *testing.B) string {
-	line, err := f.lines.ReadString('\n')
+func (f *remote) readLine(b *testing.B) string {
+	line, err := f.output.ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
 	}
 	return strings.TrimSpace(line)
 }
 
-// load has so many requests made to the server at address, of so many tokens each.
-func (f *farEnd) load(b *testing.B, address string, requests, tokens int) {
-	fmt.Fprintln(f.orders, address, requests, tokens)
-	if answer := f.line(b); answer != "done" {
+// sendRequests has the remote process send requests to the server at address, each for the given number of tokens.
+func (f *remote) sendRequests(b *testing.B, address string, requests, tokens int) {
+	fmt.Fprintln(f.commands, address, requests, tokens)
+	if answer := f.readLine(b); answer != "done" {
 		b.Fatal(answer)
 	}
 }
 
-// playFarEnd serves as the engine, and makes the requests that it is told to until its input ends.
-func playFarEnd() {
+// runRemote serves as the engine, and sends the requests that it reads from its input until that ends.
+func runRemote() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	go http.Serve(listener, http.HandlerFunc(generate))
+	go http.Serve(listener, http.HandlerFunc(generateTokens))
 	fmt.Println(listener.Addr())
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: costStreams}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: benchmarkStreams}}
 	for {
 		var address string
 		var requests, tokens int
 		if _, err := fmt.Scanln(&address, &requests, &tokens); err != nil {
 			return
 		}
-		fmt.Println(call(client, address, requests, tokens))
+		fmt.Println(sendAll(client, address, requests, tokens))
 	}
 }
 
-// generate answers with as many tokens as are asked for.
-func generate(w http.ResponseWriter, r *http.Request) {
+// generateTokens answers with the requested number of tokens.
+func generateTokens(w http.ResponseWriter, r *http.Request) {
 	var tokens int
 	body, _ := io.ReadAll(r.Body)
 	_, most, _ := strings.Cut(string(body), `"max_tokens":`)
@@ -190,7 +189,7 @@
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("X-Request-Id", id)
 	w.Header().Set("X-Served-Model", "bids@2")
-	ticker := time.NewTicker(costInterval)
+	ticker := time.NewTicker(tokenInterval)
 	defer ticker.Stop()
 	for n := 1; n <= tokens; n++ {
 		<-ticker.C
@@ -202,15 +201,15 @@
 		"data: [DONE]\n\n", tokens, id)
 }
 
-// call makes the requests, costStreams at a time, and returns "done" or what went wrong.
-func call(client *http.Client, address string, requests, tokens int) string {
+// sendAll sends the requests, benchmarkStreams at a time, and returns "done" or the first error.
+func sendAll(client *http.Client, address string, requests, tokens int) string {
 	body := fmt.Sprintf(`{"model":"bids@2","prompt":"measure","max_tokens":%d,"stream":true}`, tokens)
-	numbers, failures := make(chan int), make(chan string, costStreams)
+	numbers, failures := make(chan int), make(chan string, benchmarkStreams)
 	var group sync.WaitGroup
-	for range costStreams {
+	for range benchmarkStreams {
 		group.Go(func() {
 			for range numbers {
-				if err := callOnce(client, address, body, tokens); err != nil {
+				if err := sendOne(client, address, body, tokens); err != nil {
 					select {
 					case failures <- err.Error():
 					default:
@@ -232,7 +231,7 @@
 	}
 }
 
-func callOnce(client *http.Client, address, body string, tokens int) error {
+func sendOne(client *http.Client, address, body string, tokens int) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/caller/api/models.go
+++ b/internal/caller/api/models.go
@@ -18,9 +18,9 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what the caller's workspace may ask for.
+// models lists the models that the caller's workspace may request.
 func (s *Server) models(c echo.Context) error {
-	models, err := s.Pipeline.Models(visitOf(c).identity)
+	models, err := s.Pipeline.Models(stateOf(c).identity)
 	if err != nil {
 		return err
 	}
@@ -33,6 +33,6 @@
 			OwnedBy: model.Owner,
 		})
 	}
-	s.boundWrite(c)
+	s.extendWriteDeadline(c)
 	return c.JSON(http.StatusOK, wire)
 }
--- a/internal/caller/api/pipeline.go
+++ b/internal/caller/api/pipeline.go
@@ -1,6 +1,6 @@
-// Package api is the HTTP server that callers speak to: the completion API, the list of models and
-// the plain services. It reads and checks requests, hands them to the pipeline, and writes answers
-// and refusals; it decides nothing about admission or placement.
+// Package api implements the HTTP server for callers: the completion API, the list of models and the plain services.
+// It reads and validates requests, passes them to the pipeline, and writes answers and refusals. It does not decide
+// on admission or placement.
 package api
 
 import (
@@ -12,46 +12,47 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// Identity is whom a key speaks for. Key is the key's name, never its secret.
+// Identity is the workspace that a key belongs to. Key is the name of the key, never its secret.
 type Identity struct {
 	Workspace string
 	Key       string
 }
 
-// Model is one adapter or adapter version that a workspace may ask for.
+// Model is an adapter or adapter version that a workspace may request.
 type Model struct {
 	Name    string
 	Owner   string
 	Created time.Time
 }
 
-// Served names what runs a completion: Model is "adapter@version".
+// Served identifies what runs a completion: Model is "adapter@version".
 type Served struct {
 	Model string
 }
 
-// ServiceCall is a call of the plain service Service. Call.Path is relative to it and Call.Header
-// holds only what may go on: no credentials and no hop-by-hop headers.
+// ServiceCall is a call of the plain service Service. Call.Path is relative to the service, and Call.Header contains
+// only headers that may be forwarded: no credentials and no hop-by-hop headers.
 type ServiceCall struct {
 	Service string
 	Call    service.Call
 }
 
-// Sink receives a completion's events as they come, without the ending [DONE]; tokens is the number
-// generated so far. Begin comes once, before the first event. After Begin nothing may be repeated at
-// another upstream unless it goes on exactly where the sink stands. Errors mean the caller is gone.
+// Sink receives the events of a completion as they arrive, without the final [DONE] event. tokens is the number of
+// tokens generated so far. Begin is called once, before the first event. After Begin the request may only be repeated
+// at another upstream if that continues exactly at the sink's position. An error means that the caller has
+// disconnected.
 type Sink interface {
 	Begin(served Served) error
 	Event(event stream.Event, tokens int) error
 }
 
-// Pipeline carries out what callers ask. Errors hold a refusal.Refusal.
+// Pipeline runs callers' requests. Its errors contain a refusal.Refusal.
 type Pipeline interface {
-	// Authenticate checks a key's secret now.
+	// Authenticate checks the secret of a key against the current configuration.
 	Authenticate(secret string) (Identity, error)
-	// Models lists what the identity's workspace may ask for.
+	// Models lists the models that the identity's workspace may request.
 	Models(identity Identity) ([]Model, error)
-	// Complete runs a completion. It returns nil only when the sink has received the whole stream.
+	// Complete runs a completion. It returns nil only if the sink has received the complete stream.
 	Complete(ctx context.Context, identity Identity, request completion.Request, sink Sink) error
 	// Call calls a plain service.
 	Call(ctx context.Context, identity Identity, call ServiceCall) (service.Answer, error)
--- a/internal/caller/api/request_record.go
+++ b/internal/caller/api/request_record.go
@@ -6,8 +6,8 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// Observation is what became of one request, for logs, metrics and the burn report. Refused is nil
-// when the request was answered. FirstToken is zero when no token was sent. Key is the key's name.
+// Observation is the record of a completed request, for logs, metrics and the burn report. Refused is nil if the
+// request was answered. FirstToken is zero if no token was sent. Key is the name of the key.
 type Observation struct {
 	RequestID  string
 	Workspace  string
@@ -22,17 +22,17 @@
 	Took       time.Duration
 }
 
-// visit is one request on its way through the server.
-type visit struct {
-	observation Observation
-	begun       time.Time
-	bodyRead    bool
-	identity    Identity
+// requestState is the state of a request while the server handles it.
+type requestState struct {
+	record   Observation
+	started  time.Time
+	bodyRead bool
+	identity Identity
 }
 
-// sentFirst notes the first token's time, once.
-func (v *visit) sentFirst() {
-	if v.observation.FirstToken == 0 {
-		v.observation.FirstToken = time.Since(v.begun)
+// recordFirstToken records the time to first token, once.
+func (s *requestState) recordFirstToken() {
+	if s.record.FirstToken == 0 {
+		s.record.FirstToken = time.Since(s.started)
 	}
 }
--- a/internal/caller/api/routes.go
+++ b/internal/caller/api/routes.go
@@ -1,7 +1,7 @@
 package api
 
-// What happens to every request alike: identity, the place among the requests in flight, the key, the
-// body, and the shape of refusals.
+// The handling common to all requests: the request id, the limit on requests in flight, authentication, the body, and
+// the format of refusals.
 
 import (
 	"io"
@@ -18,32 +18,32 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderServedModel = "X-Served-Model"
 )
 
-// visitKey is where echo's context keeps the visit.
-const visitKey = "visit"
+// stateKey is the key of the request state in echo's context.
+const stateKey = "visit"
 
-// serviceMethods are the methods that plain services may be called with.
+// serviceMethods are the methods that callers may use for plain services.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
 	http.MethodOptions,
 }
 
-// Handler is the whole of the callers' API without a listener.
+// Handler returns the callers' API without a listener.
 func (s *Server) Handler() http.Handler {
 	if s.Limits == (Limits{}) {
 		s.Limits = DefaultLimits()
 	}
-	s.places = make(chan struct{}, s.Limits.Requests)
+	s.inFlight = make(chan struct{}, s.Limits.Requests)
 	routes := echo.New()
 	routes.HideBanner = true
 	routes.HidePort = true
 	routes.HTTPErrorHandler = s.refuse
-	routes.Use(s.visit, middleware.RecoverWithConfig(middleware.RecoverConfig{
+	routes.Use(s.trackRequest, middleware.RecoverWithConfig(middleware.RecoverConfig{
 		LogErrorFunc: func(_ echo.Context, err error, _ []byte) error { return err },
 	}))
 	routes.POST(completion.Text.Path(), s.completions(completion.Text), s.authenticate)
@@ -54,61 +54,60 @@
 	return routes
 }
 
-// visit gives the request its identity and a place, and reports what became of it. A caller's own
-// request id is not taken over: two callers may send the same one, and answers are told apart by it.
-func (s *Server) visit(next echo.HandlerFunc) echo.HandlerFunc {
+// trackRequest assigns the request id, limits the requests in flight, and reports the completed request. A request id
+// sent by the caller is not used: two callers may send the same one, and answers are identified by it.
+func (s *Server) trackRequest(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		v := &visit{begun: time.Now()}
-		v.observation.RequestID = uuid.NewString()
-		v.observation.Method = c.Request().Method
-		v.observation.Route = c.Path()
-		c.Set(visitKey, v)
-		c.Response().Header().Set(HeaderRequestID, v.observation.RequestID)
+		state := &requestState{started: time.Now()}
+		state.record.RequestID = uuid.NewString()
+		state.record.Method = c.Request().Method
+		state.record.Route = c.Path()
+		c.Set(stateKey, state)
+		c.Response().Header().Set(HeaderRequestID, state.record.RequestID)
 		if s.stopping.Load() {
 			c.Response().Header().Set(echo.HeaderConnection, "close")
 		}
-		s.boundBody(c)
-		s.boundWrite(c) // the limit of the connection's last answer may be over by now
-		defer s.report(c, v)
-		if err := s.within(c, next); err != nil {
+		s.setReadDeadline(c)
+		s.extendWriteDeadline(c) // the deadline of the connection's last answer may have passed
+		defer s.report(c, state)
+		if err := s.limitInFlight(c, next); err != nil {
 			s.refuse(err, c)
 		}
 		return nil
 	}
 }
 
-// within runs the request if a place is free. Made for more callers than the instance has memory for;
-// each request holds its body and, if not streamed, its answer. Waiting here would only hold more.
-func (s *Server) within(c echo.Context, next echo.HandlerFunc) error {
+// limitInFlight runs the request if the limit on requests in flight allows it. The limit protects the memory of the
+// instance: each request holds its body and, unless streamed, its answer. Queueing here would only hold more of them.
+func (s *Server) limitInFlight(c echo.Context, next echo.HandlerFunc) error {
 	select {
-	case s.places <- struct{}{}:
+	case s.inFlight <- struct{}{}:
 	default:
 		return refusal.New(refusal.Busy, "too many requests are in flight")
 	}
-	defer func() { <-s.places }()
+	defer func() { <-s.inFlight }()
 	return next(c)
 }
 
-func (s *Server) report(c echo.Context, v *visit) {
+func (s *Server) report(c echo.Context, state *requestState) {
 	if s.Observe == nil {
 		return
 	}
-	v.observation.Status = c.Response().Status
-	v.observation.Took = time.Since(v.begun)
-	s.Observe(v.observation)
+	state.record.Status = c.Response().Status
+	state.record.Took = time.Since(state.started)
+	s.Observe(state.record)
 }
 
-func visitOf(c echo.Context) *visit {
-	return c.Get(visitKey).(*visit)
+func stateOf(c echo.Context) *requestState {
+	return c.Get(stateKey).(*requestState)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// authenticate checks the key before anything of the body is read, so that a caller without one costs
-// no memory.
+// authenticate checks the key before reading the body, so that a caller without a valid key costs no memory.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		secret, err := bearer(c.Request())
+		secret, err := bearerToken(c.Request())
 		if err != nil {
 			return err
 		}
@@ -116,16 +115,16 @@
 		if err != nil {
 			return err
 		}
-		v := visitOf(c)
-		v.identity = identity
-		v.observation.Workspace = identity.Workspace
-		v.observation.Key = identity.Key
+		state := stateOf(c)
+		state.identity = identity
+		state.record.Workspace = identity.Workspace
+		state.record.Key = identity.Key
 		return next(c)
 	}
 }
 
-// bearer reads the key. Two of them are refused: it would not be clear whose request it is.
-func bearer(request *http.Request) (string, error) {
+// bearerToken returns the key. More than one is refused, because the owner of the request would be ambiguous.
+func bearerToken(request *http.Request) (string, error) {
 	lines := request.Header.Values(echo.HeaderAuthorization)
 	if len(lines) != 1 {
 		return "", refusal.New(refusal.MissingKey, "send one header Authorization: Bearer <key>")
@@ -138,19 +137,19 @@
 	return secret, nil
 }
 
-// boundBody puts a time limit on the body, read or not: net/http reads on after a refusal, and a
-// sender that drips would hold its connection for ever. A request without a body has no limit, since
-// the same deadline would end the wait for the caller to hang up.
-func (s *Server) boundBody(c echo.Context) {
+// setReadDeadline limits the time for the body, whether it is read or not: net/http continues to read after a
+// refusal, and a slow sender would hold its connection indefinitely. A request without a body gets no deadline, since
+// the same deadline would end the detection of a disconnected caller.
+func (s *Server) setReadDeadline(c echo.Context) {
 	if c.Request().ContentLength == 0 {
-		visitOf(c).bodyRead = true
+		stateOf(c).bodyRead = true
 		return
 	}
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(s.Limits.BodyWithin))
 }
 
-// body reads the whole body of at most limit bytes.
-func (s *Server) body(c echo.Context, limit int) ([]byte, error) {
+// readBody reads the complete body of at most limit bytes.
+func (s *Server) readBody(c echo.Context, limit int) ([]byte, error) {
 	request := c.Request()
 	tooLarge := refusal.New(refusal.BodyTooLarge, "the body is too large")
 	if request.ContentLength > int64(limit) {
@@ -167,30 +166,30 @@
 	case err != nil:
 		return nil, refusal.New(refusal.BadRequest, "the body is not whole")
 	}
-	visitOf(c).bodyRead = true
+	stateOf(c).bodyRead = true
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Time{})
 	return body, nil
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// refuse answers with a refusal. Once an answer has begun there is nothing more to say here; whoever
-// began it ends it. A connection whose request was not read to its end is closed, because the rest of
-// the body would be taken for the next request.
+// refuse writes a refusal as the response. If a response has already started, nothing is written here, and the code
+// that started it ends it. A connection whose request was not read completely is closed, because the rest of the body
+// would be read as the next request.
 func (s *Server) refuse(err error, c echo.Context) {
 	refused := refusalOf(err)
-	visitOf(c).observation.Refused = &refused
+	stateOf(c).record.Refused = &refused
 	if c.Response().Committed {
 		return
 	}
-	if !visitOf(c).bodyRead {
+	if !stateOf(c).bodyRead {
 		c.Response().Header().Set(echo.HeaderConnection, "close")
 	}
-	s.boundWrite(c)
-	_ = refused.Write(c.Response()) // a caller that is gone needs no answer
+	s.extendWriteDeadline(c)
+	_ = refused.Write(c.Response()) // a disconnected caller needs no answer
 }
 
-// refusalOf also maps what echo's router has to say.
+// refusalOf also converts the errors of echo's router.
 func refusalOf(err error) refusal.Refusal {
 	var routed *echo.HTTPError
 	if errors.As(err, &routed) {
@@ -204,12 +203,12 @@
 	return refusal.From(err)
 }
 
-// boundWrite gives the caller a fresh time limit for the next part of its answer. A caller that stops
-// reading would otherwise hold its request, and a batch place at an engine, for ever.
-func (s *Server) boundWrite(c echo.Context) {
-	s.boundWriteUntil(c, time.Now().Add(s.Limits.WriteWithin))
+// extendWriteDeadline gives the caller the full write timeout for the next part of its answer. A caller that stops
+// reading would otherwise hold its request, and a batch slot at an engine, indefinitely.
+func (s *Server) extendWriteDeadline(c echo.Context) {
+	s.setWriteDeadline(c, time.Now().Add(s.Limits.WriteWithin))
 }
 
-func (s *Server) boundWriteUntil(c echo.Context, deadline time.Time) {
+func (s *Server) setWriteDeadline(c echo.Context, deadline time.Time) {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(deadline)
 }
--- a/internal/caller/api/server.go
+++ b/internal/caller/api/server.go
@@ -1,6 +1,6 @@
 package api
 
-// The server's life: listening, the limits on what a connection may do, and the planned stop.
+// The lifecycle of the server: listening, the limits on connections, and the graceful shutdown.
 
 import (
 	"context"
@@ -16,27 +16,27 @@
 	"lacewingrock.example/lacewingrock/internal/caller/completion"
 )
 
-// Limits of the callers' side. None has a measured reason yet; each bounds what one caller can take
-// from the others.
+// Limits of the callers' API. Each bounds how much of the shared resources one caller can use.
 type Limits struct {
 	Completion completion.Limits
 	// ServiceBodyBytes bounds the body of a plain service's call, AnswerBytes an assembled answer.
 	ServiceBodyBytes, AnswerBytes int
-	// HeaderBytes and HeaderWithin bound a request's headers, BodyWithin its body.
+	// HeaderBytes and HeaderWithin bound the size and the time of a request's headers, BodyWithin the time of its
+	// body.
 	HeaderBytes              int
 	HeaderWithin, BodyWithin time.Duration
-	// WriteWithin is how long a caller may take to make room for the next part of its answer.
+	// WriteWithin is the write timeout for each part of an answer.
 	WriteWithin time.Duration
-	// Idle is how long a connection is kept open between two requests.
+	// Idle is how long a connection is kept open between requests.
 	Idle time.Duration
-	// Connections bounds the open connections, Requests the requests in flight.
+	// Connections is the limit on open connections, Requests the limit on requests in flight.
 	Connections, Requests int
-	// Settle is how long a stopping server goes on serving new requests, which is to be longer than the
-	// balancer takes to notice; Drain is how long it then waits for requests in flight.
+	// Settle is how long a stopping server continues to accept new requests. It must be longer than the load balancer
+	// takes to detect the stop. Drain is how long the server then waits for requests in flight.
 	Settle, Drain time.Duration
 }
 
-// DefaultLimits suit a small instance.
+// DefaultLimits returns the limits for a small instance.
 func DefaultLimits() Limits {
 	return Limits{
 		Completion:       completion.DefaultLimits(),
@@ -54,9 +54,9 @@
 	}
 }
 
-// Server answers callers. Listener and Pipeline are set before Run; the zero Limits mean
-// DefaultLimits. Observe, when set, is told of each request that has ended. ErrorLog receives what
-// net/http has to say about connections, which may hold callers' addresses but no keys.
+// Server serves the callers' API. Listener and Pipeline are set before Run. The zero Limits mean DefaultLimits.
+// Observe, if set, is called after each request. ErrorLog receives the connection errors of net/http, which may
+// contain callers' addresses but no keys.
 type Server struct {
 	Listener net.Listener
 	Pipeline Pipeline
@@ -64,22 +64,22 @@
 	Observe  func(Observation)
 	ErrorLog io.Writer
 
-	stopping atomic.Bool
-	open     atomic.Int64
-	places   chan struct{}
+	stopping        atomic.Bool
+	openConnections atomic.Int64
+	inFlight        chan struct{}
 }
 
-// Run serves until ctx ends, and then stops without cutting a request: for Settle it goes on serving,
-// since the balancer and callers with open connections don't know yet, and tells each connection with
-// its next answer to close. Only then it stops listening and waits for the requests in flight.
+// Run serves until ctx ends, then stops without aborting a request. For Settle it continues to serve, since the load
+// balancer and callers with open connections have not detected the stop yet, and asks each connection to close with
+// its next answer. Then it stops listening and waits for the requests in flight.
 //
-// Closing idle connections at once, as net/http does, would meet requests that are already on their
-// way; their callers would see a reset and not know whether they ran.
+// Closing idle connections at once, as net/http does, would reset connections with requests already on their way, and
+// their callers would not know whether the requests ran.
 func (s *Server) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "callers' server") }()
 	server := s.httpServer()
 	served := make(chan error, 1)
-	go s.run(server, served)
+	go s.serve(server, served)
 	select {
 	case err := <-served:
 		return err
@@ -92,8 +92,8 @@
 	return server.Shutdown(draining)
 }
 
-func (s *Server) run(server *http.Server, served chan<- error) {
-	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.open, most: int64(s.Limits.Connections)})
+func (s *Server) serve(server *http.Server, served chan<- error) {
+	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.openConnections, limit: int64(s.Limits.Connections)})
 }
 
 func (s *Server) httpServer() *http.Server {
--- a/internal/caller/api/services.go
+++ b/internal/caller/api/services.go
@@ -1,7 +1,7 @@
 package api
 
-// Calls of plain services. Whether a call may be repeated is the pipeline's to judge; here its parts are
-// checked and cleaned.
+// Calls of plain services. The pipeline decides whether a call may be retried. Here its parts are validated and
+// sanitized.
 
 import (
 	"net/http"
@@ -14,11 +14,11 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// headerIdempotencyKey names a call that may not be repeated.
+// headerIdempotencyKey identifies a call that must not be run twice.
 const headerIdempotencyKey = "Idempotency-Key"
 
-// longestIdempotencyKey keeps the claims small, of which many share one value of the store.
-const longestIdempotencyKey = 255
+// maxIdempotencyKeyLength keeps claims small, because many of them share one value in the store.
+const maxIdempotencyKeyLength = 255
 
 const servicesPath = "/services/"
 
@@ -27,8 +27,8 @@
 	if err != nil {
 		return err
 	}
-	v := visitOf(c)
-	answer, err := s.Pipeline.Call(c.Request().Context(), v.identity, call)
+	state := stateOf(c)
+	answer, err := s.Pipeline.Call(c.Request().Context(), state.identity, call)
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 		header[name] = values
 	}
 	header.Set(refusal.HeaderRun, string(refusal.Ran))
-	s.boundWrite(c)
+	s.extendWriteDeadline(c)
 	c.Response().WriteHeader(answer.Status)
 	if len(answer.Body) == 0 {
 		return nil
@@ -56,12 +56,12 @@
 	if err != nil {
 		return ServiceCall{}, err
 	}
-	body, err := s.body(c, s.Limits.ServiceBodyBytes)
+	body, err := s.readBody(c, s.Limits.ServiceBodyBytes)
 	if err != nil {
 		return ServiceCall{}, err
 	}
 	return ServiceCall{Service: name, Call: service.Call{
-		ID:             visitOf(c).observation.RequestID,
+		ID:             stateOf(c).record.RequestID,
 		Method:         request.Method,
 		Path:           path,
 		RawQuery:       request.URL.RawQuery,
@@ -71,9 +71,8 @@
 	}}, nil
 }
 
-// servicePath parts "/services/{name}/..." and keeps the rest as it was escaped. Dot segments are
-// refused: what they lead to depends on who resolves them, so a check made on the path here might not
-// hold at the service.
+// servicePath splits "/services/{name}/..." and keeps the rest escaped as received. Dot segments are refused: their
+// meaning depends on who resolves them, so a check of the path here might not hold at the service.
 func servicePath(url *url.URL) (name, path string, err error) {
 	name, path, _ = strings.Cut(strings.TrimPrefix(url.EscapedPath(), servicesPath), "/")
 	for segment := range strings.SplitSeq(url.Path, "/") {
@@ -84,7 +83,7 @@
 	return name, "/" + path, nil
 }
 
-// idempotencyKey reads the key, if there is one: up to 255 visible ASCII characters.
+// idempotencyKey returns the key, or an empty string without one. A key has up to 255 visible ASCII characters.
 func idempotencyKey(header http.Header) (string, error) {
 	lines := header.Values(headerIdempotencyKey)
 	if len(lines) == 0 {
@@ -92,7 +91,7 @@
 	}
 	invalid := refusal.New(refusal.IdempotencyKeyInvalid,
 		"send one Idempotency-Key of 1 to 255 visible ASCII characters").WithParam(headerIdempotencyKey)
-	if len(lines) > 1 || lines[0] == "" || len(lines[0]) > longestIdempotencyKey {
+	if len(lines) > 1 || lines[0] == "" || len(lines[0]) > maxIdempotencyKeyLength {
 		return "", invalid
 	}
 	for _, b := range []byte(lines[0]) {
--- a/internal/caller/completion/completion_test.go
+++ b/internal/caller/completion/completion_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// A caller repeats a field, in the hope that the check reads one and the engine the other: another
-// model, or more tokens than were reserved. The engine must get what was checked.
-func TestEngineGetsWhatWasChecked(t *testing.T) {
+// A caller repeats a field so that validation reads one value and the engine the other: another model, or more tokens
+// than were reserved. The engine must receive the values that were validated.
+func TestEngineBodyMatchesValidatedRequest(t *testing.T) {
 	is := is.New(t)
 	request, err := parse(completion.Text, `{"model":"a","model":"b","prompt":"p","max_tokens":9,"max_tokens":5,
 		"stream":false,"priority":3,"temperature":0.10,"stop":["x"]}`)
--- a/internal/caller/completion/parse.go
+++ b/internal/caller/completion/parse.go
@@ -1,7 +1,7 @@
 package completion
 
-// Reading and checking a request's body. Everything a caller can get wrong ends here with a
-// bad_request that names the field, before any token is reserved and any engine is asked.
+// Decoding and validating the body of a request. Every mistake of the caller is reported here as a bad_request with the
+// name of the field, before tokens are reserved or an engine is called.
 
 import (
 	"encoding/json"
@@ -12,24 +12,23 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// LowestPriority is the least urgent priority; 0 is the most urgent.
+// LowestPriority is the least urgent priority; 0 is the limit urgent.
 const LowestPriority = 9
 
-// defaultPriority is for callers that name none.
+// defaultPriority applies to requests without a priority.
 const defaultPriority = 5
 
 // Limits of a request.
 type Limits struct {
-	// BodyBytes bounds the body: a large one costs memory here and prefill time at the engine.
+	// BodyBytes bounds the body: a large body costs memory here and prefill time at the engine.
 	BodyBytes int
-	// Depth bounds the nesting of the JSON, whose parsing costs stack by depth.
+	// Depth bounds the nesting of the JSON, because parsing uses stack in proportion to it.
 	Depth int
-	// MaxTokens is the most that a caller may ask for, DefaultMaxTokens what one that names no number
-	// gets. Both keep the reservation of one request small against a workspace's burst.
+	// MaxTokens is the maximum that a caller may request. DefaultMaxTokens applies to requests without a limit. Both
+	// keep the reservation of one request small relative to a workspace's burst.
 	MaxTokens, DefaultMaxTokens int
 }
 
-// DefaultLimits have no measured reason yet.
 func DefaultLimits() Limits {
 	return Limits{BodyBytes: 1 << 20, Depth: 32, MaxTokens: 8192, DefaultMaxTokens: 256}
 }
@@ -53,7 +52,7 @@
 	fieldPriority, fieldPrompt, fieldMessages, fieldChoices, fieldBestOf,
 }
 
-// Parse reads and checks a body. Its errors are refusals.
+// Parse decodes and validates a body. Its errors are refusals.
 func Parse(api API, body []byte, limits Limits) (request Request, err error) {
 	document, err := parseDocument(body, limits)
 	if err != nil {
@@ -67,15 +66,15 @@
 	return request, nil
 }
 
-// parseDocument reads the outer object and refuses names that differ from a known one by case alone.
-// An engine whose JSON reader ignores case would take such a field for the known one, and so run
-// another model, or more tokens, than were checked here.
+// parseDocument decodes the outer object and rejects names that differ from a known one only by case. An engine with
+// a case-insensitive JSON decoder would read such a field as the known one, and run another model or more tokens than
+// were validated here.
 func parseDocument(body []byte, limits Limits) (map[string]json.RawMessage, error) {
 	if len(body) > limits.BodyBytes {
 		return nil, refusal.New(refusal.BodyTooLarge,
 			fmt.Sprintf("the body is larger than %d bytes", limits.BodyBytes))
 	}
-	if tooDeep(body, limits.Depth) {
+	if exceedsDepth(body, limits.Depth) {
 		return nil, refusal.New(refusal.BadRequest, fmt.Sprintf("the body is nested deeper than %d", limits.Depth))
 	}
 	var document map[string]json.RawMessage
@@ -97,9 +96,9 @@
 	return document, nil
 }
 
-// tooDeep counts open brackets outside of strings. It runs before the JSON reader and accepts
-// anything else, valid or not.
-func tooDeep(body []byte, limit int) bool {
+// exceedsDepth counts open brackets outside of strings. It runs before the JSON decoder and accepts anything else,
+// valid or not.
+func exceedsDepth(body []byte, limit int) bool {
 	depth := 0
 	inString, escaped := false, false
 	for _, b := range body {
@@ -144,14 +143,14 @@
 	request.Stream = p.boolean(p.document, fieldStream)
 	request.IncludeUsage = p.includeUsage()
 	request.Priority = p.integer(fieldPriority, 0, LowestPriority, defaultPriority)
-	p.single(fieldChoices)
-	p.single(fieldBestOf)
+	p.requireOne(fieldChoices)
+	p.requireOne(fieldBestOf)
 	request.MaxTokens = p.maxTokens()
 	request.PromptTokens, request.MostPromptTokens = p.prompt(api)
 	return request
 }
 
-// model parts "adapter@version"; the version may be left out, but not left empty.
+// model splits "adapter@version". The version may be omitted but not empty.
 func (p *parser) model() (adapter, version string) {
 	name, ok := p.text(fieldModel)
 	if !ok {
@@ -178,36 +177,36 @@
 	return p.boolean(options, "include_usage")
 }
 
-// single refuses more than one choice: it would multiply the cost and is not offered.
-func (p *parser) single(field string) {
+// requireOne rejects more than one choice, which is not supported because it would multiply the cost.
+func (p *parser) requireOne(field string) {
 	p.integer(field, 1, 1, 1)
 }
 
-// maxTokens reads the bound under either name and writes it back, so that the engine keeps the bound
-// that the reservation was made for.
+// maxTokens reads the limit under either name and writes it back, so that the engine applies the limit that the
+// reservation was made for.
 func (p *parser) maxTokens() int {
-	older := p.integer(fieldMaxTokens, 1, p.limits.MaxTokens, 0)
-	newer := p.integer(fieldMaxCompletionTokens, 1, p.limits.MaxTokens, 0)
-	most := p.limits.DefaultMaxTokens
+	maxTokens := p.integer(fieldMaxTokens, 1, p.limits.MaxTokens, 0)
+	maxCompletionTokens := p.integer(fieldMaxCompletionTokens, 1, p.limits.MaxTokens, 0)
+	limit := p.limits.DefaultMaxTokens
 	switch {
-	case older > 0 && newer > 0:
-		most = min(older, newer)
-	case older > 0:
-		most = older
-	case newer > 0:
-		most = newer
-	}
-	raw := json.RawMessage(fmt.Sprint(most))
+	case maxTokens > 0 && maxCompletionTokens > 0:
+		limit = min(maxTokens, maxCompletionTokens)
+	case maxTokens > 0:
+		limit = maxTokens
+	case maxCompletionTokens > 0:
+		limit = maxCompletionTokens
+	}
+	raw := json.RawMessage(fmt.Sprint(limit))
 	p.document[fieldMaxTokens] = raw
-	if newer > 0 {
+	if maxCompletionTokens > 0 {
 		p.document[fieldMaxCompletionTokens] = raw
 	}
-	return most
+	return limit
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// present finds a field that is there and is not null; the API treats null as left out.
+// present returns a field that exists and is not null. The API treats null as absent.
 func (p *parser) present(object map[string]json.RawMessage, field string) (json.RawMessage, bool) {
 	raw, ok := object[field]
 	if !ok || string(raw) == "null" {
@@ -240,15 +239,15 @@
 	return value
 }
 
-func (p *parser) integer(field string, least, most, otherwise int) int {
+func (p *parser) integer(field string, minimum, maximum, fallback int) int {
 	raw, ok := p.present(p.document, field)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	var value int
-	if err := json.Unmarshal(raw, &value); err != nil || value < least || value > most {
-		p.fail(field, fmt.Sprintf("%s must be a whole number from %d to %d", field, least, most))
-		return otherwise
+	if err := json.Unmarshal(raw, &value); err != nil || value < minimum || value > maximum {
+		p.fail(field, fmt.Sprintf("%s must be a whole number from %d to %d", field, minimum, maximum))
+		return fallback
 	}
 	return value
 }
--- a/internal/caller/completion/prompt_tokens.go
+++ b/internal/caller/completion/prompt_tokens.go
@@ -1,24 +1,24 @@
 package completion
 
-// Counting a prompt's tokens without a tokenizer: an estimate for queueing, and a bound for the
-// reservation. The bound matters for the rate: were it passed, a workspace would get more tokens than
-// it bought before the engine's own count is known.
+// Counting the tokens of a prompt without a tokenizer: an estimate for queueing, and an upper bound for the reservation.
+// The bound protects the rate: if it could be exceeded, a workspace would get more tokens than it bought before the
+// engine's own count is known.
 
 import (
 	"encoding/json"
 )
 
 const (
-	// bytesPerToken is the usual density of English text; an estimate only.
+	// bytesPerToken is the typical density of English text, used as an estimate only.
 	bytesPerToken = 4
-	// tokensPerMessage covers the marks that an engine's chat template puts around a message, and
-	// those at a prompt's beginning. Not measured yet; common templates need under ten.
+	// tokensPerMessage covers the tokens that an engine's chat template adds around a message, and those at the start
+	// of a prompt. Common templates need fewer than ten.
 	tokensPerMessage = 16
 )
 
-// prompt checks the prompt or the messages and counts them. A byte-level tokenizer never makes more
-// tokens than there are bytes, which gives the bound.
-func (p *parser) prompt(api API) (estimate, most int) {
+// prompt validates the prompt or the messages and counts them. A byte-level tokenizer never produces more tokens than
+// bytes, which gives the upper bound.
+func (p *parser) prompt(api API) (estimate, upperBound int) {
 	bytes, messages := 0, 1
 	if api == Chat {
 		bytes, messages = p.messages()
@@ -30,17 +30,17 @@
 	return (bytes+bytesPerToken-1)/bytesPerToken + overhead, bytes + overhead
 }
 
-// textPrompt accepts a string or a list with one string. Several prompts would be several requests
-// under one identity, which is not offered.
+// textPrompt accepts a string or a list with one string. Several prompts would be several requests under one request
+// id, which is not supported.
 func (p *parser) textPrompt() int {
 	raw, _ := p.present(p.document, fieldPrompt)
-	var one string
-	if err := json.Unmarshal(raw, &one); err == nil {
-		return len(one)
+	var text string
+	if err := json.Unmarshal(raw, &text); err == nil {
+		return len(text)
 	}
 	var list []string
 	if err := json.Unmarshal(raw, &list); err == nil && len(list) == 1 {
-		p.document[fieldPrompt] = quoted(list[0])
+		p.document[fieldPrompt] = quoteJSON(list[0])
 		return len(list[0])
 	}
 	p.fail(fieldPrompt, "prompt must be a string, or a list with one string")
@@ -68,7 +68,7 @@
 	}
 	content, ok := p.present(message, "content")
 	if !ok {
-		// An assistant's message that only calls tools has no content.
+		// An assistant message that only calls tools has no content.
 		if _, calls := p.present(message, "tool_calls"); !calls {
 			p.fail(fieldMessages, "each message needs a content")
 		}
@@ -118,12 +118,12 @@
 	return part, true
 }
 
-// otherBytes counts the fields that may end up in the prompt, such as tools or a response format:
-// everything but the excepted fields and plain numbers and truth values.
-func otherBytes(object map[string]json.RawMessage, except []string) int {
+// otherBytes counts the fields that may become part of the prompt, such as tools or a response format: all fields
+// except the given ones, numbers and booleans.
+func otherBytes(object map[string]json.RawMessage, excluded []string) int {
 	bytes := 0
 	for name, raw := range object {
-		if isOneOf(name, except) || len(raw) == 0 {
+		if contains(name, excluded) || len(raw) == 0 {
 			continue
 		}
 		switch raw[0] {
@@ -134,7 +134,7 @@
 	return bytes
 }
 
-func isOneOf(name string, names []string) bool {
+func contains(name string, names []string) bool {
 	for _, n := range names {
 		if n == name {
 			return true
--- a/internal/caller/completion/request.go
+++ b/internal/caller/completion/request.go
@@ -1,6 +1,6 @@
-// Package completion is a caller's request for a completion, read from the completion API's two
-// shapes (text and chat), checked, and written again for the engine that will run it. The pipeline
-// decides on the value of this package alone; it never looks at JSON.
+// Package completion decodes and validates requests to the completion API in both formats (text and chat), and
+// encodes them for the engine that runs them. The pipeline uses only the values of this package and does not handle
+// JSON.
 package completion
 
 import (
@@ -10,16 +10,16 @@
 	"maps"
 )
 
-// API tells the two shapes of the completion API apart.
+// API is one of the two formats of the completion API.
 type API int
 
-// The shapes, with the paths they are asked under.
+// The formats.
 const (
 	Text API = iota
 	Chat
 )
 
-// Path under which both callers and engines know the shape.
+// Path returns the path of the format, the same for callers and engines.
 func (a API) Path() string {
 	if a == Chat {
 		return "/v1/chat/completions"
@@ -27,10 +27,10 @@
 	return "/v1/completions"
 }
 
-// Request is an immutable, checked request. Version is empty when the caller named the adapter only.
-// Priority is 0 (most urgent) to LowestPriority. PromptTokens is an estimate, MostPromptTokens a
-// bound that no byte-level tokenizer passes, MaxTokens the most that may be generated; the engine is
-// told the same bound. ID is the request's identity, given by the callers' API.
+// Request is an immutable, validated request. Version is empty if the caller named only the adapter. Priority is from
+// 0 (most urgent) to LowestPriority. PromptTokens is an estimate, MostPromptTokens an upper bound for any byte-level
+// tokenizer. MaxTokens is the maximum number of generated tokens, and the engine gets the same limit. ID is the
+// request id, assigned by the callers' API.
 type Request struct {
 	ID               string
 	API              API
@@ -46,7 +46,7 @@
 	document map[string]json.RawMessage
 }
 
-// Model is the name as the caller may write it: "adapter" or "adapter@version".
+// Model returns the model name in the caller's format: "adapter" or "adapter@version".
 func (r Request) Model() string {
 	if r.Version == "" {
 		return r.Adapter
@@ -54,13 +54,13 @@
 	return r.Adapter + "@" + r.Version
 }
 
-// MostTokens is the most that the request may cost, prompt and answer together: what is reserved
-// from the workspace's rate until the true cost is known.
+// MostTokens returns the maximum cost of the request, prompt and answer together. It is reserved from the workspace's
+// rate until the actual cost is known.
 func (r Request) MostTokens() int {
 	return r.MostPromptTokens + r.MaxTokens
 }
 
-// WithID returns the request under another identity.
+// WithID returns the request with another id.
 func (r Request) WithID(id string) Request {
 	r.ID = id
 	return r
@@ -72,21 +72,21 @@
 	return r
 }
 
-// Body writes the request for an engine, under the model "adapter@version". It is always streamed
-// and asks for usage, whatever the caller asked: without a stream nobody sees whether the engine
-// still makes progress, and without usage nobody knows what to bill. Fields that this package does
-// not know go through as they came.
+// Body encodes the request for an engine, for the model "adapter@version". It always requests a stream and usage,
+// whatever the caller requested: without a stream it is unknown whether the engine still makes progress, and without
+// usage the tokens cannot be billed. Unknown fields are forwarded unchanged.
 func (r Request) Body(model string) []byte {
 	document := maps.Clone(r.document)
-	delete(document, fieldPriority) // a header carries it
-	document[fieldModel] = quoted(model)
+	delete(document, fieldPriority) // sent as a header
+	document[fieldModel] = quoteJSON(model)
 	document[fieldStream] = json.RawMessage("true")
 	document[fieldStreamOptions] = json.RawMessage(`{"include_usage":true}`)
-	return marshalled(document)
+	return marshalDocument(document)
 }
 
-// Fingerprint tells two sends of one request from other requests, to find the one that crashes
-// engines. Workspaces never share a fingerprint, so that none can have another's request refused.
+// Fingerprint is the same for each attempt of one request and different for other requests. It is used to detect
+// requests that crash engines. Workspaces never share a fingerprint, so none can cause another workspace's request to
+// be refused.
 func (r Request) Fingerprint(workspace string) string {
 	digest := sha256.New()
 	digest.Write([]byte(workspace))
@@ -97,19 +97,19 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-func quoted(text string) json.RawMessage {
+func quoteJSON(text string) json.RawMessage {
 	raw, err := json.Marshal(text)
 	if err != nil {
-		panic("completion: " + err.Error()) // strings always marshal
+		panic("completion: " + err.Error()) // encoding a string never fails
 	}
 	return raw
 }
 
-// marshalled writes the fields in the order of their names, so that equal requests give equal bytes.
-func marshalled(document map[string]json.RawMessage) []byte {
+// marshalDocument writes the fields sorted by name, so that equal requests have equal bytes.
+func marshalDocument(document map[string]json.RawMessage) []byte {
 	body, err := json.Marshal(document)
 	if err != nil {
-		panic("completion: " + err.Error()) // every field was parsed before, so it is valid JSON
+		panic("completion: " + err.Error()) // every field was decoded before, so it is valid JSON
 	}
 	return body
 }
--- a/internal/caller/refusal/refusal.go
+++ b/internal/caller/refusal/refusal.go
@@ -1,6 +1,6 @@
-// Package refusal is what a caller is told when a request is not answered: a stable code, an HTTP
-// status, whether the request was run, and when to come back. Every layer between the caller and the
-// upstreams returns refusals as errors, and the callers' API writes them.
+// Package refusal defines the errors that callers get: a stable code, an HTTP status, whether the request was run,
+// and when to retry. Every layer between the callers and the upstreams returns refusals as errors, and the callers'
+// API writes them.
 package refusal
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// Code is stable: callers' programs compare it, so a code never changes its meaning.
+// Code is stable: callers' programs compare it, so the meaning of a code never changes.
 type Code string
 
-// The codes, in the order of a request's way.
+// The codes, in the order in which a request can get them.
 const (
 	MissingKey            Code = "missing_key"
 	InvalidKey            Code = "invalid_key"
@@ -45,22 +45,23 @@
 	Internal              Code = "internal"
 )
 
-// Run tells whether the request was run by an upstream.
+// Run is whether an upstream ran the request.
 type Run string
 
-// The three states, as header X-Run spells them. NotRun is a promise: a caller may send the request
-// again without it running twice. Unknown is what to say whenever that promise can't be kept.
+// The run states, with their values in the header X-Run. NotRun guarantees that the caller can send the request again
+// without running it twice. Unknown is used whenever that cannot be guaranteed.
 const (
 	NotRun  Run = "not-run"
 	Ran     Run = "ran"
 	Unknown Run = "unknown"
 )
 
-// statusClientClosed is the customary status in logs for a caller that hung up; nobody reads it.
+// statusClientClosed is the status commonly logged when a caller closed the connection. It is never received by the
+// caller.
 const statusClientClosed = 499
 
-// kind is what a code stands for unless a refusal says otherwise.
-type kind struct {
+// codeDefaults are the properties of a code, unless a refusal overrides its run state.
+type codeDefaults struct {
 	status int
 	run    Run
 	typ    string
@@ -74,11 +75,11 @@
 	typeServer         = "server_error"
 )
 
-// kinds holds each code once. Codes that may be reported after the upstream got the request are
-// Unknown here; whoever knows better says so with WithRun. InProgress is Unknown although this send
-// was not passed on: the call that its key names is running, and a caller told "not run" would book
-// again under another key.
-var kinds = map[Code]kind{
+// defaultsByCode contains each code once. Codes that may be returned after the upstream received the request default
+// to Unknown; layers that know the run state set it with WithRun. InProgress is Unknown although this attempt was not
+// forwarded: the call that its key identifies is running, and a caller that got "not run" would book again under
+// another key.
+var defaultsByCode = map[Code]codeDefaults{
 	MissingKey:            {http.StatusUnauthorized, NotRun, typeAuthentication},
 	InvalidKey:            {http.StatusUnauthorized, NotRun, typeAuthentication},
 	KeyWithdrawn:          {http.StatusUnauthorized, NotRun, typeAuthentication},
@@ -109,8 +110,7 @@
 	Internal:              {http.StatusInternalServerError, Unknown, typeServer},
 }
 
-// Refusal is an immutable error value. It is made by New only, so its code is always one of this
-// package's.
+// Refusal is an immutable error value. Only New creates it, so its code is always one of this package's.
 type Refusal struct {
 	code       Code
 	message    string
@@ -119,52 +119,52 @@
 	retryAfter time.Duration
 }
 
-// New makes a refusal with the status and run state its code stands for. The message is shown to
-// the caller, so it holds no secret and no upstream's address. An undeclared code becomes Internal.
+// New returns a refusal with the status and run state of its code. The message is shown to the caller, so it must not
+// contain secrets or upstream addresses. An undeclared code becomes Internal.
 func New(code Code, message string) Refusal {
-	k, ok := kinds[code]
+	defaults, ok := defaultsByCode[code]
 	if !ok {
-		code, k = Internal, kinds[Internal]
+		code, defaults = Internal, defaultsByCode[Internal]
 	}
-	return Refusal{code: code, message: message, run: k.run}
+	return Refusal{code: code, message: message, run: defaults.run}
 }
 
-// WithParam names the request's field that is at fault.
+// WithParam sets the name of the invalid request field.
 func (r Refusal) WithParam(param string) Refusal {
 	r.param = param
 	return r
 }
 
-// WithRun states what is known of the request's run, where that differs from the code's usual state.
+// WithRun sets the run state, where it differs from the default of the code.
 func (r Refusal) WithRun(run Run) Refusal {
 	r.run = run
 	return r
 }
 
-// WithRetryAfter states when to come back.
+// WithRetryAfter sets the delay after which the caller may retry.
 func (r Refusal) WithRetryAfter(after time.Duration) Refusal {
 	r.retryAfter = after
 	return r
 }
 
-// Code of the refusal.
+// Code returns the code.
 func (r Refusal) Code() Code { return r.code }
 
-// Message shown to the caller.
+// Message returns the message for the caller.
 func (r Refusal) Message() string { return r.message }
 
-// Param is the field at fault, or empty.
+// Param returns the name of the invalid field, or an empty string.
 func (r Refusal) Param() string { return r.param }
 
-// Run tells whether the request was run.
+// Run returns whether the request was run.
 func (r Refusal) Run() Run { return r.run }
 
-// Status is the HTTP status.
-func (r Refusal) Status() int { return kinds[r.code].status }
+// Status returns the HTTP status.
+func (r Refusal) Status() int { return defaultsByCode[r.code].status }
 
-// RetryAfter is when to come back, in whole seconds rounded up; zero when it makes no sense to. It is
-// at least one second with statuses 429 and 503: a caller told nothing comes back at once, and many
-// of them together are a retry storm.
+// RetryAfter returns the delay before a retry in whole seconds, rounded up, or zero if a retry is pointless. With
+// statuses 429 and 503 it is at least one second: callers without a delay retry at once, and many of them together
+// cause a retry storm.
 func (r Refusal) RetryAfter() time.Duration {
 	seconds := (r.retryAfter + time.Second - 1).Truncate(time.Second)
 	if seconds >= time.Second {
@@ -177,15 +177,14 @@
 	return 0
 }
 
-// ExactRetryAfter is when to come back, as it was stated, for callers that understand fractions of a
-// second; zero if it was not.
+// ExactRetryAfter returns the delay as set, for callers that accept fractions of a second, or zero if it was not set.
 func (r Refusal) ExactRetryAfter() time.Duration { return r.retryAfter }
 
-// Error is the code and the message.
+// Error returns the code and the message.
 func (r Refusal) Error() string { return string(r.code) + ": " + r.message }
 
-// From finds the refusal in an error's chain. An error without one is a fault of this program, or
-// one it did not foresee: Internal, run Unknown, and its text is kept from the caller.
+// From returns the refusal in an error's chain. Any other error is an internal or unexpected failure. It becomes
+// Internal with run state Unknown, and its text is not shown to the caller.
 func From(err error) Refusal {
 	var found Refusal
 	if errors.As(err, &found) {
@@ -194,7 +193,7 @@
 	return New(Internal, "the request failed inside the serving layer")
 }
 
-// Is reports whether the error's chain holds a refusal with the code.
+// Is reports whether the error's chain contains a refusal with the code.
 func Is(err error, code Code) bool {
 	var found Refusal
 	return errors.As(err, &found) && found.code == code
--- a/internal/caller/refusal/refusal_test.go
+++ b/internal/caller/refusal/refusal_test.go
@@ -14,7 +14,7 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-func TestWireForm(t *testing.T) {
+func TestWireFormat(t *testing.T) {
 	cases := []struct {
 		name       string
 		refused    refusal.Refusal
@@ -22,12 +22,12 @@
 		run, after string
 		param      any
 	}{
-		{"usual", refusal.New(refusal.RateLimited, "m"), 429, "not-run", "1", nil},
+		{"default run state", refusal.New(refusal.RateLimited, "m"), 429, "not-run", "1", nil},
 		{"rounded up", refusal.New(refusal.Busy, "m").WithRetryAfter(2100 * time.Millisecond), 503, "not-run", "3", nil},
-		{"in the past", refusal.New(refusal.NotFresh, "m").WithRetryAfter(-time.Minute), 503, "not-run", "1", nil},
-		{"no need", refusal.New(refusal.BadRequest, "m").WithParam("model"), 400, "not-run", "", "model"},
-		{"known to have run", refusal.New(refusal.UpstreamFailed, "m").WithRun(refusal.Ran), 502, "ran", "", nil},
-		{"undeclared", refusal.New("new_code", "m"), 500, "unknown", "", nil},
+		{"negative delay", refusal.New(refusal.NotFresh, "m").WithRetryAfter(-time.Minute), 503, "not-run", "1", nil},
+		{"no retry delay", refusal.New(refusal.BadRequest, "m").WithParam("model"), 400, "not-run", "", "model"},
+		{"run state overridden", refusal.New(refusal.UpstreamFailed, "m").WithRun(refusal.Ran), 502, "ran", "", nil},
+		{"undeclared code", refusal.New("new_code", "m"), 500, "unknown", "", nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,18 +37,18 @@
 			is.Equal(recorder.Code, c.status)
 			is.Equal(recorder.Header().Get("X-Run"), c.run)
 			is.Equal(recorder.Header().Get("Retry-After"), c.after)
-			var wire struct{ Error map[string]any }
-			is.NoErr(json.Unmarshal(recorder.Body.Bytes(), &wire))
-			is.Equal(wire.Error["code"], string(c.refused.Code()))
-			is.Equal(wire.Error["message"], "m")
-			is.Equal(wire.Error["param"], c.param)
+			var body struct{ Error map[string]any }
+			is.NoErr(json.Unmarshal(recorder.Body.Bytes(), &body))
+			is.Equal(body.Error["code"], string(c.refused.Code()))
+			is.Equal(body.Error["message"], "m")
+			is.Equal(body.Error["param"], c.param)
 		})
 	}
 }
 
-// A fault inside the program surfaces as an error that is no refusal. Its text may hold addresses, and
-// nobody knows whether the request ran: the caller is told neither.
-func TestForeignErrorIsUnknown(t *testing.T) {
+// An internal failure is an error without a refusal. Its text may contain addresses, and it is unknown whether the
+// request ran. The caller must get neither the text nor a claim about the run.
+func TestUnexpectedErrorIsHidden(t *testing.T) {
 	is := is.New(t)
 	refused := refusal.From(errors.New("dial 10.0.0.1"))
 	is.Equal(refused.Status(), http.StatusInternalServerError)
--- a/internal/caller/refusal/wire_format.go
+++ b/internal/caller/refusal/wire_format.go
@@ -1,7 +1,7 @@
 package refusal
 
-// The wire form of a refusal: the completion API's error object, and the headers beside it. This is
-// the only place that knows the field names.
+// The wire format of a refusal: the error object of the completion API and the headers. Only this file defines the field
+// names.
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Headers of a refused request.
+// Headers of a refusal.
 const (
 	HeaderRun        = "X-Run"
 	HeaderRetryAfter = "Retry-After"
@@ -29,21 +29,21 @@
 	Param   *string `json:"param"`
 }
 
-// Body is the error object, which is also the data of an error event in a stream.
+// Body returns the error object. It is also the data of an error event in a stream.
 func (r Refusal) Body() []byte {
-	wire := wireError{Message: r.message, Type: kinds[r.code].typ, Code: string(r.code)}
+	wire := wireError{Message: r.message, Type: defaultsByCode[r.code].typ, Code: string(r.code)}
 	if r.param != "" {
 		wire.Param = &r.param
 	}
 	body, err := json.Marshal(wireEnvelope{Error: wire})
 	if err != nil {
-		// Strings always marshal; an empty body would leave the caller without a reason.
+		// Encoding strings never fails. An empty body would leave the caller without a reason.
 		panic("refusal: " + err.Error())
 	}
 	return body
 }
 
-// SetHeaders writes the run state and when to come back.
+// SetHeaders sets the headers with the run state and the retry delay.
 func (r Refusal) SetHeaders(header http.Header) {
 	header.Set(HeaderRun, string(r.run))
 	if after := r.RetryAfter(); after > 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Write answers a request with the refusal.
+// Write writes the refusal as the response to a request.
 func (r Refusal) Write(w http.ResponseWriter) (err error) {
 	r.SetHeaders(w.Header())
 	w.Header().Set("Content-Type", "application/json")
@@ -60,8 +60,8 @@
 	return err
 }
 
-// RawResponse is a whole HTTP/1.1 response that closes its connection, for connections that are turned
-// away before a request is read.
+// RawResponse returns a complete HTTP/1.1 response that closes its connection, for connections that are rejected before a
+// request is read.
 func (r Refusal) RawResponse() []byte {
 	body := r.Body()
 	response := http.Response{
@@ -76,7 +76,7 @@
 	r.SetHeaders(response.Header)
 	var raw bytes.Buffer
 	if err := response.Write(&raw); err != nil {
-		panic("refusal: " + err.Error()) // a buffer takes every write
+		panic("refusal: " + err.Error()) // writing to a buffer never fails
 	}
 	return raw.Bytes()
 }
--- a/internal/caller/stream/assembler.go
+++ b/internal/caller/stream/assembler.go
@@ -1,7 +1,7 @@
 package stream
 
-// Making one whole answer out of a stream's events, for callers that did not ask for a stream. The
-// engine is always asked for one, so that its progress can be watched.
+// Merging the events of a stream into one answer, for callers that did not request a stream. The engine is always asked
+// for a stream, so that its progress can be monitored.
 
 import (
 	"bytes"
@@ -12,37 +12,37 @@
 
 // Errors of an Assembler.
 var (
-	// ErrNotWhole means that no choice came, or one without a finish reason: the answer is a part.
-	ErrNotWhole = errors.New("stream: the answer is not whole")
-	// ErrTooLarge means that the events together are larger than the assembler's bound.
-	ErrTooLarge = errors.New("stream: the answer is too large")
+	// ErrNotWhole means that there was no choice, or a choice without a finish reason: the answer is incomplete.
+	ErrNotWhole = errors.New("stream: answer incomplete: no choice or no finish reason")
+	// ErrTooLarge means that the events together exceed the assembler's limit.
+	ErrTooLarge = errors.New("stream: answer exceeds the size limit")
 )
 
-// object is a JSON object of unknown shape: the engine's choices may hold fields that this project
-// does not know, and they are to arrive as well.
+// object is a JSON object of unknown structure: the engine's choices may have fields that this package does not know,
+// which must be preserved.
 type object = map[string]any
 
-// Assembler adds up a stream's events.
+// Assembler merges the events of a stream.
 type Assembler struct {
 	limit   int
 	size    int
-	outer   object
+	fields  object
 	choices []any
 }
 
-// NewAssembler assembles answers whose events are at most limit bytes together.
+// NewAssembler returns an assembler for events of at most limit bytes in total.
 func NewAssembler(limit int) *Assembler {
-	return &Assembler{limit: limit, outer: object{}}
+	return &Assembler{limit: limit, fields: object{}}
 }
 
-// Add takes the next event.
+// Add merges the next event.
 func (a *Assembler) Add(event Event) error {
 	a.size += len(event.Data)
 	if a.size > a.limit {
 		return ErrTooLarge
 	}
 	decoder := json.NewDecoder(bytes.NewReader(event.Data))
-	decoder.UseNumber() // numbers go through as they came
+	decoder.UseNumber() // numbers are copied unchanged
 	var chunk object
 	if err := decoder.Decode(&chunk); err != nil || chunk == nil {
 		return ErrMalformed
@@ -51,37 +51,37 @@
 	delete(chunk, "choices")
 	for name, value := range chunk {
 		if value != nil {
-			a.outer[name] = value
+			a.fields[name] = value
 		}
 	}
 	a.choices = mergeLists(a.choices, choices)
 	return nil
 }
 
-// Answer writes the whole answer under the caller's request id, or fails with ErrNotWhole.
+// Answer encodes the complete answer with the id of the caller's request, or returns ErrNotWhole.
 func (a *Assembler) Answer(id string) (answer []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "assemble answer") }()
 	if len(a.choices) == 0 {
 		return nil, ErrNotWhole
 	}
-	a.outer["object"] = "text_completion"
-	for _, each := range a.choices {
-		choice, ok := each.(object)
+	a.fields["object"] = "text_completion"
+	for _, item := range a.choices {
+		choice, ok := item.(object)
 		if !ok || choice["finish_reason"] == nil {
 			return nil, ErrNotWhole
 		}
 		if delta, chat := choice["delta"].(object); chat {
-			a.outer["object"] = "chat.completion"
+			a.fields["object"] = "chat.completion"
 			delete(choice, "delta")
 			choice["message"] = message(delta)
 		}
 	}
-	a.outer["id"] = id
-	a.outer["choices"] = a.choices
-	return json.Marshal(a.outer)
+	a.fields["id"] = id
+	a.fields["choices"] = a.choices
+	return json.Marshal(a.fields)
 }
 
-// message completes merged deltas to a message.
+// message converts merged deltas to a message.
 func message(delta object) object {
 	if delta["role"] == nil {
 		delta["role"] = "assistant"
@@ -94,52 +94,52 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// wholeFields come whole in one event; all other strings come in pieces.
-var wholeFields = map[string]bool{
+// unsplitFields are never split over several events. All other strings are.
+var unsplitFields = map[string]bool{
 	"role": true, "id": true, "type": true, "name": true, "finish_reason": true, "stop_reason": true,
 }
 
-// merge adds a piece to what came before: strings are joined, objects merged by field, lists by the
-// index their members name. Anything else is replaced, and null adds nothing.
-func merge(name string, before, piece any) any {
-	if piece == nil {
-		return before
+// merge adds a fragment to the earlier value: strings are concatenated, objects merged by field, and lists merged by
+// the index field of their members. Any other value is replaced, and null is ignored.
+func merge(name string, earlier, fragment any) any {
+	if fragment == nil {
+		return earlier
 	}
-	switch piece := piece.(type) {
+	switch fragment := fragment.(type) {
 	case string:
-		if earlier, ok := before.(string); ok && !wholeFields[name] {
-			return earlier + piece
+		if earlier, ok := earlier.(string); ok && !unsplitFields[name] {
+			return earlier + fragment
 		}
 	case object:
-		if earlier, ok := before.(object); ok {
-			return mergeObjects(earlier, piece)
+		if earlier, ok := earlier.(object); ok {
+			return mergeObjects(earlier, fragment)
 		}
 	case []any:
-		if earlier, ok := before.([]any); ok {
-			return mergeLists(earlier, piece)
+		if earlier, ok := earlier.([]any); ok {
+			return mergeLists(earlier, fragment)
 		}
 	}
-	return piece
+	return fragment
 }
 
-func mergeObjects(before, piece object) object {
-	for name, value := range piece {
-		before[name] = merge(name, before[name], value)
+func mergeObjects(earlier, fragment object) object {
+	for name, value := range fragment {
+		earlier[name] = merge(name, earlier[name], value)
 	}
-	return before
+	return earlier
 }
 
-// mergeLists matches members by their "index" field; members without one are appended.
-func mergeLists(before, pieces []any) []any {
-	for _, piece := range pieces {
-		at := position(before, piece)
+// mergeLists matches members by their "index" field. Members without one are appended.
+func mergeLists(earlier, fragments []any) []any {
+	for _, fragment := range fragments {
+		at := position(earlier, fragment)
 		if at < 0 {
-			before = append(before, piece)
+			earlier = append(earlier, fragment)
 			continue
 		}
-		before[at] = merge("", before[at], piece)
+		earlier[at] = merge("", earlier[at], fragment)
 	}
-	return before
+	return earlier
 }
 
 func position(list []any, member any) int {
@@ -147,8 +147,8 @@
 	if !ok {
 		return -1
 	}
-	for at, each := range list {
-		if other, ok := indexOf(each); ok && other == index {
+	for at, item := range list {
+		if other, ok := indexOf(item); ok && other == index {
 			return at
 		}
 	}
--- a/internal/caller/stream/benchmark_test.go
+++ b/internal/caller/stream/benchmark_test.go
@@ -9,8 +9,8 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-// BenchmarkPassOn is what an instance does for each event of a stream apart from the sockets: read it,
-// look into it, rewrite it and write it.
+// BenchmarkPassOn measures what an instance does for each event of a stream, without the sockets: read, parse,
+// rewrite and write it.
 func BenchmarkPassOn(b *testing.B) {
 	event := "id: 7\ndata: " + `{"id":"request-1","object":"text_completion","created":1790000000,` +
 		`"model":"bids@2","choices":[{"index":0,"text":" paint","finish_reason":null}]}` + "\n\n"
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkAssemble is the cost of one event of an answer of so many tokens that is not streamed.
+// BenchmarkAssemble measures the cost per event of a non-streaming answer with the given number of tokens.
 func BenchmarkAssemble(b *testing.B) {
 	for _, tokens := range []int{100, 1000, 8000} {
 		b.Run(fmt.Sprint(tokens), func(b *testing.B) {
--- a/internal/caller/stream/chunk.go
+++ b/internal/caller/stream/chunk.go
@@ -1,7 +1,7 @@
 package stream
 
-// What one event of a completion stream says. Chunk is the domain's view of it; the tagged types are
-// the wire's and stay in this file.
+// The content of one event of a completion stream. Chunk is the domain type. The tagged types define the wire format and
+// are used only in this file.
 
 import (
 	"bytes"
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// Usage is the engine's count of a completion's tokens. Zero when the engine gave none.
+// Usage is the engine's token count of a completion, or zero if the engine sent none.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
 }
 
-// Total is what the completion cost.
+// Total returns the cost of the completion.
 func (u Usage) Total() int { return u.PromptTokens + u.CompletionTokens }
 
-// Chunk is what an event's data says, as far as the serving layer looks into it. Finished: it holds a
-// finish reason. Counted: it holds a usage. Failure is the message of an error event.
+// Chunk contains the fields of an event's data that the serving layer uses. Finished: it has a finish reason.
+// Counted: it has a usage. Failure is the message of an error event.
 type Chunk struct {
 	ID       string
 	Model    string
@@ -52,9 +52,9 @@
 	Message string `json:"message"`
 }
 
-// ParseChunk reads an event's data.
+// ParseChunk decodes an event's data.
 func ParseChunk(event Event) (chunk Chunk, err error) {
-	defer func() { err = errors.WithMessage(err, "completion event") }()
+	defer func() { err = errors.WithMessage(err, "parse completion event") }()
 	var wire wireChunk
 	if err := json.Unmarshal(event.Data, &wire); err != nil {
 		return Chunk{}, errors.Wrap(ErrMalformed, err.Error())
@@ -80,33 +80,33 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// ForCaller rewrites an engine's event for the caller: the id is that of the caller's request, since
-// a retried request has another one at the engine, and usage appears only if the caller asked for it.
-// It reports false when nothing is left to send. The count in the id line is the engine's and goes.
+// ForCaller rewrites an engine's event for the caller. The id becomes that of the caller's request, since a retried
+// request has another id at the engine. Usage is removed unless the caller requested it. It returns false if nothing
+// is left to send. The token count in the id line is internal to the engine and is removed.
 func ForCaller(event Event, id string, includeUsage bool) (rewritten Event, send bool, err error) {
-	if data, ok := withFirstID(event.Data, id); ok {
+	if data, ok := replaceLeadingID(event.Data, id); ok {
 		return Event{Data: data}, true, nil
 	}
-	return reencoded(event, id, includeUsage)
+	return reencode(event, id, includeUsage)
 }
 
-// openingID opens the events of the engines in use: the id is the document's first field.
-var openingID = []byte(`{"id":"`)
+// idPrefix starts the events of the supported engines: the id is the first field of the document.
+var idPrefix = []byte(`{"id":"`)
 
-// withFirstID exchanges the bytes of an id that comes first and copies the rest as it came. Made for
-// the events with nothing but a token, which are nearly all: to decode and encode each whole document
-// was the largest part of a token's cost. It leaves alone what it can't tell from the bytes: a second id
-// would win at the caller, and a usage must be taken out.
-func withFirstID(data []byte, id string) (rewritten []byte, ok bool) {
-	behind, found := bytes.CutPrefix(data, openingID)
+// replaceLeadingID replaces the bytes of an id that comes first and copies the rest unchanged. It is the fast path
+// for events with nothing but a token, which are nearly all: decoding and encoding each document was the largest part
+// of the cost of a token. It returns false for anything that cannot be decided from the bytes: a second id would
+// override the first at the caller, and a usage must be removed.
+func replaceLeadingID(data []byte, id string) (rewritten []byte, ok bool) {
+	afterPrefix, found := bytes.CutPrefix(data, idPrefix)
 	if !found {
 		return nil, false
 	}
-	end := bytes.IndexByte(behind, '"')
-	if end < 0 || bytes.IndexByte(behind[:end], '\\') >= 0 {
+	end := bytes.IndexByte(afterPrefix, '"')
+	if end < 0 || bytes.IndexByte(afterPrefix[:end], '\\') >= 0 {
 		return nil, false
 	}
-	rest := behind[end+1:]
+	rest := afterPrefix[end+1:]
 	if mayNameField(rest) || !json.Valid(data) {
 		return nil, false
 	}
@@ -116,22 +116,22 @@
 	return append(rewritten, rest...), true
 }
 
-// The ways in which a JSON text can name the fields that ForCaller changes: written out, or with a
-// letter escaped, which for these letters begins as asciiEscape does.
+// The forms in which JSON text can name the fields that ForCaller changes: literally, or with an escaped letter, which
+// for these letters starts with asciiEscape.
 var (
 	quotedID    = []byte(`"id"`)
 	quotedUsage = []byte(`"usage"`)
 	asciiEscape = []byte(`\u00`)
 )
 
-// mayNameField tells whether the text may name an id or a usage, at any depth; it never misses one.
+// mayNameField reports whether the text may name an id or a usage, at any depth. It has no false negatives.
 func mayNameField(text []byte) bool {
 	return bytes.Contains(text, quotedID) || bytes.Contains(text, quotedUsage) || bytes.Contains(text, asciiEscape)
 }
 
-// reencoded rewrites any event, by decoding and encoding its document.
-func reencoded(event Event, id string, includeUsage bool) (rewritten Event, send bool, err error) {
-	defer func() { err = errors.WithMessage(err, "rewrite event") }()
+// reencode rewrites any event by decoding and encoding its document.
+func reencode(event Event, id string, includeUsage bool) (rewritten Event, send bool, err error) {
+	defer func() { err = errors.WithMessage(err, "rewrite completion event") }()
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(event.Data, &document); err != nil || document == nil {
 		return Event{}, false, ErrMalformed
--- a/internal/caller/stream/codec_test.go
+++ b/internal/caller/stream/codec_test.go
@@ -38,16 +38,16 @@
 		{"empty", "", nil, io.EOF},
 		{"plain", "id: 3\ndata: a\n\n", []stream.Event{{ID: "3", Data: []byte("a")}}, io.EOF},
 		{"two lines", "data: a\ndata: b\n\n", []stream.Event{{Data: []byte("a\nb")}}, io.EOF},
-		{"no blank", "event:e\r\ndata:a\r\n\r\n", []stream.Event{{Name: "e", Data: []byte("a")}}, io.EOF},
+		{"no space after the colon", "event:e\r\ndata:a\r\n\r\n", []stream.Event{{Name: "e", Data: []byte("a")}}, io.EOF},
 		{"comments", ": ping\n\n: ping\ndata: a\n\n", []stream.Event{{Data: []byte("a")}}, io.EOF},
-		{"mark", "\ufeffdata: a\n\n", []stream.Event{{Data: []byte("a")}}, io.EOF},
+		{"byte order mark", "\ufeffdata: a\n\n", []stream.Event{{Data: []byte("a")}}, io.EOF},
 		{"without data", "id: 1\n\ndata: a\n\n", []stream.Event{{Data: []byte("a")}}, io.EOF},
-		{"cut before the blank line", "data: a\n", nil, io.ErrUnexpectedEOF},
-		{"cut in a line", "data: a\n\ndata", []stream.Event{{Data: []byte("a")}}, io.ErrUnexpectedEOF},
+		{"truncated before the blank line", "data: a\n", nil, io.ErrUnexpectedEOF},
+		{"truncated line", "data: a\n\ndata", []stream.Event{{Data: []byte("a")}}, io.ErrUnexpectedEOF},
 		{"long line", "data: " + long + "\n\n", nil, stream.ErrTooLong},
 		{"many lines", "data: " + long[:40] + "\ndata: " + long[:40] + "\n\n", nil, stream.ErrTooLong},
 		{"endless line", strings.Repeat("x", 1<<16), nil, stream.ErrTooLong},
-		{"lone return", "data: a\rb\n\n", nil, stream.ErrMalformed},
+		{"lone carriage return", "data: a\rb\n\n", nil, stream.ErrMalformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 		writer := stream.Writer{Destination: &out}
 		for _, event := range events {
 			if err := writer.Write(event); err != nil {
-				t.Fatal("an event that was read can't be written", err)
+				t.Fatal("an event that was read cannot be written", err)
 			}
 		}
 		again, err := readAll(&out)
@@ -135,10 +135,10 @@
 			`{"id":"r1","object":"chat.completion","choices":[{"index":0,"finish_reason":"tool_calls","message":{"role":"assistant","content":null,"tool_calls":[{"index":0,"id":"c","type":"function","function":{"name":"f","arguments":"{\"a\":1}"}}]}}]}`,
 			nil,
 		},
-		{"no end", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrNotWhole},
-		{"nothing", nil, "", stream.ErrNotWhole},
-		{"no object", []string{`[]`}, "", stream.ErrMalformed},
-		{"large", []string{`{"a":"` + strings.Repeat("x", 1<<10) + `"}`}, "", stream.ErrTooLarge},
+		{"no finish reason", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrNotWhole},
+		{"no events", nil, "", stream.ErrNotWhole},
+		{"not an object", []string{`[]`}, "", stream.ErrMalformed},
+		{"too large", []string{`{"a":"` + strings.Repeat("x", 1<<10) + `"}`}, "", stream.ErrTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -169,9 +169,9 @@
 	is.True(!send)
 }
 
-// The caller must find its own id and no usage that it did not ask for, whichever way the event was
-// rewritten, and everything else as the engine sent it. A second id, or one spelled with escapes, would
-// win over the first at the caller.
+// Whichever way an event was rewritten, the caller must find its own request id, no usage that it did not request,
+// and everything else as the engine sent it. A second id, or one spelled with escapes, would override the first at
+// the caller.
 func FuzzForCaller(f *testing.F) {
 	for _, data := range []string{
 		`{"id":"x","model":"a@1","choices":[{"index":0,"text":" paint"}]}`,
@@ -189,7 +189,7 @@
 		valid := json.Unmarshal(data, &want) == nil && want != nil
 		rewritten, send, err := stream.ForCaller(stream.Event{Data: data}, "r1", includeUsage)
 		if (err == nil) != valid {
-			t.Fatalf("valid %v, but %v", valid, err)
+			t.Fatalf("valid is %v, but the error is %v", valid, err)
 		}
 		if err != nil || !send {
 			return
--- a/internal/caller/stream/event.go
+++ b/internal/caller/stream/event.go
@@ -1,6 +1,6 @@
-// Package stream is the server-sent-events format, as engines send their answers and callers receive
-// them: a reader and a writer of events, both with bounded sizes, and the assembling of one whole
-// answer out of a stream's events.
+// Package stream implements the server-sent events format in which engines send their answers and callers receive
+// them: a reader and a writer of events with bounded sizes, and an assembler that merges the events of a stream into
+// one answer.
 package stream
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// doneMark is the data of the event that ends a completion stream.
-const doneMark = "[DONE]"
+// doneData is the data of the event that ends a completion stream.
+const doneData = "[DONE]"
 
-// Event is one server-sent event. ID is the text of its "id:" line (engines put the number of tokens
-// so far there), Name that of its "event:" line; both may be empty. Data is never changed in place.
+// Event is a server-sent event. ID is the value of its "id:" line, in which engines send the number of tokens so far.
+// Name is the value of its "event:" line. Both may be empty. Data is never modified in place.
 type Event struct {
 	Name string
 	ID   string
 	Data []byte
 }
 
-// ErrNoCount means that the event's id line is missing or is no count of tokens.
-var ErrNoCount = errors.New("stream: event without a count of tokens")
+// ErrNoCount means that the event's id line is missing or is not a token count.
+var ErrNoCount = errors.New("stream: event id is not a token count")
 
-// Done makes the event that ends a stream.
-func Done() Event { return Event{Data: []byte(doneMark)} }
+// Done returns the event that ends a stream.
+func Done() Event { return Event{Data: []byte(doneData)} }
 
-// IsDone tells whether the event ends a stream.
-func (e Event) IsDone() bool { return string(e.Data) == doneMark }
+// IsDone reports whether the event ends a stream.
+func (e Event) IsDone() bool { return string(e.Data) == doneData }
 
 // WithData returns the event with other data.
 func (e Event) WithData(data []byte) Event {
@@ -41,7 +41,7 @@
 	return e
 }
 
-// Tokens reads the number of tokens so far from the id line, or fails with ErrNoCount.
+// Tokens returns the number of tokens so far from the id line, or ErrNoCount.
 func (e Event) Tokens() (int, error) {
 	count, err := strconv.Atoi(e.ID)
 	if err != nil || count < 0 {
--- a/internal/caller/stream/reader.go
+++ b/internal/caller/stream/reader.go
@@ -11,37 +11,37 @@
 // Errors of a Reader. A stream that ends inside an event gives io.ErrUnexpectedEOF, one that ends
 // between two events io.EOF.
 var (
-	// ErrTooLong means that a line or an event is longer than the reader's bound. Without a bound an
-	// engine that never ends its line would fill this process's memory.
-	ErrTooLong = errors.New("stream: line or event too long")
-	// ErrMalformed means that the bytes are no event stream.
+	// ErrTooLong means that a line or an event exceeds the reader's limit. Without a limit, an engine that never ends
+	// its line would fill the memory of this process.
+	ErrTooLong = errors.New("stream: line or event exceeds the size limit")
+	// ErrMalformed means that the bytes are not an event stream.
 	ErrMalformed = errors.New("stream: malformed event")
 )
 
-// byteOrderMark may open a stream and means nothing.
+// byteOrderMark may start a stream and is ignored.
 const byteOrderMark = "\ufeff"
 
-// Reader reads events from a stream. Lines end in LF or CR LF; a lone CR, which the format also allows
-// but no engine sends, is malformed, because waiting for the byte after it would delay an event.
+// Reader reads events from a stream. Lines end in LF or CR LF. A lone CR, which the format also allows but no engine
+// sends, is malformed, because waiting for the byte after it would delay an event.
 type Reader struct {
-	source *bufio.Reader
-	limit  int
-	begun  bool
+	source  *bufio.Reader
+	limit   int
+	started bool
 }
 
-// NewReader reads events whose lines, and whose data together, are at most limit bytes long.
+// NewReader returns a reader of events whose lines, and whose data in total, are at most limit bytes long.
 func NewReader(source io.Reader, limit int) *Reader {
 	return &Reader{source: bufio.NewReader(source), limit: limit}
 }
 
-// Next reads the next event that has data. An event whose closing blank line did not come is never
-// returned: its data may be cut anywhere.
+// Next returns the next event that has data. An event without its closing blank line is never returned, because its
+// data may be truncated.
 func (r *Reader) Next() (Event, error) {
 	var pending pendingEvent
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
-			return Event{}, endOf(err, pending.begun)
+			return Event{}, unexpectedEOF(err, pending.started)
 		}
 		if len(line) == 0 {
 			if pending.hasData {
@@ -57,26 +57,26 @@
 	}
 }
 
-// endOf makes a plain end inside an event an unexpected one.
-func endOf(err error, begun bool) error {
-	if errors.Is(err, io.EOF) && begun {
+// unexpectedEOF converts io.EOF inside an event to io.ErrUnexpectedEOF.
+func unexpectedEOF(err error, started bool) error {
+	if errors.Is(err, io.EOF) && started {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// line reads one line without its end. A last line without an end is a cut one. The line is the
-// reader's own memory until the next call: a copy of each would be a good part of an event's cost.
-func (r *Reader) line() (line []byte, err error) {
-	line, err = r.lineWithEnd()
+// readLine returns one line without its line ending. A last line without a line ending is truncated. The line is
+// valid until the next call: copying each line would be a large part of the cost of an event.
+func (r *Reader) readLine() (line []byte, err error) {
+	line, err = r.readRawLine()
 	if err != nil {
-		return nil, endOf(err, len(line) > 0)
+		return nil, unexpectedEOF(err, len(line) > 0)
 	}
 	line = bytes.TrimSuffix(line, []byte("\n"))
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	if !r.begun {
+	if !r.started {
 		line = bytes.TrimPrefix(line, []byte(byteOrderMark))
-		r.begun = true
+		r.started = true
 	}
 	if bytes.IndexByte(line, '\r') >= 0 {
 		return nil, ErrMalformed
@@ -84,9 +84,9 @@
 	return line, nil
 }
 
-// lineWithEnd reads up to the end of a line, and copies only what is longer than the source's buffer.
-// With an error it returns what came before it.
-func (r *Reader) lineWithEnd() (line []byte, err error) {
+// readRawLine returns a line with its line ending, and copies it only if it is longer than the source's buffer. With
+// an error it returns the bytes read before it.
+func (r *Reader) readRawLine() (line []byte, err error) {
 	for {
 		part, err := r.source.ReadSlice('\n')
 		if len(line)+len(part) > r.limit+len("\r\n") {
@@ -102,18 +102,18 @@
 	}
 }
 
-// pendingEvent gathers the lines of one event.
+// pendingEvent collects the lines of one event.
 type pendingEvent struct {
-	begun   bool
+	started bool
 	hasData bool
 	name    string
 	id      string
 	data    []byte
 }
 
-// add takes one line. Unknown fields and comments are skipped, as the format asks.
+// add adds one line. Unknown fields and comments are skipped, as the format requires.
 func (p *pendingEvent) add(line []byte) {
-	p.begun = true
+	p.started = true
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(field) {
--- a/internal/caller/stream/writer.go
+++ b/internal/caller/stream/writer.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Writer writes events. Each event goes out in one write, so that a reader never waits for the rest
-// of one that is complete here. Flush, when set, is called after each.
+// Writer writes events. Each event is sent in one write, so that a reader never waits for the rest of a complete
+// event. Flush, if set, is called after each event.
 type Writer struct {
 	Destination io.Writer
 	Flush       func()
 }
 
-// Write writes one event. Line breaks in the data become several data lines; a name or an id with a
-// line break is malformed, because what follows the break would pass for another field.
+// Write writes one event. Line breaks in the data become several data lines. A name or an id with a line break is
+// malformed, because the text after the break would be read as another field.
 func (w *Writer) Write(event Event) error {
 	if strings.ContainsAny(event.Name+event.ID, "\r\n") || bytes.IndexByte(event.Data, '\r') >= 0 {
 		return ErrMalformed
