--- a/internal/caller/api/bad_input_test.go
+++ b/internal/caller/api/bad_input_test.go
@@ -262,7 +262,7 @@
 	}()
 	<-started
 	server.stop()
-	time.Sleep(100 * time.Millisecond) // shorter than Settle; the flag is set within microseconds
+	time.Sleep(100 * time.Millisecond) // within the shutdown delay; the flag is set within microseconds
 	is.Equal(listModels(t, kept, keptReader), "close")
 	time.Sleep(stopLimits.Settle)
 	close(release)
--- a/internal/caller/api/server.go
+++ b/internal/caller/api/server.go
@@ -19,20 +19,19 @@
 // Limits of the callers' API. Each bounds how much of the shared resources one caller can use.
 type Limits struct {
 	Completion completion.Limits
-	// ServiceBodyBytes bounds the body of a plain service's call, AnswerBytes an assembled answer.
+	// Limits on the body of a plain service's call and on an assembled answer.
 	ServiceBodyBytes, AnswerBytes int
-	// HeaderBytes and HeaderWithin bound the size and the time of a request's headers, BodyWithin the time of its
-	// body.
+	// Limits on the size and the time of a request's headers, and on the time of its body.
 	HeaderBytes              int
 	HeaderWithin, BodyWithin time.Duration
 	// WriteWithin is the write timeout for each part of an answer.
 	WriteWithin time.Duration
 	// Idle is how long a connection is kept open between requests.
 	Idle time.Duration
-	// Connections is the limit on open connections, Requests the limit on requests in flight.
+	// Limits on open connections and on requests in flight.
 	Connections, Requests int
-	// Settle is how long a stopping server continues to accept new requests. It must be longer than the load balancer
-	// takes to detect the stop. Drain is how long the server then waits for requests in flight.
+	// How long a stopping server continues to accept new requests, and how long it then waits for requests in flight.
+	// The first must be longer than the load balancer takes to detect the stop.
 	Settle, Drain time.Duration
 }
 
@@ -54,8 +53,8 @@
 	}
 }
 
-// Server serves the callers' API. Listener and Pipeline are set before Run. The zero Limits mean DefaultLimits.
-// Observe, if set, is called after each request. ErrorLog receives the connection errors of net/http, which may
+// Server serves the callers' API. Listener and Pipeline are set before Run. The zero Limits mean DefaultLimits. The
+// optional callback is called after each request. ErrorLog receives the connection errors of net/http, which may
 // contain callers' addresses but no keys.
 type Server struct {
 	Listener net.Listener
@@ -69,7 +68,7 @@
 	inFlight        chan struct{}
 }
 
-// Run serves until ctx ends, then stops without aborting a request. For Settle it continues to serve, since the load
+// Run serves until ctx ends, then stops without aborting a request. At first it continues to serve, since the load
 // balancer and callers with open connections have not detected the stop yet, and asks each connection to close with
 // its next answer. Then it stops listening and waits for the requests in flight.
 //
--- a/internal/caller/stream/assembler.go
+++ b/internal/caller/stream/assembler.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Answer encodes the complete answer with the id of the caller's request, or returns ErrNotWhole.
+// Answer encodes the complete answer with the id of the caller's request, or fails if the answer is incomplete.
 func (a *Assembler) Answer(id string) (answer []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "assemble answer") }()
 	if len(a.choices) == 0 {
--- a/internal/caller/stream/event.go
+++ b/internal/caller/stream/event.go
@@ -41,7 +41,7 @@
 	return e
 }
 
-// Tokens returns the number of tokens so far from the id line, or ErrNoCount.
+// Tokens returns the number of tokens so far from the id line, or an error without a valid count.
 func (e Event) Tokens() (int, error) {
 	count, err := strconv.Atoi(e.ID)
 	if err != nil || count < 0 {
--- a/internal/placement/forecast/forecast.go
+++ b/internal/placement/forecast/forecast.go
@@ -9,8 +9,8 @@
 
 // Initial values, used until answers have been measured.
 const (
-	// GuessLoad and GuessReload are the initial estimates of the time to load an adapter: from the weight store, and
-	// at an upstream that had it recently.
+	// The initial estimates of the time to load an adapter: from the weight store, and at an upstream that had it
+	// recently.
 	GuessLoad   = 300 * time.Millisecond
 	GuessReload = 30 * time.Millisecond
 
--- a/internal/placement/forecast/load.go
+++ b/internal/placement/forecast/load.go
@@ -20,9 +20,10 @@
 	laterPollWeight = 0.5
 )
 
-// Load predicts the duration of loads whose end is not announced, so that the upstream has to be polled. Set Guess,
-// the estimate until the first load is measured. It is not safe for concurrent use.
+// Load predicts the duration of loads whose end is not announced, so that the upstream has to be polled. It is not
+// safe for concurrent use.
 type Load struct {
+	// Guess is the estimate until the first load is measured. Set it before use.
 	Guess time.Duration
 
 	estimate time.Duration
--- a/internal/placement/retry/budget_test.go
+++ b/internal/placement/retry/budget_test.go
@@ -92,7 +92,7 @@
 			retries++
 		}
 	}
-	is.True(retries <= 16+1) // the ratio, and the half of Most that a new budget starts with
+	is.True(retries <= 16+1) // the ratio, and the half of the maximum that a new budget starts with
 	is.True(budgets.Of("generations").Allow())
 	budgets.Bound(0)
 	is.True(!budgets.Of("generations").Allow())
--- a/internal/placement/retry/budgets.go
+++ b/internal/placement/retry/budgets.go
@@ -4,8 +4,8 @@
 
 // Budgets holds one budget per service, because operators bound the retries of each service. With a single budget,
 // the first tries of a busy service would pay for the retries of a failing one. The failing service would get several
-// times the allowed load when its capacity is lowest. Set Ratio and Most before use. It is not safe for concurrent
-// use.
+// times the allowed load when its capacity is lowest. Set the exported fields before use. It is not safe for
+// concurrent use.
 type Budgets struct {
 	// Ratio is the allowed ratio of retries to first tries of a service.
 	Ratio float64
--- a/internal/placement/suspect/tracker.go
+++ b/internal/placement/suspect/tracker.go
@@ -41,7 +41,7 @@
 	Refused Verdict = "refused"
 )
 
-// Settings of a Register.
+// Settings of the crash tracking.
 type Settings struct {
 	// ApartAfter, AloneAfter and RefuseAfter are the numbers of crashes after which a request runs apart from other
 	// suspects, runs alone, or is refused.
@@ -94,47 +94,47 @@
 }
 
 // Crashed records that an upstream crashed while these requests of this instance were in flight there.
-func (r *Register) Crashed(now time.Time, inFlight []Fingerprint) {
-	r.initialize()
-	r.dropExpired(now)
+func (t *Register) Crashed(now time.Time, inFlight []Fingerprint) {
+	t.initialize()
+	t.dropExpired(now)
 	for _, fingerprint := range inFlight {
-		count := r.local[fingerprint]
+		count := t.local[fingerprint]
 		count.Fingerprint = fingerprint
 		count.Crashes++
 		count.changedAt = now
-		r.local[fingerprint] = count
+		t.local[fingerprint] = count
 	}
-	for len(r.local) > r.Settings.Most {
-		r.dropOldest()
+	for len(t.local) > t.Settings.Most {
+		t.dropOldest()
 	}
 }
 
 // Completed records that the request ran to completion, so it did not cause the crashes so far. Crashes counted by
 // peers are cleared with a local count, which peers receive in the next heartbeat.
-func (r *Register) Completed(now time.Time, fingerprint Fingerprint) {
-	r.initialize()
-	crashes := r.openCrashes(fingerprint)
+func (t *Register) Completed(now time.Time, fingerprint Fingerprint) {
+	t.initialize()
+	crashes := t.openCrashes(fingerprint)
 	if crashes <= 0 {
 		return
 	}
-	count := r.local[fingerprint]
+	count := t.local[fingerprint]
 	count.Fingerprint = fingerprint
 	count.Cleared += crashes
 	count.changedAt = now
-	r.local[fingerprint] = count
+	t.local[fingerprint] = count
 }
 
 // Judge returns how the request may run, and when to retry if it is refused.
-func (r *Register) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
-	r.initialize()
-	r.dropExpired(now)
-	crashes := r.openCrashes(fingerprint)
+func (t *Register) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
+	t.initialize()
+	t.dropExpired(now)
+	crashes := t.openCrashes(fingerprint)
 	switch {
-	case crashes >= r.Settings.RefuseAfter:
-		return Refused, r.Settings.Forget
-	case crashes >= r.Settings.AloneAfter:
+	case crashes >= t.Settings.RefuseAfter:
+		return Refused, t.Settings.Forget
+	case crashes >= t.Settings.AloneAfter:
 		return Alone, 0
-	case crashes >= r.Settings.ApartAfter:
+	case crashes >= t.Settings.ApartAfter:
 		return Apart, 0
 	default:
 		return Free, 0
@@ -142,11 +142,11 @@
 }
 
 // Own returns the counts of this instance, for its heartbeat, sorted by fingerprint.
-func (r *Register) Own(now time.Time) []Count {
-	r.initialize()
-	r.dropExpired(now)
-	counts := make([]Count, 0, len(r.local))
-	for _, count := range r.local {
+func (t *Register) Own(now time.Time) []Count {
+	t.initialize()
+	t.dropExpired(now)
+	counts := make([]Count, 0, len(t.local))
+	for _, count := range t.local {
 		counts = append(counts, count.Count)
 	}
 	sort.Slice(counts, func(i, j int) bool { return counts[i].Fingerprint < counts[j].Fingerprint })
@@ -155,26 +155,26 @@
 
 // Merge replaces the counts of a peer. A heartbeat contains all counts of its sender, so a lost heartbeat loses
 // nothing and a duplicate has no effect.
-func (r *Register) Merge(now time.Time, instance string, counts []Count) {
-	r.initialize()
+func (t *Register) Merge(now time.Time, instance string, counts []Count) {
+	t.initialize()
 	if len(counts) == 0 {
-		delete(r.peers, instance)
+		delete(t.peers, instance)
 		return
 	}
 	received := peerCounts{counts: make(map[Fingerprint]Count, len(counts)), receivedAt: now}
 	for _, count := range counts {
 		received.counts[count.Fingerprint] = count
 	}
-	r.peers[instance] = received
+	t.peers[instance] = received
 }
 
 // ---------------------------------------------------------------------------------------------
 
 // openCrashes returns the number of crashes, counted by any instance, that the request is not cleared of.
-func (r *Register) openCrashes(fingerprint Fingerprint) (crashes int) {
-	count := r.local[fingerprint]
+func (t *Register) openCrashes(fingerprint Fingerprint) (crashes int) {
+	count := t.local[fingerprint]
 	crashes = count.Crashes - count.Cleared
-	for _, peer := range r.peers {
+	for _, peer := range t.peers {
 		crashes += peer.counts[fingerprint].Crashes - peer.counts[fingerprint].Cleared
 	}
 	return crashes
@@ -183,33 +183,33 @@
 // dropExpired drops local counts that have not changed within the retention time, and the counts of instances that no
 // longer send heartbeats. A retry of a refused request does not extend the retention, so the request is allowed again
 // after the engine was repaired.
-func (r *Register) dropExpired(now time.Time) {
-	for fingerprint, count := range r.local {
-		if now.Sub(count.changedAt) > r.Settings.Forget {
-			delete(r.local, fingerprint)
+func (t *Register) dropExpired(now time.Time) {
+	for fingerprint, count := range t.local {
+		if now.Sub(count.changedAt) > t.Settings.Forget {
+			delete(t.local, fingerprint)
 		}
 	}
-	for instance, peer := range r.peers {
-		if now.Sub(peer.receivedAt) > r.Settings.Forget {
-			delete(r.peers, instance)
+	for instance, peer := range t.peers {
+		if now.Sub(peer.receivedAt) > t.Settings.Forget {
+			delete(t.peers, instance)
 		}
 	}
 }
 
-func (r *Register) dropOldest() {
+func (t *Register) dropOldest() {
 	var oldest Fingerprint
-	for fingerprint, count := range r.local {
-		if oldest == "" || count.changedAt.Before(r.local[oldest].changedAt) {
+	for fingerprint, count := range t.local {
+		if oldest == "" || count.changedAt.Before(t.local[oldest].changedAt) {
 			oldest = fingerprint
 		}
 	}
-	delete(r.local, oldest)
+	delete(t.local, oldest)
 }
 
 // initialize makes the zero value usable, as the exported field is set after construction.
-func (r *Register) initialize() {
-	if r.local == nil {
-		r.local = make(map[Fingerprint]localCount)
-		r.peers = make(map[string]peerCounts)
+func (t *Register) initialize() {
+	if t.local == nil {
+		t.local = make(map[Fingerprint]localCount)
+		t.peers = make(map[string]peerCounts)
 	}
 }
--- a/internal/placement/turn/queue.go
+++ b/internal/placement/turn/queue.go
@@ -49,53 +49,53 @@
 	lastDispatch time.Time
 }
 
-// Join adds a prompt to the queue. It must be removed by Take or Leave.
-func (l *Line) Join(now time.Time, prompt *Prompt) {
+// Join adds a prompt to the queue. It must be dispatched or removed later.
+func (q *Line) Join(now time.Time, prompt *Prompt) {
 	prompt.enqueuedAt = now
-	l.waiting = append(l.waiting, prompt)
+	q.waiting = append(q.waiting, prompt)
 }
 
 // Leave removes a prompt that was cancelled.
-func (l *Line) Leave(prompt *Prompt) {
-	l.waiting = slices.DeleteFunc(l.waiting, func(other *Prompt) bool { return other == prompt })
+func (q *Line) Leave(prompt *Prompt) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(other *Prompt) bool { return other == prompt })
 }
 
 // Take dispatches the prompt if it is at the head of the queue and the engine is ready for it. Otherwise it returns
 // the latest time at which to try again.
-func (l *Line) Take(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
-	if now.Before(l.nextDispatch) {
-		return l.nextDispatch, false
+func (q *Line) Take(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
+	if now.Before(q.nextDispatch) {
+		return q.nextDispatch, false
 	}
-	if l.head(now) != prompt {
+	if q.head(now) != prompt {
 		return now.Add(dispatchLead), false
 	}
-	l.Leave(prompt)
-	l.lastDispatch = now
-	if l.prefillEnd.Before(now) {
-		l.prefillEnd = now
+	q.Leave(prompt)
+	q.lastDispatch = now
+	if q.prefillEnd.Before(now) {
+		q.prefillEnd = now
 	}
-	l.prefillEnd = l.prefillEnd.Add(prompt.Prefill)
-	l.nextDispatch = l.prefillEnd.Add(-dispatchLead)
+	q.prefillEnd = q.prefillEnd.Add(prompt.Prefill)
+	q.nextDispatch = q.prefillEnd.Add(-dispatchLead)
 	if streams {
-		l.nextDispatch = l.nextDispatch.Add(time.Duration(decodeShare * float64(prompt.Prefill)))
+		q.nextDispatch = q.nextDispatch.Add(time.Duration(decodeShare * float64(prompt.Prefill)))
 	}
 	return time.Time{}, true
 }
 
 // Idle records that the engine has no prefill left. A prompt whose prefix was cached takes less time than predicted.
-func (l *Line) Idle(now time.Time) {
-	if now.Sub(l.lastDispatch) < reportDelay || !now.Before(l.nextDispatch) {
+func (q *Line) Idle(now time.Time) {
+	if now.Sub(q.lastDispatch) < reportDelay || !now.Before(q.nextDispatch) {
 		return
 	}
-	l.prefillEnd = now
-	l.nextDispatch = now
+	q.prefillEnd = now
+	q.nextDispatch = now
 }
 
 // Wait returns the expected queueing delay of a prompt, whether it is in the queue or not.
-func (l *Line) Wait(now time.Time, prompt *Prompt) time.Duration {
-	wait := max(l.nextDispatch.Sub(now), 0)
-	for _, other := range l.waiting {
-		if other != prompt && l.precedes(now, other, prompt) {
+func (q *Line) Wait(now time.Time, prompt *Prompt) time.Duration {
+	wait := max(q.nextDispatch.Sub(now), 0)
+	for _, other := range q.waiting {
+		if other != prompt && q.precedes(now, other, prompt) {
 			wait += other.Prefill
 		}
 	}
@@ -104,14 +104,14 @@
 
 // IsHopeless reports whether a prompt should be rejected instead of queued: its answer would be late and its wait
 // would exceed maxLateWait.
-func (l *Line) IsHopeless(now time.Time, prompt *Prompt) bool {
-	wait := l.Wait(now, prompt)
+func (q *Line) IsHopeless(now time.Time, prompt *Prompt) bool {
+	wait := q.Wait(now, prompt)
 	return wait > maxLateWait && now.Add(wait).After(prompt.OnTimeUntil)
 }
 
 // Tokens returns the total length of all queued prompts.
-func (l *Line) Tokens() (total int) {
-	for _, prompt := range l.waiting {
+func (q *Line) Tokens() (total int) {
+	for _, prompt := range q.waiting {
 		total += prompt.Tokens
 	}
 	return total
@@ -119,9 +119,9 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func (l *Line) head(now time.Time) (first *Prompt) {
-	for _, prompt := range l.waiting {
-		if first == nil || l.precedes(now, prompt, first) {
+func (q *Line) head(now time.Time) (first *Prompt) {
+	for _, prompt := range q.waiting {
+		if first == nil || q.precedes(now, prompt, first) {
 			first = prompt
 		}
 	}
@@ -130,7 +130,7 @@
 
 // precedes orders prompts that can still be on time before late ones, then by priority, then by arrival. A late
 // prompt has lost most of the value of its answer. Dispatched first, it would make the others late as well.
-func (l *Line) precedes(now time.Time, a, b *Prompt) bool {
+func (q *Line) precedes(now time.Time, a, b *Prompt) bool {
 	if late := now.After(a.OnTimeUntil); late != now.After(b.OnTimeUntil) {
 		return !late
 	}
