--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -53,7 +53,7 @@
 	d.peerServer = link.NewServer(serverCredentials)
 	peer.Register(d.peerServer, handler{daemon: d})
 	d.callerServer = &api.Server{Listener: d.listeners.caller, Pipeline: d.pipeline, Limits: d.callerLimits()}
-	d.callerServer.Observe = d.countRequest
+	d.callerServer.OnRequestDone = d.countRequest
 	d.operatorServer = &http.Server{
 		Handler:           d.operatorHandler(exposition),
 		ReadHeaderTimeout: operatorHeaderTimeout,
@@ -124,7 +124,7 @@
 		Burn:     d.burn,
 		Advice: &pipeline.Advice{
 			Router:   &route.Router{Settings: policy.Route},
-			Suspects: &suspect.Register{Settings: policy.Suspect},
+			Suspects: &suspect.Tracker{Settings: policy.Suspect},
 			Retries:  retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 			Shares:   &share.Tracker{},
 		},
@@ -138,8 +138,8 @@
 func (d *Daemon) callerLimits() api.Limits {
 	limits := api.DefaultLimits()
 	limits.Completion.BodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.ServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.Drain = d.Settings.Limits.StopWithin
+	limits.MaxServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
+	limits.DrainTimeout = d.Settings.Limits.StopWithin
 	return limits
 }
 
@@ -158,7 +158,7 @@
 }
 
 // countRequest counts a caller's request by route and status.
-func (d *Daemon) countRequest(record api.Observation) {
+func (d *Daemon) countRequest(record api.RequestRecord) {
 	tags := map[string]string{"route": record.Route, "status": strconv.Itoa(record.Status)}
 	d.scope.Tagged(tags).Counter("requests").Inc(1)
 }
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -138,9 +138,9 @@
 	now := time.Now()
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, summary := range heartbeat.Upstreams {
-			a.Router.Learn(now, routeSummary(summary, sampledAt))
+			a.Router.UpdateSummary(now, routeSummary(summary, sampledAt))
 		}
-		a.Suspects.Merge(now, heartbeat.Instance, heartbeat.Suspects)
+		a.Suspects.SetPeerCounts(now, heartbeat.Instance, heartbeat.Suspects)
 	})
 }
 
@@ -150,7 +150,7 @@
 	summaries := d.holding.Summaries(ctx)
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, summary := range summaries {
-			a.Router.Learn(now, routeSummary(summary, now))
+			a.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
 	})
 }
@@ -186,7 +186,7 @@
 		heartbeat.Told = bitmap
 	}
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		heartbeat.Suspects = a.Suspects.Own(time.Now())
+		heartbeat.Suspects = a.Suspects.LocalCounts(time.Now())
 	})
 	return heartbeat
 }
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -22,7 +22,7 @@
 	interval := n.overlay.currentStateInterval()
 	loadsFor := time.Duration(loadValidHeartbeats * float64(interval))
 	n.advice.With(func(a *serve.Advice) {
-		a.Retries.Bound(slack / parts)
+		a.Retries.SetMax(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
 		a.Pool.Settings.HeartbeatInterval = interval
 		a.Pool.Settings.HolderLoadTTL = loadsFor
