--- a/internal/caller/api/bad_input_test.go
+++ b/internal/caller/api/bad_input_test.go
@@ -26,7 +26,7 @@
 	pipeline := &fakePipeline{}
 	smallLimits := limits()
 	smallLimits.Completion.BodyBytes = 1 << 10
-	smallLimits.ServiceBodyBytes = 1 << 10
+	smallLimits.MaxServiceBodyBytes = 1 << 10
 	server := start(t, pipeline, smallLimits)
 	long := strings.Repeat("x", 2<<10)
 	const completions = "/v1/completions"
@@ -114,8 +114,8 @@
 func TestSlowAndEndlessSenders(t *testing.T) {
 	pipeline := &fakePipeline{}
 	shortLimits := limits()
-	shortLimits.HeaderWithin = 200 * time.Millisecond
-	shortLimits.BodyWithin = 200 * time.Millisecond
+	shortLimits.HeaderTimeout = 200 * time.Millisecond
+	shortLimits.BodyTimeout = 200 * time.Millisecond
 	server := start(t, pipeline, shortLimits)
 	flood := strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 200)
 	cases := []struct {
@@ -152,7 +152,7 @@
 		return err
 	}}
 	shortLimits := limits()
-	shortLimits.WriteWithin = 200 * time.Millisecond
+	shortLimits.WriteTimeout = 200 * time.Millisecond
 	server := start(t, pipeline, shortLimits)
 	conn, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -167,7 +167,7 @@
 func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	connectionLimits := limits()
-	connectionLimits.Connections = 1
+	connectionLimits.MaxConnections = 1
 	server := start(t, &fakePipeline{}, connectionLimits)
 	held, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -248,7 +248,7 @@
 	started, release := make(chan struct{}), make(chan struct{})
 	pipeline := &blockingPipeline{started: started, release: release}
 	stopLimits := limits()
-	stopLimits.Settle = 2 * time.Second
+	stopLimits.ShutdownDelay = 2 * time.Second
 	server := start(t, pipeline, stopLimits)
 	kept, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -264,7 +264,7 @@
 	server.stop()
 	time.Sleep(100 * time.Millisecond) // within the shutdown delay; the flag is set within microseconds
 	is.Equal(listModels(t, kept, keptReader), "close")
-	time.Sleep(stopLimits.Settle)
+	time.Sleep(stopLimits.ShutdownDelay)
 	close(release)
 	is.True(strings.Contains(<-completed, "[DONE]"))
 	is.NoErr(<-server.ended)
--- a/internal/caller/api/completions.go
+++ b/internal/caller/api/completions.go
@@ -38,7 +38,7 @@
 // completeBuffered answers with the complete completion or with a refusal, never with a partial answer.
 func (s *Server) completeBuffered(c echo.Context, request completion.Request) error {
 	state := stateOf(c)
-	sink := &bufferedSink{state: state, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.AnswerBytes)}
+	sink := &bufferedSink{state: state, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.MaxAnswerBytes)}
 	if err := s.Pipeline.Complete(c.Request().Context(), state.identity, request, sink); err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	err := s.Pipeline.Complete(c.Request().Context(), state.identity, request, sink)
 	switch {
 	case err == nil && !sink.started:
-		return unusableAnswer(stream.ErrNotWhole)
+		return unusableAnswer(stream.ErrIncomplete)
 	case err == nil:
 		return sink.write(stream.Done())
 	case sink.started:
@@ -162,11 +162,11 @@
 // renewals per timeout have no measurable cost, and a caller that stops reading is still detected after about the
 // same time.
 func (p *streamingSink) renewDeadline() {
-	slack := p.server.Limits.WriteWithin / deadlineRenewals
+	slack := p.server.Limits.WriteTimeout / deadlineRenewals
 	now := time.Now()
 	if now.Sub(p.deadlineSet) < slack {
 		return
 	}
 	p.deadlineSet = now
-	p.server.setWriteDeadline(p.context, now.Add(p.server.Limits.WriteWithin+slack))
+	p.server.setWriteDeadline(p.context, now.Add(p.server.Limits.WriteTimeout+slack))
 }
--- a/internal/caller/api/fake_pipeline_test.go
+++ b/internal/caller/api/fake_pipeline_test.go
@@ -100,7 +100,7 @@
 // limits returns the default limits without a delay at the stop. No test asserts a lower bound on any of the times.
 func limits() api.Limits {
 	limits := api.DefaultLimits()
-	limits.Settle = 0
+	limits.ShutdownDelay = 0
 	return limits
 }
 
--- a/internal/caller/api/request_record.go
+++ b/internal/caller/api/request_record.go
@@ -6,9 +6,9 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// Observation is the record of a completed request, for logs, metrics and the burn report. Refused is nil if the
+// RequestRecord is the record of a completed request, for logs, metrics and the burn report. Refused is nil if the
 // request was answered. FirstToken is zero if no token was sent. Key is the name of the key.
-type Observation struct {
+type RequestRecord struct {
 	RequestID  string
 	Workspace  string
 	Key        string
@@ -24,7 +24,7 @@
 
 // requestState is the state of a request while the server handles it.
 type requestState struct {
-	record   Observation
+	record   RequestRecord
 	started  time.Time
 	bodyRead bool
 	identity Identity
--- a/internal/caller/api/routes.go
+++ b/internal/caller/api/routes.go
@@ -38,7 +38,7 @@
 	if s.Limits == (Limits{}) {
 		s.Limits = DefaultLimits()
 	}
-	s.inFlight = make(chan struct{}, s.Limits.Requests)
+	s.inFlight = make(chan struct{}, s.Limits.MaxRequests)
 	routes := echo.New()
 	routes.HideBanner = true
 	routes.HidePort = true
@@ -90,12 +90,12 @@
 }
 
 func (s *Server) report(c echo.Context, state *requestState) {
-	if s.Observe == nil {
+	if s.OnRequestDone == nil {
 		return
 	}
 	state.record.Status = c.Response().Status
 	state.record.Took = time.Since(state.started)
-	s.Observe(state.record)
+	s.OnRequestDone(state.record)
 }
 
 func stateOf(c echo.Context) *requestState {
@@ -145,7 +145,7 @@
 		stateOf(c).bodyRead = true
 		return
 	}
-	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(s.Limits.BodyWithin))
+	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
 }
 
 // readBody reads the complete body of at most limit bytes.
@@ -206,7 +206,7 @@
 // extendWriteDeadline gives the caller the full write timeout for the next part of its answer. A caller that stops
 // reading would otherwise hold its request, and a batch slot at an engine, indefinitely.
 func (s *Server) extendWriteDeadline(c echo.Context) {
-	s.setWriteDeadline(c, time.Now().Add(s.Limits.WriteWithin))
+	s.setWriteDeadline(c, time.Now().Add(s.Limits.WriteTimeout))
 }
 
 func (s *Server) setWriteDeadline(c echo.Context, deadline time.Time) {
--- a/internal/caller/api/server.go
+++ b/internal/caller/api/server.go
@@ -20,36 +20,36 @@
 type Limits struct {
 	Completion completion.Limits
 	// Limits on the body of a plain service's call and on an assembled answer.
-	ServiceBodyBytes, AnswerBytes int
+	MaxServiceBodyBytes, MaxAnswerBytes int
 	// Limits on the size and the time of a request's headers, and on the time of its body.
-	HeaderBytes              int
-	HeaderWithin, BodyWithin time.Duration
-	// WriteWithin is the write timeout for each part of an answer.
-	WriteWithin time.Duration
-	// Idle is how long a connection is kept open between requests.
-	Idle time.Duration
+	MaxHeaderBytes             int
+	HeaderTimeout, BodyTimeout time.Duration
+	// WriteTimeout is the write timeout for each part of an answer.
+	WriteTimeout time.Duration
+	// IdleTimeout is how long a connection is kept open between requests.
+	IdleTimeout time.Duration
 	// Limits on open connections and on requests in flight.
-	Connections, Requests int
+	MaxConnections, MaxRequests int
 	// How long a stopping server continues to accept new requests, and how long it then waits for requests in flight.
 	// The first must be longer than the load balancer takes to detect the stop.
-	Settle, Drain time.Duration
+	ShutdownDelay, DrainTimeout time.Duration
 }
 
 // DefaultLimits returns the limits for a small instance.
 func DefaultLimits() Limits {
 	return Limits{
-		Completion:       completion.DefaultLimits(),
-		ServiceBodyBytes: 1 << 20,
-		AnswerBytes:      4 << 20,
-		HeaderBytes:      32 << 10,
-		HeaderWithin:     5 * time.Second,
-		BodyWithin:       10 * time.Second,
-		WriteWithin:      15 * time.Second,
-		Idle:             60 * time.Second,
-		Connections:      4096,
-		Requests:         1024,
-		Settle:           3 * time.Second,
-		Drain:            10 * time.Minute,
+		Completion:          completion.DefaultLimits(),
+		MaxServiceBodyBytes: 1 << 20,
+		MaxAnswerBytes:      4 << 20,
+		MaxHeaderBytes:      32 << 10,
+		HeaderTimeout:       5 * time.Second,
+		BodyTimeout:         10 * time.Second,
+		WriteTimeout:        15 * time.Second,
+		IdleTimeout:         60 * time.Second,
+		MaxConnections:      4096,
+		MaxRequests:         1024,
+		ShutdownDelay:       3 * time.Second,
+		DrainTimeout:        10 * time.Minute,
 	}
 }
 
@@ -57,11 +57,11 @@
 // optional callback is called after each request. ErrorLog receives the connection errors of net/http, which may
 // contain callers' addresses but no keys.
 type Server struct {
-	Listener net.Listener
-	Pipeline Pipeline
-	Limits   Limits
-	Observe  func(Observation)
-	ErrorLog io.Writer
+	Listener      net.Listener
+	Pipeline      Pipeline
+	Limits        Limits
+	OnRequestDone func(RequestRecord)
+	ErrorLog      io.Writer
 
 	stopping        atomic.Bool
 	openConnections atomic.Int64
@@ -85,14 +85,14 @@
 	case <-ctx.Done():
 	}
 	s.stopping.Store(true)
-	time.Sleep(s.Limits.Settle)
-	draining, cancel := context.WithTimeout(context.Background(), s.Limits.Drain)
+	time.Sleep(s.Limits.ShutdownDelay)
+	draining, cancel := context.WithTimeout(context.Background(), s.Limits.DrainTimeout)
 	defer cancel()
 	return server.Shutdown(draining)
 }
 
 func (s *Server) serve(server *http.Server, served chan<- error) {
-	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.openConnections, limit: int64(s.Limits.Connections)})
+	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.openConnections, limit: int64(s.Limits.MaxConnections)})
 }
 
 func (s *Server) httpServer() *http.Server {
@@ -105,9 +105,9 @@
 	}
 	return &http.Server{
 		Handler:           s.Handler(),
-		ReadHeaderTimeout: s.Limits.HeaderWithin,
-		IdleTimeout:       s.Limits.Idle,
-		MaxHeaderBytes:    s.Limits.HeaderBytes,
+		ReadHeaderTimeout: s.Limits.HeaderTimeout,
+		IdleTimeout:       s.Limits.IdleTimeout,
+		MaxHeaderBytes:    s.Limits.MaxHeaderBytes,
 		ErrorLog:          log.New(errorLog, "", 0),
 	}
 }
--- a/internal/caller/api/services.go
+++ b/internal/caller/api/services.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return ServiceCall{}, err
 	}
-	body, err := s.readBody(c, s.Limits.ServiceBodyBytes)
+	body, err := s.readBody(c, s.Limits.MaxServiceBodyBytes)
 	if err != nil {
 		return ServiceCall{}, err
 	}
--- a/internal/caller/stream/assembler.go
+++ b/internal/caller/stream/assembler.go
@@ -12,8 +12,8 @@
 
 // Errors of an Assembler.
 var (
-	// ErrNotWhole means that there was no choice, or a choice without a finish reason: the answer is incomplete.
-	ErrNotWhole = errors.New("stream: answer incomplete: no choice or no finish reason")
+	// ErrIncomplete means that there was no choice, or a choice without a finish reason: the answer is incomplete.
+	ErrIncomplete = errors.New("stream: answer incomplete: no choice or no finish reason")
 	// ErrTooLarge means that the events together exceed the assembler's limit.
 	ErrTooLarge = errors.New("stream: answer exceeds the size limit")
 )
@@ -62,13 +62,13 @@
 func (a *Assembler) Answer(id string) (answer []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "assemble answer") }()
 	if len(a.choices) == 0 {
-		return nil, ErrNotWhole
+		return nil, ErrIncomplete
 	}
 	a.fields["object"] = "text_completion"
 	for _, item := range a.choices {
 		choice, ok := item.(object)
 		if !ok || choice["finish_reason"] == nil {
-			return nil, ErrNotWhole
+			return nil, ErrIncomplete
 		}
 		if delta, chat := choice["delta"].(object); chat {
 			a.fields["object"] = "chat.completion"
--- a/internal/caller/stream/codec_test.go
+++ b/internal/caller/stream/codec_test.go
@@ -135,8 +135,8 @@
 			`{"id":"r1","object":"chat.completion","choices":[{"index":0,"finish_reason":"tool_calls","message":{"role":"assistant","content":null,"tool_calls":[{"index":0,"id":"c","type":"function","function":{"name":"f","arguments":"{\"a\":1}"}}]}}]}`,
 			nil,
 		},
-		{"no finish reason", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrNotWhole},
-		{"no events", nil, "", stream.ErrNotWhole},
+		{"no finish reason", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrIncomplete},
+		{"no events", nil, "", stream.ErrIncomplete},
 		{"not an object", []string{`[]`}, "", stream.ErrMalformed},
 		{"too large", []string{`{"a":"` + strings.Repeat("x", 1<<10) + `"}`}, "", stream.ErrTooLarge},
 	}
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -53,7 +53,7 @@
 	d.peers = link.NewServer(serverCredentials)
 	peer.Register(d.peers, handler{daemon: d})
 	d.callers = &api.Server{Listener: d.listeners.caller, Pipeline: d.pipeline, Limits: d.callerLimits()}
-	d.callers.Observe = d.observe
+	d.callers.OnRequestDone = d.observe
 	d.operators = &http.Server{
 		Handler:           d.operatorHandler(exposition),
 		ReadHeaderTimeout: headerWithin,
@@ -123,7 +123,7 @@
 		Burn:     d.burn,
 		Advice: &pipeline.Advice{
 			Router:   &route.Router{Settings: policy.Route},
-			Suspects: &suspect.Register{Settings: policy.Suspect},
+			Suspects: &suspect.Tracker{Settings: policy.Suspect},
 			Retries:  retry.New(policy.RetryRatio, policy.RetryMost),
 			Shares:   &share.Tracker{},
 		},
@@ -137,8 +137,8 @@
 func (d *Daemon) callerLimits() api.Limits {
 	limits := api.DefaultLimits()
 	limits.Completion.BodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.ServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.Drain = d.Settings.Limits.StopWithin
+	limits.MaxServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
+	limits.DrainTimeout = d.Settings.Limits.StopWithin
 	return limits
 }
 
@@ -156,7 +156,7 @@
 }
 
 // observe counts each caller's request by its status.
-func (d *Daemon) observe(seen api.Observation) {
+func (d *Daemon) observe(seen api.RequestRecord) {
 	tags := map[string]string{"route": seen.Route, "status": strconv.Itoa(seen.Status)}
 	d.scope.Tagged(tags).Counter("requests").Inc(1)
 }
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -135,9 +135,9 @@
 	now := time.Now()
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, summary := range beat.Upstreams {
-			a.Router.Learn(now, routeSummary(summary, at))
+			a.Router.UpdateSummary(now, routeSummary(summary, at))
 		}
-		a.Suspects.Merge(now, beat.Instance, beat.Suspects)
+		a.Suspects.SetPeerCounts(now, beat.Instance, beat.Suspects)
 	})
 }
 
@@ -147,7 +147,7 @@
 	summaries := d.holding.Summaries(ctx)
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, summary := range summaries {
-			a.Router.Learn(now, routeSummary(summary, now))
+			a.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
 	})
 }
@@ -183,7 +183,7 @@
 		beat.Told = told
 	}
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		beat.Suspects = a.Suspects.Own(time.Now())
+		beat.Suspects = a.Suspects.LocalCounts(time.Now())
 	})
 	return beat
 }
--- a/internal/entry/node/holding.go
+++ b/internal/entry/node/holding.go
@@ -36,7 +36,7 @@
 
 	mutex   sync.Mutex
 	planner residence.Planner
-	line    turn.Line
+	line    turn.Queue
 	changed chan struct{}
 	fenced  bool
 	learnt  bool
--- a/internal/entry/node/losses.go
+++ b/internal/entry/node/losses.go
@@ -75,7 +75,7 @@
 		}
 		now := time.Now()
 		n.advice.With(func(a *serve.Advice) {
-			a.Suspects.Crashed(now, fingerprints)
+			a.Suspects.RecordCrash(now, fingerprints)
 			a.Pool.Crashed(now, id)
 		})
 		n.Log.Warn().Str("Upstream", id).Int("Requests", len(fingerprints)).Msg("UpstreamCrashed")
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -186,14 +186,14 @@
 	n.advice = &serve.Advice{
 		Pool:     &pool.Pool{Settings: settings},
 		Ledger:   &quota.Ledger{Self: n.self.Name},
-		Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 		Retries:  retryBudgets(n.Settings.Retries),
 	}
 }
 
 // retryBudgets is this instance's part of the fleet's retries.
 func retryBudgets(settings RetrySettings) *retry.Budgets {
-	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, Most: settings.Slack / roster.Parts(0)}
+	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, MaxUnused: settings.Slack / roster.Parts(0)}
 }
 
 // retryRatioUsed leaves a part of the fleet's retries for requests that are counted at another instance or in
--- a/internal/entry/node/sharing.go
+++ b/internal/entry/node/sharing.go
@@ -22,7 +22,7 @@
 	pace := n.overlay.pace()
 	loadsFor := time.Duration(loadsForBeats * float64(pace))
 	n.advice.With(func(a *serve.Advice) {
-		a.Retries.Bound(slack / parts)
+		a.Retries.SetMax(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
 		a.Pool.Settings.HeardEvery = pace
 		a.Pool.Settings.HeldFor = loadsFor
--- a/internal/entry/node/states.go
+++ b/internal/entry/node/states.go
@@ -114,7 +114,7 @@
 	holders := n.knowledge.liveHolders()
 	n.advice.With(func(a *serve.Advice) {
 		state.Spent = a.Ledger.Own()
-		state.Suspects = a.Suspects.Own(now)
+		state.Suspects = a.Suspects.LocalCounts(now)
 		state.Evidence = a.Pool.Evidence()
 		state.Loads = a.Pool.Own(func(upstream string) bool { return holders[upstream] == "" })
 	})
@@ -173,7 +173,7 @@
 		if !outdated {
 			a.Ledger.Hear(now, record.Instance, state.Incarnation, state.Spent)
 		}
-		a.Suspects.Merge(now, record.Instance, state.Suspects)
+		a.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
 		a.Pool.LearnLoads(now, record.Instance, state.Loads)
 		a.Pool.LearnEvidence(now, record.Instance, state.Evidence)
 	})
--- a/internal/entry/node/turns.go
+++ b/internal/entry/node/turns.go
@@ -15,7 +15,7 @@
 // takeTurn waits for a prompt's turn. It tells at once how long that would take if waiting is hopeless.
 func (h *holding) takeTurn(ctx context.Context, request mesh.PrepareRequest, worthUntil time.Time) (time.Duration, bool) {
 	prompt := &turn.Prompt{
-		Tokens: request.Tokens, Priority: request.Priority, OnTimeUntil: worthUntil,
+		Tokens: request.Tokens, Priority: request.Priority, LatestDispatch: worthUntil,
 	}
 	h.node.advice.With(func(a *serve.Advice) { prompt.Prefill = a.Pool.Prefill(h.upstream.ID, request.Tokens) })
 	h.join(prompt)
@@ -44,16 +44,16 @@
 
 func (h *holding) join(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.line.Join(time.Now(), prompt)
-	tokens := h.line.Tokens()
+	h.line.Enqueue(time.Now(), prompt)
+	tokens := h.line.QueuedTokens()
 	h.mutex.Unlock()
 	h.node.advice.With(func(a *serve.Advice) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
 func (h *holding) leave(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.line.Leave(prompt)
-	tokens := h.line.Tokens()
+	h.line.Remove(prompt)
+	tokens := h.line.QueuedTokens()
 	h.mutex.Unlock()
 	h.node.advice.With(func(a *serve.Advice) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
@@ -65,11 +65,11 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if load.Prompt == 0 {
-		h.line.Idle(now)
+		h.line.PrefillDone(now)
 	}
-	again, taken = h.line.Take(now, prompt, load.Running > 0)
-	if !taken && h.line.IsHopeless(now, prompt) {
+	again, taken = h.line.TryDispatch(now, prompt, load.Running > 0)
+	if !taken && h.line.ShouldReject(now, prompt) {
 		again = time.Time{}
 	}
-	return h.line.Wait(now, prompt), again, taken
+	return h.line.QueueingDelay(now, prompt), again, taken
 }
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	p.Advice.With(func(a *Advice) {
-		a.Retries.First()
+		a.Retries.CountFirstTry()
 	})
 	return run, p.judge(run)
 }
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -194,7 +194,7 @@
 // have to stay within a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	inBubble(t, 2, func(f *fixture) {
-		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMost)
+		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{Stopped: true} }
 		for range 100 {
 			refused(t, f.ask("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -83,7 +83,7 @@
 func (p *Pipeline) learn(run *completionRun, found *place, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
 	p.Advice.With(func(a *Advice) {
-		a.Router.Ended(now, route.Outcome{
+		a.Router.RecordOutcome(now, route.Outcome{
 			Upstream: found.upstream.Meta.Name,
 			Tokens:   released.Tokens,
 			Took:     now.Sub(found.granted),
@@ -93,10 +93,10 @@
 		case engine.Completed:
 			workspace, _ := p.Current().Configuration.Workspace(run.identity.Workspace)
 			a.Shares.Served(now, run.identity.Workspace, workspace.Weight, released.Tokens)
-			a.Suspects.Completed(now, run.fingerprint)
+			a.Suspects.RecordCompletion(now, run.fingerprint)
 		default:
 			if isCrash(outcome) {
-				a.Suspects.Crashed(now, []suspect.Fingerprint{run.fingerprint})
+				a.Suspects.RecordCrash(now, []suspect.Fingerprint{run.fingerprint})
 			}
 		}
 	})
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -107,7 +107,7 @@
 		Crashed: func() { f.told.Add(1) }, Pins: &pipeline.Pins{}, Running: &pipeline.Running{}, Burn: &burn.Recorder{},
 		Advice: &pipeline.Advice{
 			Router:   &route.Router{Settings: route.DefaultSettings()},
-			Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+			Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 			Retries:  retry.New(1, 10),
 			Shares:   &share.Tracker{},
 		},
@@ -224,7 +224,7 @@
 	f.tracker.ReadConfirmed(now, f.repository.Current().Head.Revision)
 	f.pipeline.Advice.With(func(a *pipeline.Advice) {
 		for _, name := range upstream {
-			a.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
+			a.Router.UpdateSummary(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
 		}
 	})
 }
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -88,7 +88,7 @@
 // goroutines, so all of them are used under one lock; each use takes microseconds.
 type Advice struct {
 	Router   *route.Router
-	Suspects *suspect.Register
+	Suspects *suspect.Tracker
 	Retries  *retry.Budget
 	Shares   *share.Tracker
 
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -81,7 +81,7 @@
 	ctx, leave := p.Running.enter(ctx, identity)
 	defer leave()
 	p.Advice.With(func(a *Advice) {
-		a.Retries.First()
+		a.Retries.CountFirstTry()
 	})
 	unanswered := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
 		WithRetryAfter(time.Second)
--- a/internal/placement/forecast/engine.go
+++ b/internal/placement/forecast/engine.go
@@ -49,8 +49,8 @@
 	Moments [terms]float64
 }
 
-// Plus returns the sum of v and other evidence times a factor.
-func (v Evidence) Plus(other Evidence, factor float64) Evidence {
+// AddScaled returns the sum of v and other evidence times a factor.
+func (v Evidence) AddScaled(other Evidence, factor float64) Evidence {
 	v.Answers += factor * other.Answers
 	for i := range terms {
 		for j := range terms {
@@ -61,26 +61,26 @@
 	return v
 }
 
-// Own returns the evidence that this instance has collected.
-func (e *Engine) Own() Evidence { return e.local }
+// LocalEvidence returns the evidence that this instance has collected.
+func (e *Engine) LocalEvidence() Evidence { return e.local }
 
-// SetOthers replaces the evidence from other instances.
+// SetPeerEvidence replaces the evidence from other instances.
 //
 // In a large fleet each instance sees only a few answers a second. Twenty answers, most of them from idle engines, do
 // not determine the cost of thirty thousand tokens that await prefill. Requests would then wait for seconds at a
 // loaded engine while the next engine is idle.
-func (e *Engine) SetOthers(peers Evidence) {
+func (e *Engine) SetPeerEvidence(peers Evidence) {
 	e.peers = peers
 	e.fit()
 }
 
-// FirstEvent returns the expected time from sending a prompt until its first event.
-func (e *Engine) FirstEvent(tokens int, backlog Backlog) time.Duration {
+// TimeToFirstEvent returns the expected time from sending a prompt until its first event.
+func (e *Engine) TimeToFirstEvent(tokens int, backlog Backlog) time.Duration {
 	return e.predict(features(tokens, backlog))
 }
 
-// Prefill returns the time that an engine needs for the prompt alone, without queueing.
-func (e *Engine) Prefill(tokens int) time.Duration {
+// PrefillTime returns the time that an engine needs for the prompt alone, without queueing.
+func (e *Engine) PrefillTime(tokens int) time.Duration {
 	return seconds(e.coefficients()[1] * float64(tokens) / tokenScale)
 }
 
@@ -103,7 +103,7 @@
 		}
 		sample.Moments[i] = weight * x[i] * took.Seconds()
 	}
-	e.local = sample.Plus(e.local, evidenceDecay)
+	e.local = sample.AddScaled(e.local, evidenceDecay)
 	e.fit()
 }
 
@@ -183,7 +183,7 @@
 // solve returns the least-squares solution for the terms that are not excluded, by Gaussian elimination. The prior
 // weights make every pivot positive.
 func (e *Engine) solve(excluded [terms]bool) (solution [terms]float64) {
-	total := e.local.Plus(e.peers, 1)
+	total := e.local.AddScaled(e.peers, 1)
 	matrix := total.Squares
 	right := total.Moments
 	prior := priorCoefficients()
--- a/internal/placement/forecast/forecast.go
+++ b/internal/placement/forecast/forecast.go
@@ -11,8 +11,8 @@
 const (
 	// The initial estimates of the time to load an adapter: from the weight store, and at an upstream that had it
 	// recently.
-	GuessLoad   = 300 * time.Millisecond
-	GuessReload = 30 * time.Millisecond
+	InitialLoadTime   = 300 * time.Millisecond
+	InitialReloadTime = 30 * time.Millisecond
 
 	initialBase        = 25 * time.Millisecond
 	initialPerToken    = 50 * time.Microsecond
--- a/internal/placement/forecast/load.go
+++ b/internal/placement/forecast/load.go
@@ -20,40 +20,40 @@
 	laterPollWeight = 0.5
 )
 
-// Load predicts the duration of loads whose end is not announced, so that the upstream has to be polled. It is not
+// LoadTime predicts the duration of loads whose end is not announced, so that the upstream has to be polled. It is not
 // safe for concurrent use.
-type Load struct {
-	// Guess is the estimate until the first load is measured. Set it before use.
-	Guess time.Duration
+type LoadTime struct {
+	// InitialEstimate is the estimate until the first load is measured. Set it before use.
+	InitialEstimate time.Duration
 
 	estimate time.Duration
 }
 
-// Usual returns the expected duration of a load.
-func (l *Load) Usual() time.Duration {
+// Expected returns the expected duration of a load.
+func (l *LoadTime) Expected() time.Duration {
 	if l.estimate == 0 {
-		return l.Guess
+		return l.InitialEstimate
 	}
 	return l.estimate
 }
 
-// Seen reports whether a load has been measured.
-func (l *Load) Seen() bool { return l.estimate > 0 }
+// HasMeasurement reports whether a load has been measured.
+func (l *LoadTime) HasMeasurement() bool { return l.estimate > 0 }
 
-// FirstPoll returns the delay from the load order to the first poll.
-func (l *Load) FirstPoll() time.Duration {
-	return time.Duration(firstPollFraction * float64(l.Usual()))
+// FirstPollDelay returns the delay from the load order to the first poll.
+func (l *LoadTime) FirstPollDelay() time.Duration {
+	return time.Duration(firstPollFraction * float64(l.Expected()))
 }
 
-// NextPoll returns the delay until the next poll.
-func (l *Load) NextPoll() time.Duration {
-	return min(max(l.Usual()/pollsPerLoad, minPollInterval), maxPollInterval)
+// PollInterval returns the delay until the next poll.
+func (l *LoadTime) PollInterval() time.Duration {
+	return min(max(l.Expected()/pollsPerLoad, minPollInterval), maxPollInterval)
 }
 
-// Done adds a measurement: the time from the load order to the poll that found the load done, and whether that was
+// Observe adds a measurement: the time from the load order to the poll that found the load done, and whether that was
 // the first poll.
-func (l *Load) Done(took time.Duration, firstPoll bool) {
-	expected := l.Usual()
+func (l *LoadTime) Observe(took time.Duration, firstPoll bool) {
+	expected := l.Expected()
 	if firstPoll {
 		l.estimate = min(expected, max(time.Duration(firstPollFactor*float64(expected)), time.Millisecond))
 		return
--- a/internal/placement/forecast/service.go
+++ b/internal/placement/forecast/service.go
@@ -18,9 +18,9 @@
 	answers int
 }
 
-// Answer returns the expected latency of a call. queued is the number of calls queued before it, divided by the
+// Latency returns the expected latency of a call. queued is the number of calls queued before it, divided by the
 // concurrency of the upstream.
-func (s *Service) Answer(queued float64) time.Duration {
+func (s *Service) Latency(queued float64) time.Duration {
 	mean := s.mean
 	if s.answers == 0 {
 		mean = initialServiceTime
@@ -30,7 +30,7 @@
 
 // Observe adds the measured latency of an answer.
 func (s *Service) Observe(queued float64, took time.Duration) {
-	mean := s.Answer(0)
+	mean := s.Latency(0)
 	sample := time.Duration(float64(took) / (1 + queued))
 	weight := initialSampleWeight
 	if s.answers >= initialAnswers {
--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -127,10 +127,10 @@
 		total = times(u.exploration(now), choice.Expected) + cost.wait + cost.charge
 		total += query.lateness(choice.Expected + cost.wait)
 		if engine.MemoryTokens > 0 && load.Memory+query.Tokens+query.Output > engine.MemoryTokens {
-			total += times(slow, pace.engine.Prefill(load.Memory))
+			total += times(slow, pace.engine.PrefillTime(load.Memory))
 		}
 	} else {
-		total = times(u.exploration(now), choice.Expected) + times(float64(load.Running)/float64(u.places()), pace.service.Answer(0))
+		total = times(u.exploration(now), choice.Expected) + times(float64(load.Running)/float64(u.places()), pace.service.Latency(0))
 	}
 	total += time.Duration(failing * float64(failureCost))
 	if u.declared.DataCentre != p.Settings.DataCentre {
--- a/internal/placement/pool/evidence.go
+++ b/internal/placement/pool/evidence.go
@@ -21,7 +21,7 @@
 func (p *Pool) Evidence() map[string]forecast.Evidence {
 	seen := make(map[string]forecast.Evidence)
 	for service, known := range p.paces {
-		if own := known.engine.Own(); own.Answers > 0 {
+		if own := known.engine.LocalEvidence(); own.Answers > 0 {
 			seen[service] = own
 		}
 	}
@@ -49,7 +49,7 @@
 			delete(p.peers, instance)
 			continue
 		}
-		all = all.Plus(peer.seen, 1)
+		all = all.AddScaled(peer.seen, 1)
 	}
-	p.engine.SetOthers(all)
+	p.engine.SetPeerEvidence(all)
 }
--- a/internal/placement/pool/full.go
+++ b/internal/placement/pool/full.go
@@ -28,7 +28,7 @@
 func (p *Pool) noteRefusal(now time.Time, send *Send) {
 	u := send.upstream
 	known := p.pace(u.declared.Service)
-	atOnce := now.Sub(send.began) < known.service.Answer(0)
+	atOnce := now.Sub(send.began) < known.service.Latency(0)
 	isStated := send.stated.Running > 0
 	found := send.found
 	if isStated {
--- a/internal/placement/pool/in_flight.go
+++ b/internal/placement/pool/in_flight.go
@@ -170,7 +170,7 @@
 	if u == nil {
 		return 0
 	}
-	return p.pace(u.declared.Service).engine.Prefill(tokens)
+	return p.pace(u.declared.Service).engine.PrefillTime(tokens)
 }
 
 // Own is what this instance has in flight at the selected upstreams, for its heartbeats.
@@ -242,7 +242,7 @@
 func (p *Pool) isUncertain(now time.Time, u *upstream) bool {
 	after := askAfter
 	if _, isEngine := p.engines[u.declared.Service]; !isEngine {
-		after = p.pace(u.declared.Service).service.Answer(0) / time.Duration(u.places())
+		after = p.pace(u.declared.Service).service.Latency(0) / time.Duration(u.places())
 	}
 	return now.Sub(u.heldAt) > after
 }
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -78,13 +78,13 @@
 func (p *Pool) occupies(query Query) time.Duration {
 	known := p.pace(query.Service)
 	if p.isGeneration(query) {
-		return known.engine.Prefill(query.Tokens)
+		return known.engine.PrefillTime(query.Tokens)
 	}
 	places := 0
 	for _, u := range p.servingFor(query.Service) {
 		places = max(places, u.places())
 	}
-	return known.service.Answer(0) / time.Duration(max(places, 1))
+	return known.service.Latency(0) / time.Duration(max(places, 1))
 }
 
 // RetryWhenFull is when a refused caller should come back to a service all of whose upstreams are full.
--- a/internal/placement/pool/pace.go
+++ b/internal/placement/pool/pace.go
@@ -73,7 +73,7 @@
 func (p *Pool) pace(service string) *pace {
 	known := p.paces[service]
 	if known == nil {
-		known = &pace{loads: loadTimes{full: forecast.GuessLoad, reload: forecast.GuessReload}}
+		known = &pace{loads: loadTimes{full: forecast.InitialLoadTime, reload: forecast.InitialReloadTime}}
 		p.paces[service] = known
 	}
 	return known
@@ -89,9 +89,9 @@
 func (p *Pool) usual(u *upstream, query Query, load Load) time.Duration {
 	known := p.pace(query.Service)
 	if p.isGeneration(query) {
-		return known.engine.FirstEvent(query.Tokens, backlog(load))
+		return known.engine.TimeToFirstEvent(query.Tokens, backlog(load))
 	}
-	return known.service.Answer(u.queued(load))
+	return known.service.Latency(u.queued(load))
 }
 
 // observe takes note of how long a send took until its first event or answer.
--- a/internal/placement/residence/load_times.go
+++ b/internal/placement/residence/load_times.go
@@ -13,7 +13,7 @@
 // LoadTimes tells how long an adapter takes to load, from the weight store and where it was loaded lately, once
 // some loads were seen.
 func (p *Planner) LoadTimes() (full, reload time.Duration, seen bool) {
-	return p.fullLoads.Usual(), p.reloads.Usual(), p.fullLoads.Seen()
+	return p.fullLoads.Expected(), p.reloads.Expected(), p.fullLoads.HasMeasurement()
 }
 
 // firstCheck is how long after its order a load is first checked.
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	return p.loads(known).FirstPoll()
+	return p.loads(known).FirstPollDelay()
 }
 
 // checkPause is the pause between two checks of a load.
@@ -33,10 +33,10 @@
 	if adapter.Name == "" || known.orderedAt.IsZero() {
 		return checkAgain
 	}
-	return p.loads(known).NextPoll()
+	return p.loads(known).PollInterval()
 }
 
-func (p *Planner) loads(known *place) *forecast.Load {
+func (p *Planner) loads(known *place) *forecast.LoadTime {
 	if known.reload {
 		return &p.reloads
 	}
@@ -55,7 +55,7 @@
 // that replaced a version, which waits for the requests that use it.
 func (p *Planner) learnLoad(now time.Time, adapter traffic.Adapter, known *place) {
 	if adapter.Name != "" && known.state == loading && !known.orderedAt.IsZero() && known.checks > 0 {
-		p.loads(known).Done(now.Sub(known.orderedAt), known.checks == 1)
+		p.loads(known).Observe(now.Sub(known.orderedAt), known.checks == 1)
 	}
 	known.orderedAt = time.Time{}
 }
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -66,8 +66,8 @@
 	inUse     map[traffic.Adapter]bool
 	recent    []traffic.Adapter
 	// fullLoads and reloads are how long loads take, from the weight store and with a copy near the upstream.
-	fullLoads forecast.Load
-	reloads   forecast.Load
+	fullLoads forecast.LoadTime
+	reloads   forecast.LoadTime
 	grantedAt time.Time
 	grantPace time.Duration
 	// unanswered is the last order if no answer came, given repeats times.
@@ -246,7 +246,7 @@
 		p.places = make(map[traffic.Adapter]*place)
 		p.wants = make(map[traffic.Adapter]*want)
 		p.newest = make(map[traffic.Adapter]int64)
-		p.fullLoads.Guess = cmp.Or(p.LoadGuess, forecast.GuessLoad)
-		p.reloads.Guess = cmp.Or(p.ReloadGuess, forecast.GuessReload)
+		p.fullLoads.InitialEstimate = cmp.Or(p.LoadGuess, forecast.InitialLoadTime)
+		p.reloads.InitialEstimate = cmp.Or(p.ReloadGuess, forecast.InitialReloadTime)
 	}
 }
--- a/internal/placement/retry/budget.go
+++ b/internal/placement/retry/budget.go
@@ -12,32 +12,32 @@
 // DefaultRatio is the ratio of retries to first tries that operators have set as the limit.
 const DefaultRatio = 0.1
 
-// DefaultMost is the maximum number of unused retries. It bounds the burst of retries after an hour of low traffic.
-const DefaultMost = 10
+// DefaultMaxUnused is the maximum number of unused retries. It bounds the burst of retries after an hour of low traffic.
+const DefaultMaxUnused = 10
 
 // New returns an empty budget. Retries never exceed ratio times the first tries.
 func New(ratio, most float64) *Budget {
 	return &Budget{ratio: ratio, max: most}
 }
 
-// Filled returns a budget that is half full, for a limit that allows some retries beyond its ratio. The other half is
+// NewHalfFull returns a budget that is half full, for a limit that allows some retries beyond its ratio. The other half is
 // held back for instances that are killed and restart within one window.
-func Filled(ratio, most float64) *Budget {
+func NewHalfFull(ratio, most float64) *Budget {
 	return &Budget{ratio: ratio, max: most, balance: most / 2}
 }
 
-// Bound changes the maximum number of unused retries, and discards those above it. Instances share a limit, so the
+// SetMax changes the maximum number of unused retries, and discards those above it. Instances share a limit, so the
 // maximum of each changes with the size of the fleet.
-func (b *Budget) Bound(most float64) {
+func (b *Budget) SetMax(most float64) {
 	b.max = most
 	b.balance = min(b.balance, most)
 }
 
-// First counts a first try.
+// CountFirstTry counts a first try.
 //
 // In an outage every request fails and is retried. Without a budget the retries multiply the load when capacity is
 // lowest, and the number of sends per answered request rises.
-func (b *Budget) First() {
+func (b *Budget) CountFirstTry() {
 	b.balance = min(b.balance+b.ratio, b.max)
 }
 
--- a/internal/placement/retry/budget_test.go
+++ b/internal/placement/retry/budget_test.go
@@ -13,11 +13,11 @@
 // tries and retries, the retries stay at a tenth of the first tries.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
+		budget := retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 0, 500).Draw(t, "steps") {
 			if isFirst {
-				budget.First()
+				budget.CountFirstTry()
 				first++
 			} else if budget.Allow() {
 				retries++
@@ -33,30 +33,30 @@
 // recovers.
 func TestUnusedRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
+	budget := retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 	for range 100_000 {
-		budget.First()
+		budget.CountFirstTry()
 	}
 	allowed := 0
 	for budget.Allow() {
 		allowed++
 	}
-	is.Equal(allowed, retry.DefaultMost)
+	is.Equal(allowed, retry.DefaultMaxUnused)
 }
 
 // Guards against instances that keep their old share of a limit when the fleet grows from a few instances to eighty.
 // The fleet would send eight times as many retries as allowed while an upstream is down.
 func TestBudgetShareFollowsFleetSize(t *testing.T) {
 	is := is.New(t)
-	budget := retry.Filled(0.1, 20)
-	budget.Bound(2)
+	budget := retry.NewHalfFull(0.1, 20)
+	budget.SetMax(2)
 	allowed := 0
 	for budget.Allow() {
 		allowed++
 	}
 	is.Equal(allowed, 2)
 	for range 1000 {
-		budget.First()
+		budget.CountFirstTry()
 	}
 	for budget.Allow() {
 		allowed++
@@ -68,7 +68,7 @@
 // but with an empty budget the caller would get the failure.
 func TestFilledBudgetAllowsRetriesFromTheStart(t *testing.T) {
 	is := is.New(t)
-	budget := retry.Filled(0.1, 6)
+	budget := retry.NewHalfFull(0.1, 6)
 	allowed := 0
 	for budget.Allow() {
 		allowed++
@@ -81,20 +81,20 @@
 // the failing service would get twice its load.
 func TestRetriesOfAServiceArePaidByItsOwnCalls(t *testing.T) {
 	is := is.New(t)
-	budgets := &retry.Budgets{Ratio: 0.16, Most: 2}
+	budgets := &retry.Budgets{Ratio: 0.16, MaxUnused: 2}
 	retries := 0
 	for range 100 {
 		for range 20 {
-			budgets.Of("generations").First()
+			budgets.For("generations").CountFirstTry()
 		}
-		budgets.Of("bookings").First()
-		if budgets.Of("bookings").Allow() {
+		budgets.For("bookings").CountFirstTry()
+		if budgets.For("bookings").Allow() {
 			retries++
 		}
 	}
 	is.True(retries <= 16+1) // the ratio, and the half of the maximum that a new budget starts with
-	is.True(budgets.Of("generations").Allow())
-	budgets.Bound(0)
-	is.True(!budgets.Of("generations").Allow())
-	is.True(!budgets.Of("another").Allow())
+	is.True(budgets.For("generations").Allow())
+	budgets.SetMax(0)
+	is.True(!budgets.For("generations").Allow())
+	is.True(!budgets.For("another").Allow())
 }
--- a/internal/placement/retry/budgets.go
+++ b/internal/placement/retry/budgets.go
@@ -9,28 +9,28 @@
 type Budgets struct {
 	// Ratio is the allowed ratio of retries to first tries of a service.
 	Ratio float64
-	// Most is the maximum number of unused retries per service. A new budget starts with half of them.
-	Most float64
+	// MaxUnused is the maximum number of unused retries per service. A new budget starts with half of them.
+	MaxUnused float64
 
 	services map[string]*Budget
 }
 
-// Of returns the budget of a service.
-func (b *Budgets) Of(service string) *Budget {
+// For returns the budget of a service.
+func (b *Budgets) For(service string) *Budget {
 	if budget := b.services[service]; budget != nil {
 		return budget
 	}
 	if b.services == nil {
 		b.services = make(map[string]*Budget)
 	}
-	b.services[service] = Filled(b.Ratio, b.Most)
+	b.services[service] = NewHalfFull(b.Ratio, b.MaxUnused)
 	return b.services[service]
 }
 
-// Bound changes the maximum number of unused retries per service.
-func (b *Budgets) Bound(most float64) {
-	b.Most = most
+// SetMax changes the maximum number of unused retries per service.
+func (b *Budgets) SetMax(most float64) {
+	b.MaxUnused = most
 	for _, budget := range b.services {
-		budget.Bound(most)
+		budget.SetMax(most)
 	}
 }
--- a/internal/placement/route/route.go
+++ b/internal/placement/route/route.go
@@ -39,25 +39,25 @@
 	Exclude   []string
 }
 
-// Why is the rule that decided a choice, for logs and measurements.
-type Why string
+// Reason is the rule that decided a choice, for logs and measurements.
+type Reason string
 
 // The reasons for a Choice.
 const (
-	// WhyResident: the version is loaded there, and the wait is the shortest among such upstreams.
-	WhyResident Why = "resident"
-	// WhyHome: the version is loaded on no eligible upstream, and this is its home on the hash ring.
-	WhyHome Why = "home"
-	// WhySpill: the home or the upstreams with the version loaded are busy, and a load elsewhere is faster.
-	WhySpill Why = "spill"
-	// WhyProbe: the upstream has failed, and one request is sent as a probe.
-	WhyProbe Why = "probe"
+	// ReasonResident: the version is loaded there, and the wait is the shortest among such upstreams.
+	ReasonResident Reason = "resident"
+	// ReasonHome: the version is loaded on no eligible upstream, and this is its home on the hash ring.
+	ReasonHome Reason = "home"
+	// ReasonSpill: the home or the upstreams with the version loaded are busy, and a load elsewhere is faster.
+	ReasonSpill Reason = "spill"
+	// ReasonProbe: the upstream has failed, and one request is sent as a probe.
+	ReasonProbe Reason = "probe"
 )
 
 // Choice is the upstream to request a slot from. Expected is the estimated time until dispatch.
 type Choice struct {
 	Upstream  string
-	Why       Why
+	Reason    Reason
 	Expected  time.Duration
 	NeedsLoad bool
 }
@@ -82,8 +82,8 @@
 	LoadRate float64
 	// StaleAfter is the age at which a summary is no longer used.
 	StaleAfter time.Duration
-	// ProbeEvery is the time between two probes of an upstream that has failed.
-	ProbeEvery time.Duration
+	// ProbeInterval is the time between two probes of an upstream that has failed.
+	ProbeInterval time.Duration
 	// TokenTime is the expected time per token until it is measured.
 	TokenTime time.Duration
 }
@@ -91,11 +91,11 @@
 // DefaultSettings returns the settings for current fleet sizes.
 func DefaultSettings() Settings {
 	return Settings{
-		ExpectedLoad: 500 * time.Millisecond,
-		LoadPrice:    4 * time.Second,
-		LoadRate:     2,
-		StaleAfter:   5 * time.Second,
-		ProbeEvery:   2 * time.Second,
-		TokenTime:    20 * time.Millisecond,
+		ExpectedLoad:  500 * time.Millisecond,
+		LoadPrice:     4 * time.Second,
+		LoadRate:      2,
+		StaleAfter:    5 * time.Second,
+		ProbeInterval: 2 * time.Second,
+		TokenTime:     20 * time.Millisecond,
 	}
 }
--- a/internal/placement/route/router.go
+++ b/internal/placement/route/router.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Learn stores the summary of a holder. A summary older than the stored one is dropped.
-func (r *Router) Learn(now time.Time, summary Summary) {
+// UpdateSummary stores the summary of a holder. A summary older than the stored one is dropped.
+func (r *Router) UpdateSummary(now time.Time, summary Summary) {
 	u := r.upstreams[summary.Upstream]
 	if u == nil || summary.Epoch < u.summary.Epoch || !summary.At.After(u.summary.At) {
 		return
@@ -103,24 +103,24 @@
 		return Choice{}, ErrNoUpstream
 	}
 	best.upstream.recordSent(now, r.workTime(now, best.upstream, query))
-	if best.reason == WhyProbe {
-		best.upstream.nextProbe = now.Add(r.Settings.ProbeEvery)
+	if best.reason == ReasonProbe {
+		best.upstream.nextProbe = now.Add(r.Settings.ProbeInterval)
 	}
 	if best.needsLoad {
 		r.addPendingLoad(now, query.Model, best.upstream)
 	}
-	return Choice{Upstream: best.upstream.name(), Why: best.reason, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
+	return Choice{Upstream: best.upstream.name(), Reason: best.reason, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
 }
 
-// Ended records the outcome of a request.
-func (r *Router) Ended(now time.Time, outcome Outcome) {
+// RecordOutcome records the outcome of a request.
+func (r *Router) RecordOutcome(now time.Time, outcome Outcome) {
 	u := r.upstreams[outcome.Upstream]
 	if u == nil {
 		return
 	}
 	u.recordOutcome(now, outcome, r.Settings.TokenTime)
 	if u.hasFailed() {
-		u.nextProbe = now.Add(r.Settings.ProbeEvery)
+		u.nextProbe = now.Add(r.Settings.ProbeInterval)
 	}
 }
 
@@ -130,7 +130,7 @@
 // compared by.
 type candidate struct {
 	upstream  *upstream
-	reason    Why
+	reason    Reason
 	wait      time.Duration
 	total     time.Duration
 	needsLoad bool
@@ -143,13 +143,13 @@
 	for i := 0; i < len(residents) && len(list) < maxResidentCandidates; i++ {
 		u := residents[(i+r.rotation)%len(residents)]
 		if r.eligible(now, u, query) && u.isFresh(now, r.Settings.StaleAfter) {
-			list = append(list, r.estimate(now, u, query, WhyResident, 0))
+			list = append(list, r.estimate(now, u, query, ReasonResident, 0))
 		}
 	}
 	if l, ok := r.pendingLoads[query.Model]; ok && r.eligible(now, l.upstream, query) && !containsUpstream(list, l.upstream) {
 		remaining := max(0, r.Settings.ExpectedLoad-now.Sub(l.since))
 		if now.Sub(l.since) < r.Settings.StaleAfter {
-			list = append(list, r.estimate(now, l.upstream, query, WhyHome, remaining))
+			list = append(list, r.estimate(now, l.upstream, query, ReasonHome, remaining))
 		}
 	}
 	return r.appendHomes(now, query, list)
@@ -158,7 +158,7 @@
 // appendHomes appends the upstreams that follow the hash of the version on the ring.
 func (r *Router) appendHomes(now time.Time, query Query, list []candidate) []candidate {
 	points := r.rings[query.BaseModel]
-	why := WhyHome
+	why := ReasonHome
 	start := points.start(query.Model)
 	found := 0
 	for i := 0; i < len(points) && found < maxHomeCandidates; i++ {
@@ -171,7 +171,7 @@
 		}
 		found++
 		list = append(list, r.estimate(now, u, query, why, r.loadCost(now, u)))
-		why = WhySpill
+		why = ReasonSpill
 	}
 	return list
 }
@@ -192,12 +192,12 @@
 
 // estimate computes when the request would be completed at the upstream: the wait for a slot, the load, and the work
 // at the measured speed of the upstream.
-func (r *Router) estimate(now time.Time, u *upstream, query Query, why Why, load time.Duration) candidate {
-	c := candidate{upstream: u, reason: why, needsLoad: why != WhyResident}
+func (r *Router) estimate(now time.Time, u *upstream, query Query, why Reason, load time.Duration) candidate {
+	c := candidate{upstream: u, reason: why, needsLoad: why != ReasonResident}
 	c.wait = u.wait(now, r.Settings.StaleAfter) + load
 	c.total = c.wait + r.workTime(now, u, query)
 	if u.hasFailed() {
-		c.reason = WhyProbe
+		c.reason = ReasonProbe
 	}
 	return c
 }
--- a/internal/placement/suspect/tracker.go
+++ b/internal/placement/suspect/tracker.go
@@ -48,22 +48,22 @@
 	ApartAfter  int
 	AloneAfter  int
 	RefuseAfter int
-	// Forget is how long a fingerprint is kept after its last crash.
-	Forget time.Duration
-	// Most is the maximum number of fingerprints that an instance keeps of its own requests.
-	Most int
+	// Retention is how long a fingerprint is kept after its last crash.
+	Retention time.Duration
+	// MaxFingerprints is the maximum number of fingerprints that an instance keeps of its own requests.
+	MaxFingerprints int
 }
 
 // DefaultSettings limit a request to three crashes within ten minutes.
 func DefaultSettings() Settings {
-	return Settings{ApartAfter: 1, AloneAfter: 2, RefuseAfter: 3, Forget: 10 * time.Minute, Most: 1024}
+	return Settings{ApartAfter: 1, AloneAfter: 2, RefuseAfter: 3, Retention: 10 * time.Minute, MaxFingerprints: 1024}
 }
 
-// Register tracks crash counts. Set the exported field before use. It is not safe for concurrent use.
+// Tracker tracks crash counts. Set the exported field before use. It is not safe for concurrent use.
 //
 // It stops a caller that retries a request which crashes each upstream that runs it. Otherwise each retry would crash
 // one more upstream, with all requests in the same batch.
-type Register struct {
+type Tracker struct {
 	Settings Settings
 
 	local map[Fingerprint]localCount
@@ -82,8 +82,8 @@
 	changedAt time.Time
 }
 
-// Of returns the fingerprint of a request. Retries with the same body have the same fingerprint.
-func Of(workspace, model string, body []byte) Fingerprint {
+// FingerprintOf returns the fingerprint of a request. Retries with the same body have the same fingerprint.
+func FingerprintOf(workspace, model string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{workspace, model} {
 		hash.Write([]byte(part))
@@ -93,8 +93,8 @@
 	return Fingerprint(hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes]))
 }
 
-// Crashed records that an upstream crashed while these requests of this instance were in flight there.
-func (t *Register) Crashed(now time.Time, inFlight []Fingerprint) {
+// RecordCrash records that an upstream crashed while these requests of this instance were in flight there.
+func (t *Tracker) RecordCrash(now time.Time, inFlight []Fingerprint) {
 	t.initialize()
 	t.dropExpired(now)
 	for _, fingerprint := range inFlight {
@@ -104,14 +104,14 @@
 		count.changedAt = now
 		t.local[fingerprint] = count
 	}
-	for len(t.local) > t.Settings.Most {
+	for len(t.local) > t.Settings.MaxFingerprints {
 		t.dropOldest()
 	}
 }
 
-// Completed records that the request ran to completion, so it did not cause the crashes so far. Crashes counted by
+// RecordCompletion records that the request ran to completion, so it did not cause the crashes so far. Crashes counted by
 // peers are cleared with a local count, which peers receive in the next heartbeat.
-func (t *Register) Completed(now time.Time, fingerprint Fingerprint) {
+func (t *Tracker) RecordCompletion(now time.Time, fingerprint Fingerprint) {
 	t.initialize()
 	crashes := t.openCrashes(fingerprint)
 	if crashes <= 0 {
@@ -125,13 +125,13 @@
 }
 
 // Judge returns how the request may run, and when to retry if it is refused.
-func (t *Register) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
+func (t *Tracker) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
 	t.initialize()
 	t.dropExpired(now)
 	crashes := t.openCrashes(fingerprint)
 	switch {
 	case crashes >= t.Settings.RefuseAfter:
-		return Refused, t.Settings.Forget
+		return Refused, t.Settings.Retention
 	case crashes >= t.Settings.AloneAfter:
 		return Alone, 0
 	case crashes >= t.Settings.ApartAfter:
@@ -141,8 +141,8 @@
 	}
 }
 
-// Own returns the counts of this instance, for its heartbeat, sorted by fingerprint.
-func (t *Register) Own(now time.Time) []Count {
+// LocalCounts returns the counts of this instance, for its heartbeat, sorted by fingerprint.
+func (t *Tracker) LocalCounts(now time.Time) []Count {
 	t.initialize()
 	t.dropExpired(now)
 	counts := make([]Count, 0, len(t.local))
@@ -153,9 +153,9 @@
 	return counts
 }
 
-// Merge replaces the counts of a peer. A heartbeat contains all counts of its sender, so a lost heartbeat loses
+// SetPeerCounts replaces the counts of a peer. A heartbeat contains all counts of its sender, so a lost heartbeat loses
 // nothing and a duplicate has no effect.
-func (t *Register) Merge(now time.Time, instance string, counts []Count) {
+func (t *Tracker) SetPeerCounts(now time.Time, instance string, counts []Count) {
 	t.initialize()
 	if len(counts) == 0 {
 		delete(t.peers, instance)
@@ -171,7 +171,7 @@
 // ---------------------------------------------------------------------------------------------
 
 // openCrashes returns the number of crashes, counted by any instance, that the request is not cleared of.
-func (t *Register) openCrashes(fingerprint Fingerprint) (crashes int) {
+func (t *Tracker) openCrashes(fingerprint Fingerprint) (crashes int) {
 	count := t.local[fingerprint]
 	crashes = count.Crashes - count.Cleared
 	for _, peer := range t.peers {
@@ -183,20 +183,20 @@
 // dropExpired drops local counts that have not changed within the retention time, and the counts of instances that no
 // longer send heartbeats. A retry of a refused request does not extend the retention, so the request is allowed again
 // after the engine was repaired.
-func (t *Register) dropExpired(now time.Time) {
+func (t *Tracker) dropExpired(now time.Time) {
 	for fingerprint, count := range t.local {
-		if now.Sub(count.changedAt) > t.Settings.Forget {
+		if now.Sub(count.changedAt) > t.Settings.Retention {
 			delete(t.local, fingerprint)
 		}
 	}
 	for instance, peer := range t.peers {
-		if now.Sub(peer.receivedAt) > t.Settings.Forget {
+		if now.Sub(peer.receivedAt) > t.Settings.Retention {
 			delete(t.peers, instance)
 		}
 	}
 }
 
-func (t *Register) dropOldest() {
+func (t *Tracker) dropOldest() {
 	var oldest Fingerprint
 	for fingerprint, count := range t.local {
 		if oldest == "" || count.changedAt.Before(t.local[oldest].changedAt) {
@@ -207,7 +207,7 @@
 }
 
 // initialize makes the zero value usable, as the exported field is set after construction.
-func (t *Register) initialize() {
+func (t *Tracker) initialize() {
 	if t.local == nil {
 		t.local = make(map[Fingerprint]localCount)
 		t.peers = make(map[string]peerCounts)
--- a/internal/placement/turn/queue.go
+++ b/internal/placement/turn/queue.go
@@ -33,14 +33,14 @@
 	// Tokens is the length of the prompt.
 	Tokens   int
 	Priority int
-	// OnTimeUntil is the latest dispatch time with which the answer is on time.
-	OnTimeUntil time.Time
+	// LatestDispatch is the latest dispatch time with which the answer is on time.
+	LatestDispatch time.Time
 
 	enqueuedAt time.Time
 }
 
-// Line is the queue of prompts for one engine. The zero value is ready for use. It is not safe for concurrent use.
-type Line struct {
+// Queue is the queue of prompts for one engine. The zero value is ready for use. It is not safe for concurrent use.
+type Queue struct {
 	waiting []*Prompt
 	// prefillEnd is the predicted end of the prefill of all dispatched prompts. nextDispatch is the earliest time of
 	// the next dispatch, and lastDispatch the time of the latest one.
@@ -49,27 +49,27 @@
 	lastDispatch time.Time
 }
 
-// Join adds a prompt to the queue. It must be dispatched or removed later.
-func (q *Line) Join(now time.Time, prompt *Prompt) {
+// Enqueue adds a prompt to the queue. It must be dispatched or removed later.
+func (q *Queue) Enqueue(now time.Time, prompt *Prompt) {
 	prompt.enqueuedAt = now
 	q.waiting = append(q.waiting, prompt)
 }
 
-// Leave removes a prompt that was cancelled.
-func (q *Line) Leave(prompt *Prompt) {
+// Remove removes a prompt that was cancelled.
+func (q *Queue) Remove(prompt *Prompt) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(other *Prompt) bool { return other == prompt })
 }
 
-// Take dispatches the prompt if it is at the head of the queue and the engine is ready for it. Otherwise it returns
+// TryDispatch dispatches the prompt if it is at the head of the queue and the engine is ready for it. Otherwise it returns
 // the latest time at which to try again.
-func (q *Line) Take(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
+func (q *Queue) TryDispatch(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
 	if now.Before(q.nextDispatch) {
 		return q.nextDispatch, false
 	}
 	if q.head(now) != prompt {
 		return now.Add(dispatchLead), false
 	}
-	q.Leave(prompt)
+	q.Remove(prompt)
 	q.lastDispatch = now
 	if q.prefillEnd.Before(now) {
 		q.prefillEnd = now
@@ -82,8 +82,8 @@
 	return time.Time{}, true
 }
 
-// Idle records that the engine has no prefill left. A prompt whose prefix was cached takes less time than predicted.
-func (q *Line) Idle(now time.Time) {
+// PrefillDone records that the engine has no prefill left. A prompt whose prefix was cached takes less time than predicted.
+func (q *Queue) PrefillDone(now time.Time) {
 	if now.Sub(q.lastDispatch) < reportDelay || !now.Before(q.nextDispatch) {
 		return
 	}
@@ -91,8 +91,8 @@
 	q.nextDispatch = now
 }
 
-// Wait returns the expected queueing delay of a prompt, whether it is in the queue or not.
-func (q *Line) Wait(now time.Time, prompt *Prompt) time.Duration {
+// QueueingDelay returns the expected queueing delay of a prompt, whether it is in the queue or not.
+func (q *Queue) QueueingDelay(now time.Time, prompt *Prompt) time.Duration {
 	wait := max(q.nextDispatch.Sub(now), 0)
 	for _, other := range q.waiting {
 		if other != prompt && q.precedes(now, other, prompt) {
@@ -102,15 +102,15 @@
 	return wait
 }
 
-// IsHopeless reports whether a prompt should be rejected instead of queued: its answer would be late and its wait
+// ShouldReject reports whether a prompt should be rejected instead of queued: its answer would be late and its wait
 // would exceed maxLateWait.
-func (q *Line) IsHopeless(now time.Time, prompt *Prompt) bool {
-	wait := q.Wait(now, prompt)
-	return wait > maxLateWait && now.Add(wait).After(prompt.OnTimeUntil)
+func (q *Queue) ShouldReject(now time.Time, prompt *Prompt) bool {
+	wait := q.QueueingDelay(now, prompt)
+	return wait > maxLateWait && now.Add(wait).After(prompt.LatestDispatch)
 }
 
-// Tokens returns the total length of all queued prompts.
-func (q *Line) Tokens() (total int) {
+// QueuedTokens returns the total length of all queued prompts.
+func (q *Queue) QueuedTokens() (total int) {
 	for _, prompt := range q.waiting {
 		total += prompt.Tokens
 	}
@@ -119,7 +119,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func (q *Line) head(now time.Time) (first *Prompt) {
+func (q *Queue) head(now time.Time) (first *Prompt) {
 	for _, prompt := range q.waiting {
 		if first == nil || q.precedes(now, prompt, first) {
 			first = prompt
@@ -130,8 +130,8 @@
 
 // precedes orders prompts that can still be on time before late ones, then by priority, then by arrival. A late
 // prompt has lost most of the value of its answer. Dispatched first, it would make the others late as well.
-func (q *Line) precedes(now time.Time, a, b *Prompt) bool {
-	if late := now.After(a.OnTimeUntil); late != now.After(b.OnTimeUntil) {
+func (q *Queue) precedes(now time.Time, a, b *Prompt) bool {
+	if late := now.After(a.LatestDispatch); late != now.After(b.LatestDispatch) {
 		return !late
 	}
 	if a.Priority != b.Priority {
--- a/internal/upstream/engine/complete.go
+++ b/internal/upstream/engine/complete.go
@@ -144,7 +144,7 @@
 		return errSilent
 	case errors.Is(err, errCrossed):
 		r.client.observe(FaultCrossed)
-	case errors.Is(err, stream.ErrMalformed), errors.Is(err, stream.ErrTooLong), errors.Is(err, stream.ErrNoCount):
+	case errors.Is(err, stream.ErrMalformed), errors.Is(err, stream.ErrTooLong), errors.Is(err, stream.ErrNoTokenCount):
 		r.client.observe(FaultMalformed)
 	default:
 		r.client.observe(FaultCut)
