--- a/internal/upstream/engine/cancel.go
+++ b/internal/upstream/engine/cancel.go
@@ -1,7 +1,7 @@
 package engine
 
-// Cancelling a stream, by whoever knows its identity: the instance that dispatched it, or the holder
-// when that instance has died.
+// Cancellation of a stream by its request ID. It is used by the instance that dispatched the
+// request, or by the holder after that instance has failed.
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// Cancel ends the stream of a dispatch. It returns nil only when the engine has confirmed that the
-// stream runs no more, or never did.
+// Cancel ends the stream of a dispatch. It returns nil only if the engine has confirmed that the
+// stream is no longer running or never ran.
 func (c *Client) Cancel(ctx context.Context, id string) (err error) {
-	defer func() { err = errors.WithMessage(err, "cancel a stream") }()
-	c.prepare()
+	defer func() { err = errors.WithMessage(err, "cancel stream") }()
+	c.initialize()
 	ctx, cancel := context.WithTimeout(ctx, c.limits.Cancel)
 	defer cancel()
 	response, err := c.transport.Do(ctx, exchange.Request{
@@ -30,9 +30,9 @@
 		return err
 	}
 	defer response.Body.Close()
-	if crossed(response, id) {
-		c.observe(FaultCrossed)
-		return errors.New("answer to another call")
+	if isForOtherRequest(response, id) {
+		c.reportFault(FaultCrossed)
+		return errors.New("response to another request")
 	}
 	if response.StatusCode >= http.StatusMultipleChoices && response.StatusCode != http.StatusNotFound {
 		return errors.Errorf("status %d", response.StatusCode)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// streamTarget is where an engine keeps a stream.
+// streamTarget is the path of a stream at an engine.
 func streamTarget(id string) string {
 	return "/v1/streams/" + url.PathEscape(id)
 }
--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -1,6 +1,6 @@
-// Package engine is the client of one model engine: it runs completions as streams, resumes them on a
-// new connection when the old one goes silent, cancels them, and gives the holder's orders. What may
-// have run and what certainly has not is told apart in typed outcomes.
+// Package engine is the client of one model engine. It runs completions as streams, resumes them on
+// a new connection if the old one stalls, cancels them, and sends the holder's orders. Typed
+// outcomes separate requests that may have run from those that certainly did not.
 package engine
 
 import (
@@ -15,7 +15,7 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// The headers of the engines' protocol.
+// Headers of the engine protocol.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerPriority    = "X-Priority"
@@ -23,26 +23,27 @@
 	headerRetryAfter  = "Retry-After"
 )
 
-// Limits bound each phase of an exchange. None has a measured reason yet but for the target's first
-// token (0.54 s) and gap between tokens (30 ms), which they stand well above.
+// Limits bound each phase of an exchange. The timeouts of tokens are well above the target
+// latencies, 0.54 s to the first token and 30 ms between tokens.
 type Limits struct {
-	// Connect is the longest a connection may take to open.
+	// Connect bounds the opening of a connection.
 	Connect time.Duration
-	// FirstToken is the longest wait from the send to the first event.
+	// FirstToken is the longest wait from sending the request to the first event.
 	FirstToken time.Duration
 	// BetweenTokens is the longest wait between two events.
 	BetweenTokens time.Duration
-	// Resumes is how many connections in a row may be tried without a new event on any of them.
+	// Resumes is how many consecutive resumes may bring no new event before the run is given up.
 	Resumes int
-	// Cancel bounds the cancelling of a stream that is no longer wanted.
+	// Cancel bounds the cancellation of a stream.
 	Cancel time.Duration
-	// Order bounds a role or unload order, Load a load order, Report a report or an events page.
+	// Order bounds a role or unload order, Load a load order, Report the fetching of a report or a
+	// page of events.
 	Order, Load, Report time.Duration
-	// LineBytes bounds a line of a stream, AnswerBytes any other answer.
+	// LineBytes bounds a line of a stream, AnswerBytes the body of any other response.
 	LineBytes, AnswerBytes int
 }
 
-// DefaultLimits suit engines in the same region.
+// DefaultLimits are for engines in the same region.
 func DefaultLimits() Limits {
 	return Limits{
 		Connect:       time.Second,
@@ -58,12 +59,13 @@
 	}
 }
 
-// Client of the engine at Address ("ip:port"). The zero Limits mean DefaultLimits. It is safe for
-// concurrent use once its fields are set.
+// Client of the engine at Address ("ip:port"). If Limits is zero, DefaultLimits are used. A Client
+// is safe for concurrent use once its fields are set.
 type Client struct {
 	Address string
 	Limits  Limits
-	// Observe, when set, is told of each fault that the client got over or gave up on, for counters.
+	// Observe, if set, is called for each fault, whether the client recovered from it or gave up.
+	// It feeds counters.
 	Observe func(Fault)
 
 	once      sync.Once
@@ -71,10 +73,11 @@
 	transport exchange.Transport
 }
 
-// Fault is something an engine or the way to it did wrong.
+// Fault is a failure of an engine or of the connection to it.
 type Fault string
 
-// The faults, as they are counted.
+// The faults, by their label in metrics. FaultSilent is an idle timeout of a stalled connection,
+// FaultCut a lost connection, and FaultCrossed a response or event that belongs to another request.
 const (
 	FaultConnect    Fault = "connect"
 	FaultSilent     Fault = "silent"
@@ -85,8 +88,8 @@
 	FaultRefused    Fault = "refused"
 )
 
-// Dispatch is one run of a request at an engine. ID must differ between two runs of one request at
-// one engine, as the engine keeps streams by it. Model is "adapter@version".
+// Dispatch is one run of a request at an engine. Engines identify streams by ID, so it must differ
+// between two runs of the same request at one engine. Model is "adapter@version".
 type Dispatch struct {
 	ID       string
 	API      completion.API
@@ -95,48 +98,51 @@
 	Body     []byte
 }
 
-// Sink receives a stream as it comes, each token once and in order, without the ending [DONE]. Tokens
-// is the number generated so far. An error from it cancels the stream. Begin comes before the first
-// event, and only if there is one.
+// Sink receives the events of a stream, each token once and in order, without the final [DONE].
+// Tokens is the number of tokens generated so far. An error from the sink cancels the stream. Begin
+// is called before the first event, and only if there is one.
 type Sink interface {
 	Begin(model string) error
 	Event(event stream.Event, tokens int) error
 }
 
-// Outcome of a dispatch; sealed. Each type says how far the run got.
+// Outcome of a dispatch, one of the types below. Each type states how far the run got.
 type Outcome interface{ outcome() }
 
-// Completed is the outcome in which the stream came whole, up to [DONE]. Usage is the engine's count, when it gave one.
+// Completed means that the stream was received in full, up to [DONE]. Usage is the engine's count,
+// if it sent one.
 type Completed struct {
 	Tokens int
 	Usage  stream.Usage
 }
 
-// NotRun is the outcome in which no byte of the request left this process, or the engine refused it before running.
+// NotRun means that no byte of the request was sent. Refusals by the engine have types of their
+// own.
 type NotRun struct{ Err error }
 
-// NotResident is the outcome in which the engine does not hold the adapter version; not run.
+// NotResident means that the engine does not have the adapter version loaded. The request was not
+// run.
 type NotResident struct{}
 
-// Full is the outcome in which the engine has no batch place free; not run.
+// Full means that the engine has no free batch slot. The request was not run.
 type Full struct{ RetryAfter time.Duration }
 
-// Rejected is the outcome in which the engine found the request itself wrong (status 4xx); not run.
+// Rejected means that the engine found the request invalid (status 4xx). The request was not run.
 type Rejected struct {
 	Status  int
 	Message string
 }
 
-// WrongModel is the outcome in which the engine ran something else; nothing of it reached the sink.
+// WrongModel means that the engine ran another model. Nothing of its output reached the sink.
 type WrongModel struct {
 	Served  string
 	Stopped bool
 }
 
-// Failed is the outcome in which the stream was lost after Tokens tokens and could not be resumed.
-// Stopped tells whether the engine confirmed that it runs no more. Lost tells that the engine itself
-// went away while the request ran there, as it does when it crashes: nothing listens at its address any
-// more, or it no longer knows the stream. Otherwise the way to it may be at fault.
+// Failed means that the stream was lost after Tokens tokens and could not be resumed. Stopped
+// reports whether the engine confirmed that the request no longer runs. Lost means that the engine
+// itself failed while the request ran, as in a crash: nothing listens at its address any more, or
+// it no longer knows the stream. Otherwise the cause may be the connection.
 type Failed struct {
 	Tokens  int
 	Err     error
@@ -144,15 +150,16 @@
 	Lost    bool
 }
 
-// Unknown is the outcome in which the request left this process, and whether it ran can't be told.
-// Stopped and Lost are as with Failed; a request that never arrived looks like one that was lost.
+// Unknown means that the request may have been sent and it cannot be determined whether it ran.
+// Stopped and Lost are as in Failed; a request that never arrived looks like one that was lost.
 type Unknown struct {
 	Err     error
 	Stopped bool
 	Lost    bool
 }
 
-// Cancelled is the outcome in which the caller went away or the sink failed. Stopped tells whether the engine confirmed.
+// Cancelled means that the caller disconnected or the sink failed. Stopped reports whether the
+// engine confirmed it.
 type Cancelled struct {
 	Tokens  int
 	Err     error
@@ -171,16 +178,16 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Complete runs one completion and returns when it has ended, one way or another. When ctx ends, the
-// stream is cancelled at the engine before Complete returns.
+// Complete runs one completion and returns when it has ended. If ctx ends, Complete cancels the
+// stream at the engine before it returns.
 func (c *Client) Complete(ctx context.Context, dispatch Dispatch, sink Sink) Outcome {
-	c.prepare()
-	r := &runner{client: c, dispatch: dispatch, sink: sink}
-	return r.complete(ctx)
+	c.initialize()
+	r := &completionRun{client: c, dispatch: dispatch, sink: sink}
+	return r.run(ctx)
 }
 
-// prepare fixes the limits at the first use.
-func (c *Client) prepare() {
+// initialize sets the limits at the first call.
+func (c *Client) initialize() {
 	c.once.Do(func() {
 		c.limits = c.Limits
 		if c.limits == (Limits{}) {
@@ -190,13 +197,13 @@
 	})
 }
 
-func (c *Client) observe(fault Fault) {
+func (c *Client) reportFault(fault Fault) {
 	if c.Observe != nil {
 		c.Observe(fault)
 	}
 }
 
-// jsonHeader is the header of a request with a JSON body and an identity.
+// jsonHeader is the header of a request with a JSON body and a request ID.
 func jsonHeader(id string) http.Header {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
@@ -204,7 +211,7 @@
 	return header
 }
 
-// retryAfter reads when to come back; a second when the engine does not say.
+// retryAfter reads the Retry-After header; the default is one second.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get(headerRetryAfter))
 	if err != nil || seconds < 1 {
--- a/internal/upstream/engine/complete.go
+++ b/internal/upstream/engine/complete.go
@@ -1,7 +1,7 @@
 package engine
 
-// One completion at one engine, over as many connections as it takes. The first connection sends the
-// request; each further one resumes the stream from the tokens that have been passed on.
+// One completion at one engine, over as many connections as needed. The first connection sends the
+// request. Each further connection resumes the stream after the tokens already delivered.
 
 import (
 	"context"
@@ -18,56 +18,56 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// resumePause is the wait before the second fruitless resume in a row; it doubles with each. Without
-// it, all tries would be spent within the moment that the way to the engine is down.
-const resumePause = 100 * time.Millisecond
+// resumeBackoff is the delay before the second consecutive resume without progress. It doubles with
+// each further one. Without the backoff, a short network outage would use up all attempts at once.
+const resumeBackoff = 100 * time.Millisecond
 
-// Causes for which a connection is given up.
+// Reasons for abandoning a connection.
 var (
-	errSilent     = errors.New("engine: no progress within the limit")
-	errCrossed    = errors.New("engine: answer to another request")
-	errWrongModel = errors.New("engine: ran another model")
+	errIdleTimeout        = errors.New("engine: no stream event within the idle timeout")
+	errMismatchedResponse = errors.New("engine: response to another request")
+	errWrongModel         = errors.New("engine: served a model other than the requested one")
 )
 
-// runner is the state of one run.
-type runner struct {
+// completionRun is the state of one completion.
+type completionRun struct {
 	client   *Client
 	dispatch Dispatch
 	sink     Sink
 	position position
-	began    bool
-	// refused is a refusal without an identity, which holds once the engine confirms that it does
-	// not know the stream.
-	refused Outcome
+	started  bool
+	// unconfirmedRefusal is a refusal without a request ID. It counts once the engine confirms that
+	// it does not know the stream.
+	unconfirmedRefusal Outcome
 }
 
-// complete sends, and resumes until the stream has ended or too many connections in a row brought
-// nothing new. Made for connections that go silent or are cut while the engine works on: giving up
-// would burn the tokens generated so far, and running the request again would burn them twice. The
-// limit of tries has no measured reason yet.
-func (r *runner) complete(ctx context.Context) Outcome {
-	outcome, err := r.attempt(ctx, r.request())
-	for fruitless := 0; outcome == nil; {
+// run sends the request and resumes the stream until it has ended, or until too many consecutive
+// connections delivered no new event. Resuming covers connections that stall or are cut while
+// the engine is still working. Giving up would waste the tokens generated so far, and running the
+// request again would generate them twice.
+func (r *completionRun) run(ctx context.Context) Outcome {
+	outcome, err := r.attempt(ctx, r.initialRequest())
+	for failedResumes := 0; outcome == nil; {
 		if ctx.Err() != nil {
-			return r.cancelled(ctx, context.Cause(ctx))
+			return r.cancel(ctx, context.Cause(ctx))
 		}
-		if fruitless >= r.client.limits.Resumes {
-			return r.givenUp(ctx, err)
+		if failedResumes >= r.client.limits.Resumes {
+			return r.giveUp(ctx, err)
 		}
-		if fruitless > 0 {
-			pause.For(ctx, resumePause<<(fruitless-1))
+		if failedResumes > 0 {
+			pause.For(ctx, resumeBackoff<<(failedResumes-1))
 		}
-		fruitless++
-		before := r.position.progress
-		outcome, err = r.attempt(ctx, r.resume())
-		if r.position.progress > before {
-			fruitless = 0
+		failedResumes++
+		before := r.position.acceptedEvents
+		outcome, err = r.attempt(ctx, r.resumeRequest())
+		if r.position.acceptedEvents > before {
+			failedResumes = 0
 		}
 	}
 	return outcome
 }
 
-func (r *runner) request() exchange.Request {
+func (r *completionRun) initialRequest() exchange.Request {
 	header := jsonHeader(r.dispatch.ID)
 	header.Set(headerPriority, strconv.Itoa(r.dispatch.Priority))
 	return exchange.Request{
@@ -79,7 +79,7 @@
 	}
 }
 
-func (r *runner) resume() exchange.Request {
+func (r *completionRun) resumeRequest() exchange.Request {
 	return exchange.Request{
 		Address: r.client.Address,
 		Method:  http.MethodGet,
@@ -88,76 +88,77 @@
 	}
 }
 
-// attempt makes one exchange. It returns an outcome when the run has ended, or why the connection was
-// given up.
-func (r *runner) attempt(ctx context.Context, request exchange.Request) (Outcome, error) {
-	watched, watch := watchProgress(ctx, r.patience())
-	defer watch.stop()
-	response, err := r.client.transport.Do(watched, request)
+// attempt makes one exchange. It returns an outcome if the run has ended, or otherwise the reason
+// for abandoning the connection.
+func (r *completionRun) attempt(ctx context.Context, request exchange.Request) (Outcome, error) {
+	attemptCtx, idle := withIdleTimeout(ctx, r.idleTimeout())
+	defer idle.stop()
+	response, err := r.client.transport.Do(attemptCtx, request)
 	if err != nil {
-		return r.unanswered(ctx, watched, request, err)
+		return r.handleSendError(ctx, attemptCtx, request, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return r.refusal(request, response)
+		return r.handleRefusal(request, response)
 	}
-	if err := r.identify(response); err != nil {
-		return r.misdirected(ctx, response, err)
+	if err := r.checkResponseHeaders(response); err != nil {
+		return r.handleMismatch(ctx, response, err)
 	}
-	outcome, err := r.read(ctx, response.Body, watch)
+	outcome, err := r.readStream(ctx, response.Body, idle)
 	if outcome == nil {
-		err = r.noteLoss(ctx, watched, err)
+		err = r.recordConnectionFault(ctx, attemptCtx, err)
 	}
 	return outcome, err
 }
 
-// patience is the limit of the phase that the stream is in.
-func (r *runner) patience() time.Duration {
+// idleTimeout is the longest wait for the next event: before the first token, or between tokens.
+func (r *completionRun) idleTimeout() time.Duration {
 	if r.position.tokens == 0 {
 		return r.client.limits.FirstToken
 	}
 	return r.client.limits.BetweenTokens
 }
 
-// unanswered judges an exchange without an answer. Only the first request can be not run: nothing of
-// it left this process.
-func (r *runner) unanswered(ctx, watched context.Context, request exchange.Request, err error) (Outcome, error) {
+// handleSendError classifies an exchange without a response. Only the initial request can be
+// reported as not run, and only if no byte of it was sent.
+func (r *completionRun) handleSendError(ctx, attemptCtx context.Context, request exchange.Request, err error) (Outcome, error) {
 	var failure *exchange.Failure
-	left := !errors.As(err, &failure) || failure.Left
-	if request.Method == http.MethodPost && !left {
-		r.client.observe(FaultConnect)
+	maybeSent := !errors.As(err, &failure) || failure.Left
+	if request.Method == http.MethodPost && !maybeSent {
+		r.client.reportFault(FaultConnect)
 		if ctx.Err() != nil {
 			return Cancelled{Err: context.Cause(ctx), Stopped: true}, nil
 		}
 		return NotRun{Err: err}, nil
 	}
-	return nil, r.noteLoss(ctx, watched, err)
+	return nil, r.recordConnectionFault(ctx, attemptCtx, err)
 }
 
-// noteLoss counts a lost connection under its cause; a caller that went away is no fault.
-func (r *runner) noteLoss(ctx, watched context.Context, err error) error {
+// recordConnectionFault counts a lost connection by its cause. A caller that disconnected is not a
+// fault.
+func (r *completionRun) recordConnectionFault(ctx, attemptCtx context.Context, err error) error {
 	switch {
 	case ctx.Err() != nil:
 		return err
-	case errors.Is(context.Cause(watched), errSilent):
-		r.client.observe(FaultSilent)
-		return errSilent
-	case errors.Is(err, errCrossed):
-		r.client.observe(FaultCrossed)
+	case errors.Is(context.Cause(attemptCtx), errIdleTimeout):
+		r.client.reportFault(FaultSilent)
+		return errIdleTimeout
+	case errors.Is(err, errMismatchedResponse):
+		r.client.reportFault(FaultCrossed)
 	case errors.Is(err, stream.ErrMalformed), errors.Is(err, stream.ErrTooLong), errors.Is(err, stream.ErrNoCount):
-		r.client.observe(FaultMalformed)
+		r.client.reportFault(FaultMalformed)
 	default:
-		r.client.observe(FaultCut)
+		r.client.reportFault(FaultCut)
 	}
 	return err
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// identify checks that the answer is to this request and that the right model runs it.
-func (r *runner) identify(response *http.Response) error {
+// checkResponseHeaders checks that the response is for this request and from the requested model.
+func (r *completionRun) checkResponseHeaders(response *http.Response) error {
 	if response.Header.Get(headerRequestID) != r.dispatch.ID {
-		return errCrossed
+		return errMismatchedResponse
 	}
 	if response.Header.Get(headerServedModel) != r.dispatch.Model {
 		return errWrongModel
@@ -165,50 +166,53 @@
 	return nil
 }
 
-// misdirected drops an answer that is not to this request, or not from the model asked for. A crossed
-// answer says nothing about this request, which may be running: it is resumed under its own identity.
-func (r *runner) misdirected(ctx context.Context, response *http.Response, err error) (Outcome, error) {
+// handleMismatch discards a response that is for another request or from another model. A response
+// for another request says nothing about this request, which may be running: it is resumed under
+// its own ID.
+func (r *completionRun) handleMismatch(ctx context.Context, response *http.Response, err error) (Outcome, error) {
 	if errors.Is(err, errWrongModel) {
-		return r.wrongModel(ctx, response.Header.Get(headerServedModel)), nil
+		return r.stopWrongModel(ctx, response.Header.Get(headerServedModel)), nil
 	}
-	r.client.observe(FaultCrossed)
+	r.client.reportFault(FaultCrossed)
 	return nil, err
 }
 
-func (r *runner) wrongModel(ctx context.Context, served string) Outcome {
-	r.client.observe(FaultWrongModel)
-	stopped := r.stop(ctx)
-	if r.began {
+func (r *completionRun) stopWrongModel(ctx context.Context, served string) Outcome {
+	r.client.reportFault(FaultWrongModel)
+	stopped := r.cancelStream(ctx)
+	if r.started {
 		return Failed{Tokens: r.position.tokens, Err: errWrongModel, Stopped: stopped}
 	}
 	return WrongModel{Served: served, Stopped: stopped}
 }
 
-// refusal judges an answer other than 200. The engine's word that it did not run the request is taken
-// only with the request's identity on it; a refusal without one is checked by asking for the stream.
-func (r *runner) refusal(request exchange.Request, response *http.Response) (Outcome, error) {
-	if crossed(response, r.dispatch.ID) {
-		r.client.observe(FaultCrossed)
-		return nil, errCrossed
+// handleRefusal classifies a response with a status other than 200. A statement of the engine that
+// it did not run the request counts only if it carries the request's ID. A refusal without an ID is
+// verified by asking for the stream.
+func (r *completionRun) handleRefusal(request exchange.Request, response *http.Response) (Outcome, error) {
+	if isForOtherRequest(response, r.dispatch.ID) {
+		r.client.reportFault(FaultCrossed)
+		return nil, errMismatchedResponse
 	}
 	if request.Method == http.MethodGet {
-		return r.notResumed(response)
+		return r.handleResumeRefusal(response)
 	}
-	outcome := r.notRun(response)
+	outcome := r.refusalOutcome(response)
 	if outcome == nil {
-		r.client.observe(FaultRefused)
-		return nil, errors.Errorf("engine: status %d", response.StatusCode)
+		r.client.reportFault(FaultRefused)
+		return nil, errors.Errorf("engine: request refused with status %d", response.StatusCode)
 	}
 	if response.Header.Get(headerRequestID) == "" {
-		r.refused = outcome
-		return nil, errors.New("engine: refusal without an identity")
+		r.unconfirmedRefusal = outcome
+		return nil, errors.New("engine: refusal without a request ID")
 	}
 	return outcome, nil
 }
 
-// notRun maps a refusal of the request; nil when the status says nothing about a run.
-func (r *runner) notRun(response *http.Response) Outcome {
-	refused := readRefusal(response, r.client.limits.AnswerBytes)
+// refusalOutcome maps a refusal of the request to an outcome, or nil if the status does not show
+// whether the request ran.
+func (r *completionRun) refusalOutcome(response *http.Response) Outcome {
+	refused := readError(response, r.client.limits.AnswerBytes)
 	status := response.StatusCode
 	switch {
 	case status == http.StatusNotFound && refused.Error.Code == codeModelNotFound:
@@ -221,47 +225,48 @@
 	return nil
 }
 
-// notResumed judges a refused resume. When the engine does not know the stream, the run is over: it
-// was restarted, or the request never came.
-func (r *runner) notResumed(response *http.Response) (Outcome, error) {
+// handleResumeRefusal classifies a refused resume. If the engine does not know the stream, the run
+// is over: the engine was restarted, or it never received the request.
+func (r *completionRun) handleResumeRefusal(response *http.Response) (Outcome, error) {
 	if response.StatusCode != http.StatusNotFound {
-		r.client.observe(FaultRefused)
-		return nil, errors.Errorf("engine: resume: status %d", response.StatusCode)
+		r.client.reportFault(FaultRefused)
+		return nil, errors.Errorf("engine: resume refused with status %d", response.StatusCode)
 	}
-	lost := errors.New("engine: the stream is not known any more")
+	lost := errors.New("engine: the engine does not know the stream")
 	switch {
-	case r.began:
+	case r.started:
 		return Failed{Tokens: r.position.tokens, Err: lost, Stopped: true, Lost: true}, nil
-	case r.refused != nil:
-		return r.refused, nil
+	case r.unconfirmedRefusal != nil:
+		return r.unconfirmedRefusal, nil
 	}
 	return Unknown{Err: lost, Stopped: true, Lost: true}, nil
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// read passes events on until the stream ends or is lost.
-func (r *runner) read(ctx context.Context, body io.Reader, watch *progressWatch) (Outcome, error) {
+// readStream delivers events until the stream ends or is lost.
+func (r *completionRun) readStream(ctx context.Context, body io.Reader, idle *idleTimer) (Outcome, error) {
 	reader := stream.NewReader(body, r.client.limits.LineBytes)
 	for {
 		event, err := reader.Next()
 		if err != nil {
 			return nil, err
 		}
-		// A sink that waits for a slow caller is not the engine's silence.
-		watch.pause()
-		outcome, err := r.take(ctx, event)
+		// Time that the sink spends waiting for a slow caller does not count as idle time of the
+		// engine.
+		idle.pause()
+		outcome, err := r.handleEvent(ctx, event)
 		if outcome != nil || err != nil {
 			return outcome, err
 		}
-		watch.extend(r.patience())
+		idle.reset(r.idleTimeout())
 	}
 }
 
-// take judges one event and passes it on if it is new.
-func (r *runner) take(ctx context.Context, event stream.Event) (Outcome, error) {
+// handleEvent checks one event and delivers it if it is new.
+func (r *completionRun) handleEvent(ctx context.Context, event stream.Event) (Outcome, error) {
 	if event.IsDone() {
-		if err := r.position.whole(); err != nil {
+		if err := r.position.checkComplete(); err != nil {
 			return nil, err
 		}
 		return Completed{Tokens: r.position.tokens, Usage: r.position.usage}, nil
@@ -274,29 +279,29 @@
 		return Failed{Tokens: r.position.tokens, Err: errors.New(chunk.Failure), Stopped: true}, nil
 	}
 	if chunk.ID != r.dispatch.ID {
-		return nil, errCrossed
+		return nil, errMismatchedResponse
 	}
 	if chunk.Model != "" && chunk.Model != r.dispatch.Model {
-		return r.wrongModel(ctx, chunk.Model), nil
+		return r.stopWrongModel(ctx, chunk.Model), nil
 	}
 	tokens, err := event.Tokens()
 	if err != nil {
 		return nil, err
 	}
-	after, isNew := r.position.accept(chunk, tokens)
+	next, isNew := r.position.accept(chunk, tokens)
 	if !isNew {
 		return nil, nil
 	}
 	if err := r.deliver(event, tokens); err != nil {
-		return r.cancelled(ctx, err), nil
+		return r.cancel(ctx, err), nil
 	}
-	r.position = after
+	r.position = next
 	return nil, nil
 }
 
-func (r *runner) deliver(event stream.Event, tokens int) error {
-	if !r.began {
-		r.began = true
+func (r *completionRun) deliver(event stream.Event, tokens int) error {
+	if !r.started {
+		r.started = true
 		if err := r.sink.Begin(r.dispatch.Model); err != nil {
 			return err
 		}
@@ -306,23 +311,23 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// givenUp ends a run whose connections all failed.
-func (r *runner) givenUp(ctx context.Context, err error) Outcome {
-	stopped := r.stop(ctx)
+// giveUp ends a run after too many connections without progress.
+func (r *completionRun) giveUp(ctx context.Context, err error) Outcome {
+	stopped := r.cancelStream(ctx)
 	lost := errors.Is(err, syscall.ECONNREFUSED)
-	if r.began {
+	if r.started {
 		return Failed{Tokens: r.position.tokens, Err: err, Stopped: stopped, Lost: lost}
 	}
 	return Unknown{Err: err, Stopped: stopped, Lost: lost}
 }
 
-func (r *runner) cancelled(ctx context.Context, cause error) Outcome {
-	return Cancelled{Tokens: r.position.tokens, Err: cause, Stopped: r.stop(ctx)}
+func (r *completionRun) cancel(ctx context.Context, cause error) Outcome {
+	return Cancelled{Tokens: r.position.tokens, Err: cause, Stopped: r.cancelStream(ctx)}
 }
 
-// stop cancels the stream at the engine and reports whether the engine confirmed that it runs no more.
-// It outlives the caller's context, which has often ended by now: an uncancelled stream keeps its batch
-// place until its last token.
-func (r *runner) stop(ctx context.Context) bool {
+// cancelStream cancels the stream at the engine and reports whether the engine confirmed that it no
+// longer runs. It ignores the cancellation of the caller's context, which has often ended by then:
+// a stream that is not cancelled occupies its batch slot until its last token.
+func (r *completionRun) cancelStream(ctx context.Context) bool {
 	return r.client.Cancel(context.WithoutCancel(ctx), r.dispatch.ID) == nil
 }
--- a/internal/upstream/engine/complete_test.go
+++ b/internal/upstream/engine/complete_test.go
@@ -16,28 +16,28 @@
 func TestCompletePlain(t *testing.T) {
 	is := is.New(t)
 	fake := &fakeEngine{tokens: 5}
-	client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+	client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 	sink := &textSink{}
 	outcome := client.Complete(context.Background(), dispatch(), sink)
 	completed, ok := outcome.(engine.Completed)
 	is.True(ok)
 	is.Equal(completed.Tokens, 5)
 	is.Equal(completed.Usage.Total(), 8)
-	is.Equal(sink.text, wholeText(5))
+	is.Equal(sink.text, fullText(5))
 	is.Equal(sink.begun, 1)
 }
 
-// Something between an instance and an engine resets the connection in the middle of an answer, at any
-// byte of it. The caller must notice nothing: each token comes once, none is missing, and the engine
-// runs the request once.
-func TestAnswerCutAtEachByte(t *testing.T) {
+// A device between the instance and the engine resets the connection at any byte of the response.
+// The caller must not be affected: each token is delivered exactly once, and the engine runs the
+// request once.
+func TestResponseCutAtEachByte(t *testing.T) {
 	measured := &fakeEngine{tokens: 3}
-	_, answer := lengths(t, measured.start(t))
-	for cut := range answer {
+	_, response := measureExchange(t, measured.start(t))
+	for cut := range response {
 		is := is.New(t)
 		fake := &fakeEngine{tokens: 3}
-		proxy := &cutProxy{target: fake.start(t), requests: -1, answers: cut}
-		client := &engine.Client{Address: proxy.start(t), Limits: quickLimits()}
+		proxy := &cutProxy{target: fake.start(t), requestLimit: -1, responseLimit: cut}
+		client := &engine.Client{Address: proxy.start(t), Limits: shortLimits()}
 		sink := &textSink{}
 		outcome := client.Complete(context.Background(), dispatch(), sink)
 		runs, _ := fake.counts()
@@ -45,22 +45,22 @@
 		if !ok {
 			t.Fatalf("cut at %d: %#v", cut, outcome)
 		}
-		is.Equal(sink.text, wholeText(3)) // each token once
-		is.Equal(sink.events, 5)          // and the finish reason and the usage once
+		is.Equal(sink.text, fullText(3)) // each token once
+		is.Equal(sink.events, 5)         // and the finish reason and the usage once
 		is.Equal(runs, 1)
 	}
 }
 
-// The connection is reset while the request is still being sent, at any byte of it. Whether the engine
-// ran it can't be seen from here, unless nothing was sent at all: "not run" must never be said of a
-// request that the engine has run.
+// The connection is reset at any byte while the request is being sent. The client cannot tell
+// whether the engine ran the request, unless nothing was sent. It must never report a request as
+// not run if the engine ran it.
 func TestRequestCutAtEachByte(t *testing.T) {
 	measured := &fakeEngine{tokens: 1}
-	request, _ := lengths(t, measured.start(t))
+	request, _ := measureExchange(t, measured.start(t))
 	for cut := range request + 1 {
 		fake := &fakeEngine{tokens: 1}
-		proxy := &cutProxy{target: fake.start(t), requests: cut, answers: -1}
-		client := &engine.Client{Address: proxy.start(t), Limits: quickLimits()}
+		proxy := &cutProxy{target: fake.start(t), requestLimit: cut, responseLimit: -1}
+		client := &engine.Client{Address: proxy.start(t), Limits: shortLimits()}
 		outcome := client.Complete(context.Background(), dispatch(), &textSink{})
 		runs, _ := fake.counts()
 		switch outcome.(type) {
@@ -68,7 +68,7 @@
 		case engine.Unknown:
 		case engine.NotRun:
 			if runs > 0 {
-				t.Fatalf("cut at %d: said not run, but it ran", cut)
+				t.Fatalf("cut at %d: reported as not run, but it ran", cut)
 			}
 		default:
 			t.Fatalf("cut at %d: %#v", cut, outcome)
@@ -76,22 +76,22 @@
 	}
 }
 
-// The engine's machine is gone, so nothing listens at its address. The request can't have run, and may
-// be sent elsewhere at once.
-func TestNobodyListens(t *testing.T) {
+// Nothing listens at the engine's address, because its machine has failed. The request cannot have
+// run, so it may be sent to another engine at once.
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	client := &engine.Client{Address: address, Limits: quickLimits()}
+	client := &engine.Client{Address: address, Limits: shortLimits()}
 	_, notRun := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.NotRun)
 	is.True(notRun)
 }
 
-// A connection goes silent for good, before the first token or between two, while new ones work. The
-// caller would wait for ever; the stream must go on over a new connection.
-func TestSilentConnection(t *testing.T) {
+// A connection delivers nothing more, before the first token or between two, while new connections
+// work. The caller would wait forever; the stream must be resumed on a new connection.
+func TestStalledConnectionIsResumed(t *testing.T) {
 	cases := []struct {
 		name   string
 		before int
@@ -103,8 +103,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var seen faults
-			fake := &fakeEngine{tokens: 4, spoil: func(number int, w http.ResponseWriter, r *http.Request) bool {
+			var faults faultCounter
+			fake := &fakeEngine{tokens: 4, intercept: func(number int, w http.ResponseWriter, r *http.Request) bool {
 				if number > 1 {
 					return false
 				}
@@ -117,28 +117,28 @@
 				<-r.Context().Done()
 				return true
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), Observe: seen.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), Observe: faults.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
-			is.Equal(sink.text, wholeText(4))
-			is.Equal(seen.count(engine.FaultSilent), 1)
+			is.Equal(sink.text, fullText(4))
+			is.Equal(faults.count(engine.FaultSilent), 1)
 		})
 	}
 }
 
-// Every connection to the engine goes silent, new ones too. The caller is told in bounded time that
-// the outcome is unknown, and the engine is asked to stop.
-func TestAllConnectionsSilent(t *testing.T) {
+// Every connection to the engine stalls, new ones included. Within bounded time the outcome
+// must be unknown, and the client must ask the engine to cancel the stream.
+func TestAllConnectionsStalled(t *testing.T) {
 	is := is.New(t)
-	fake := &fakeEngine{tokens: 4, spoil: func(_ int, _ http.ResponseWriter, r *http.Request) bool {
+	fake := &fakeEngine{tokens: 4, intercept: func(_ int, _ http.ResponseWriter, r *http.Request) bool {
 		if r.Method == http.MethodDelete {
 			return false
 		}
 		<-r.Context().Done()
 		return true
 	}}
-	client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+	client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 	unknown, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Unknown)
 	is.True(ok)
 	is.True(unknown.Stopped)
@@ -147,18 +147,19 @@
 	is.Equal(cancels, 1)
 }
 
-// An engine mixes up two answers, in the headers or in the middle of a stream. A caller would read
-// another workspace's text; the crossed part is dropped, counted, and the right one fetched.
-func TestCrossedAnswer(t *testing.T) {
+// An engine sends the response of another request, from the headers on or from the middle of a
+// stream. The caller would read the text of another workspace. The wrong part must be discarded and
+// counted, and the right one fetched.
+func TestResponseToAnotherRequest(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(w http.ResponseWriter)
+		name    string
+		corrupt func(w http.ResponseWriter)
 	}{
 		{"headers", func(w http.ResponseWriter) {
 			w.Header().Set("X-Request-Id", "another")
 			sendEvents(w, requestID, 0, 4)
 		}},
-		{"no identity", func(w http.ResponseWriter) {
+		{"no request ID", func(w http.ResponseWriter) {
 			w.Header().Del("X-Request-Id")
 			sendEvents(w, requestID, 0, 4)
 		}},
@@ -174,33 +175,34 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var seen faults
-			fake := &fakeEngine{tokens: 4, spoil: func(number int, w http.ResponseWriter, _ *http.Request) bool {
+			var faults faultCounter
+			fake := &fakeEngine{tokens: 4, intercept: func(number int, w http.ResponseWriter, _ *http.Request) bool {
 				if number == 1 {
-					c.spoil(w)
+					c.corrupt(w)
 				}
 				return number == 1
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), Observe: seen.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), Observe: faults.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
-			is.Equal(sink.text, wholeText(4))
-			is.Equal(seen.count(engine.FaultCrossed), 1)
+			is.Equal(sink.text, fullText(4))
+			is.Equal(faults.count(engine.FaultCrossed), 1)
 		})
 	}
 }
 
-// An engine was restarted, or its order was lost, and it serves another version than it was asked for.
-// A caller would get a bid from the wrong adapter; nothing of it may come through, and it is stopped.
+// After a restart or a lost order, an engine serves another adapter version than the requested one.
+// The caller would get a bid from the wrong adapter. No event may reach the caller, and the stream
+// must be cancelled.
 func TestWrongModel(t *testing.T) {
 	for _, served := range []string{"bids@1", ""} {
 		is := is.New(t)
-		fake := &fakeEngine{tokens: 4, spoil: func(_ int, w http.ResponseWriter, _ *http.Request) bool {
+		fake := &fakeEngine{tokens: 4, intercept: func(_ int, w http.ResponseWriter, _ *http.Request) bool {
 			w.Header().Set("X-Served-Model", served)
 			return false
 		}}
-		client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+		client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 		sink := &textSink{}
 		wrong, ok := client.Complete(context.Background(), dispatch(), sink).(engine.WrongModel)
 		is.True(ok)
@@ -212,11 +214,11 @@
 
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name     string
-		status   int
-		body     string
-		identity string
-		want     engine.Outcome
+		name      string
+		status    int
+		body      string
+		requestID string
+		want      engine.Outcome
 	}{
 		{"not resident", 404, `{"error":{"code":"model_not_found"}}`, requestID, engine.NotResident{}},
 		{"full", 503, `{}`, requestID, engine.Full{RetryAfter: 3 * time.Second}},
@@ -225,25 +227,25 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			fake := &fakeEngine{spoil: func(_ int, w http.ResponseWriter, _ *http.Request) bool {
+			fake := &fakeEngine{intercept: func(_ int, w http.ResponseWriter, _ *http.Request) bool {
 				w.Header().Set("Retry-After", "3")
 				w.WriteHeader(c.status)
 				_, _ = w.Write([]byte(c.body))
 				return true
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+			client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 			is.Equal(client.Complete(context.Background(), dispatch(), &textSink{}), c.want)
 		})
 	}
 }
 
-// A refusal comes without the request's identity, so it may be another request's, late or crossed. It
-// is taken for "not run" only if the engine, asked for the stream, does not know it; otherwise the
-// stream that runs after all is followed.
-func TestRefusalWithoutIdentity(t *testing.T) {
+// A refusal without a request ID may belong to another request. It counts as not run only if the
+// engine, when asked for the stream, does not know it. Otherwise the client follows the running
+// stream.
+func TestRefusalWithoutRequestID(t *testing.T) {
 	for _, running := range []bool{false, true} {
 		is := is.New(t)
-		fake := &fakeEngine{tokens: 2, spoil: func(number int, w http.ResponseWriter, _ *http.Request) bool {
+		fake := &fakeEngine{tokens: 2, intercept: func(number int, w http.ResponseWriter, _ *http.Request) bool {
 			if number == 1 {
 				w.Header().Del("X-Request-Id")
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -254,23 +256,23 @@
 			}
 			return !running
 		}}
-		client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+		client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 		switch client.Complete(context.Background(), dispatch(), &textSink{}).(type) {
 		case engine.Full:
 			is.True(!running)
 		case engine.Completed:
 			is.True(running)
 		default:
-			t.Fatal("neither full nor completed")
+			t.Fatal("outcome is neither Full nor Completed")
 		}
 	}
 }
 
-// The engine crashes in the middle of a stream and comes back without it. The tokens are gone: the
-// outcome says how many had come, so that nobody is billed twice and nothing is repeated unseen.
+// The engine crashes in the middle of a stream and restarts without it. The outcome must state how
+// many tokens were received, so that nobody is billed twice and nothing is retried unnoticed.
 func TestEngineRestartedMidStream(t *testing.T) {
 	is := is.New(t)
-	fake := &fakeEngine{tokens: 4, spoil: func(number int, w http.ResponseWriter, _ *http.Request) bool {
+	fake := &fakeEngine{tokens: 4, intercept: func(number int, w http.ResponseWriter, _ *http.Request) bool {
 		if number > 1 {
 			w.WriteHeader(http.StatusNotFound)
 			return true
@@ -279,7 +281,7 @@
 		sendToken(w, requestID, 2)
 		panic(http.ErrAbortHandler)
 	}}
-	client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+	client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 2)
@@ -287,20 +289,20 @@
 	is.True(failed.Lost)
 }
 
-// The engine's process dies in the middle of a stream and nothing listens at its address any more. The
-// request may be what killed it, which must be told from a way that was down.
-func TestEngineGoneMidStream(t *testing.T) {
+// The engine process dies in the middle of a stream, and nothing listens at its address any more.
+// The request may have crashed it, so this must be distinguished from a network failure.
+func TestEngineDiesMidStream(t *testing.T) {
 	is := is.New(t)
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Request-Id", requestID)
-		w.Header().Set("X-Served-Model", askedModel)
+		w.Header().Set("X-Served-Model", requestedModel)
 		sendToken(w, requestID, 1)
 		is.NoErr(server.Listener.Close())
 		panic(http.ErrAbortHandler)
 	}))
 	defer server.Close()
-	client := &engine.Client{Address: server.Listener.Addr().String(), Limits: quickLimits()}
+	client := &engine.Client{Address: server.Listener.Addr().String(), Limits: shortLimits()}
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 1)
@@ -308,9 +310,9 @@
 	is.True(!failed.Stopped)
 }
 
-// A caller hangs up in the middle of its stream. The engine would go on to the last token for nobody;
-// it is cancelled before the run counts as ended.
-func TestCallerGoesAway(t *testing.T) {
+// A caller disconnects in the middle of its stream. The engine would otherwise generate up to the
+// last token for nobody; the stream must be cancelled before the run counts as ended.
+func TestCallerDisconnects(t *testing.T) {
 	cases := []struct {
 		name string
 		sink *textSink
@@ -324,7 +326,7 @@
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			fake := &fakeEngine{tokens: 4, spoil: func(number int, w http.ResponseWriter, r *http.Request) bool {
+			fake := &fakeEngine{tokens: 4, intercept: func(number int, w http.ResponseWriter, r *http.Request) bool {
 				if number > 1 || !c.wait {
 					return false
 				}
@@ -343,25 +345,25 @@
 	}
 }
 
-// A caller reads slowly, longer for one event than an engine may be silent. The engine is not to blame:
-// the stream must neither be resumed nor cancelled.
-func TestSlowCallerIsNotSilence(t *testing.T) {
+// A slow caller takes longer to read one event than the engine's idle timeout. The engine is not at
+// fault, so the stream must be neither resumed nor cancelled.
+func TestSlowCallerDoesNotTriggerIdleTimeout(t *testing.T) {
 	is := is.New(t)
-	var seen faults
+	var faults faultCounter
 	fake := &fakeEngine{tokens: 2}
-	limits := quickLimits()
-	client := &engine.Client{Address: fake.start(t), Limits: limits, Observe: seen.observe}
+	limits := shortLimits()
+	client := &engine.Client{Address: fake.start(t), Limits: limits, Observe: faults.observe}
 	sink := &textSink{slow: limits.BetweenTokens + 100*time.Millisecond}
 	_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 	is.True(ok)
-	is.Equal(seen.count(engine.FaultSilent), 0)
+	is.Equal(faults.count(engine.FaultSilent), 0)
 }
 
-// An engine's stream ends in its marker although tokens are missing, or without a finish reason. The
-// caller would take a part for the whole.
-func TestEndTooEarly(t *testing.T) {
+// An engine sends [DONE] although tokens or the finish reason are missing. The caller would treat a
+// partial response as complete.
+func TestPrematureEndOfStream(t *testing.T) {
 	is := is.New(t)
-	fake := &fakeEngine{tokens: 3, spoil: func(number int, w http.ResponseWriter, _ *http.Request) bool {
+	fake := &fakeEngine{tokens: 3, intercept: func(number int, w http.ResponseWriter, _ *http.Request) bool {
 		if number > 1 {
 			return false
 		}
@@ -369,9 +371,9 @@
 		_, _ = w.Write([]byte("data: [DONE]\n\n"))
 		return true
 	}}
-	client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
+	client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 	sink := &textSink{}
 	_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 	is.True(ok)
-	is.Equal(sink.text, wholeText(3))
+	is.Equal(sink.text, fullText(3))
 }
--- a/internal/upstream/engine/fake_engine_test.go
+++ b/internal/upstream/engine/fake_engine_test.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	askedModel = "bids@2"
-	requestID  = "request-1"
+	requestedModel = "bids@2"
+	requestID      = "request-1"
 )
 
-// fakeEngine speaks the engines' protocol and generates the tokens t1, t2, ... without pause. Spoil,
-// when set, may answer an exchange in its place; number counts the exchanges from 1.
+// fakeEngine implements the engine protocol and generates the tokens t1, t2, ... without delay. If
+// set, intercept may respond to an exchange instead; number counts the exchanges from 1.
 type fakeEngine struct {
-	tokens int
-	spoil  func(number int, w http.ResponseWriter, r *http.Request) bool
+	tokens    int
+	intercept func(number int, w http.ResponseWriter, r *http.Request) bool
 
 	mu        sync.Mutex
 	exchanges int
@@ -67,8 +67,8 @@
 	}
 	e.mu.Unlock()
 	w.Header().Set("X-Request-Id", id)
-	w.Header().Set("X-Served-Model", askedModel)
-	if e.spoil != nil && e.spoil(number, w, r) {
+	w.Header().Set("X-Served-Model", requestedModel)
+	if e.intercept != nil && e.intercept(number, w, r) {
 		return
 	}
 	from := 0
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendEvents sends the tokens after from, the finish reason, the usage and the end.
+// sendEvents sends the tokens after from, the finish reason, the usage and [DONE].
 func sendEvents(w http.ResponseWriter, id string, from, tokens int) {
 	for n := from + 1; n <= tokens; n++ {
 		sendToken(w, id, n)
@@ -93,19 +93,19 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// sendToken sends one token, which is another one for another request.
+// sendToken sends one token. Its text differs if the ID is that of another request.
 func sendToken(w http.ResponseWriter, id string, n int) {
 	letter := "t"
 	if id != requestID {
 		letter = "x"
 	}
-	fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"model\":%q,\"choices\":[{\"index\":0,\"text\":\"%s%d \"}]}\n\n", n, id, askedModel, letter, n)
+	fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"model\":%q,\"choices\":[{\"index\":0,\"text\":\"%s%d \"}]}\n\n", n, id, requestedModel, letter, n)
 	w.(http.Flusher).Flush()
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// textSink joins the tokens; fail, when above zero, is the event at which it fails.
+// textSink concatenates the tokens. If fail is above zero, the sink fails at that event.
 type textSink struct {
 	mu     sync.Mutex
 	begun  int
@@ -138,7 +138,7 @@
 	return nil
 }
 
-func wholeText(tokens int) string {
+func fullText(tokens int) string {
 	var text strings.Builder
 	for n := 1; n <= tokens; n++ {
 		fmt.Fprintf(&text, "t%d ", n)
@@ -146,8 +146,8 @@
 	return text.String()
 }
 
-// quickLimits make the failure cases end soon; none of them is asserted on.
-func quickLimits() engine.Limits {
+// shortLimits make the failure cases end quickly. No test asserts their values.
+func shortLimits() engine.Limits {
 	limits := engine.DefaultLimits()
 	limits.FirstToken = 300 * time.Millisecond
 	limits.BetweenTokens = 300 * time.Millisecond
@@ -156,16 +156,16 @@
 }
 
 func dispatch() engine.Dispatch {
-	return engine.Dispatch{ID: requestID, API: completion.Text, Model: askedModel, Body: []byte(`{"model":"bids@2"}`)}
+	return engine.Dispatch{ID: requestID, API: completion.Text, Model: requestedModel, Body: []byte(`{"model":"bids@2"}`)}
 }
 
-// faults counts what a client observes.
-type faults struct {
+// faultCounter counts the faults that a client reports.
+type faultCounter struct {
 	mu     sync.Mutex
 	counts map[engine.Fault]int
 }
 
-func (f *faults) observe(fault engine.Fault) {
+func (f *faultCounter) observe(fault engine.Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.counts == nil {
@@ -174,7 +174,7 @@
 	f.counts[fault]++
 }
 
-func (f *faults) count(fault engine.Fault) int {
+func (f *faultCounter) count(fault engine.Fault) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[fault]
@@ -182,17 +182,17 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// cutProxy passes connections on and cuts the first one after so many bytes of the request or of the
-// answer; below zero means never.
+// cutProxy forwards connections and cuts the first one after the given number of bytes of the
+// request or of the response; a negative limit means never.
 type cutProxy struct {
-	target   string
-	requests int
-	answers  int
+	target        string
+	requestLimit  int
+	responseLimit int
 
-	mu       sync.Mutex
-	count    int
-	sent     int
-	answered int
+	mu            sync.Mutex
+	connections   int
+	requestBytes  int
+	responseBytes int
 }
 
 func (p *cutProxy) start(t *testing.T) string {
@@ -213,59 +213,60 @@
 			return
 		}
 		p.mu.Lock()
-		p.count++
-		first := p.count == 1
+		p.connections++
+		first := p.connections == 1
 		p.mu.Unlock()
-		go p.pass(caller, first)
+		go p.forward(caller, first)
 	}
 }
 
-func (p *cutProxy) pass(caller net.Conn, first bool) {
+func (p *cutProxy) forward(caller net.Conn, first bool) {
 	defer caller.Close()
 	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer upstream.Close()
-	requests, answers := -1, -1
+	requestLimit, responseLimit := -1, -1
 	if first {
-		requests, answers = p.requests, p.answers
+		requestLimit, responseLimit = p.requestLimit, p.responseLimit
 	}
 	ended := make(chan struct{}, 2)
-	copyUpTo := func(to io.Writer, from io.Reader, most int, passed *int) {
+	copyUpTo := func(to io.Writer, from io.Reader, limit int, copiedBytes *int) {
 		source := from
-		if most >= 0 {
-			source = io.LimitReader(from, int64(most))
+		if limit >= 0 {
+			source = io.LimitReader(from, int64(limit))
 		}
 		copied, _ := io.Copy(to, source)
-		if most >= 0 {
-			from.Read(make([]byte, 1)) // cut when the next byte comes, not before
+		if limit >= 0 {
+			from.Read(make([]byte, 1)) // cut when the next byte arrives, not before
 		}
 		p.mu.Lock()
-		*passed += int(copied)
+		*copiedBytes += int(copied)
 		p.mu.Unlock()
 		ended <- struct{}{}
 	}
-	go copyUpTo(upstream, caller, requests, &p.sent)
-	go copyUpTo(caller, upstream, answers, &p.answered)
+	go copyUpTo(upstream, caller, requestLimit, &p.requestBytes)
+	go copyUpTo(caller, upstream, responseLimit, &p.responseBytes)
 	<-ended
 	caller.Close()
 	upstream.Close()
 	<-ended
 }
 
-// lengths measures an exchange that is not cut: the bytes of its request and of its answer.
-func lengths(t *testing.T, target string) (request, answer int) {
+// measureExchange returns the size in bytes of the request and of the response of an uncut
+// exchange.
+func measureExchange(t *testing.T, target string) (request, response int) {
 	t.Helper()
-	proxy := &cutProxy{target: target, requests: -1, answers: -1}
-	client := &engine.Client{Address: proxy.start(t), Limits: quickLimits()}
+	proxy := &cutProxy{target: target, requestLimit: -1, responseLimit: -1}
+	client := &engine.Client{Address: proxy.start(t), Limits: shortLimits()}
 	client.Complete(t.Context(), dispatch(), &textSink{})
 	for {
 		proxy.mu.Lock()
-		request, answer = proxy.sent, proxy.answered
+		request, response = proxy.requestBytes, proxy.responseBytes
 		proxy.mu.Unlock()
-		if request > 0 && answer > 0 {
-			return request, answer
+		if request > 0 && response > 0 {
+			return request, response
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/upstream/engine/orders.go
+++ b/internal/upstream/engine/orders.go
@@ -1,7 +1,7 @@
 package engine
 
-// The orders of an upstream's holder, each with its fencing number, and the typed errors that tell
-// what an engine did with one.
+// Orders that the holder of an upstream sends to its engine. Each carries a fencing number. Typed
+// errors report what the engine did with an order.
 
 import (
 	"context"
@@ -15,24 +15,25 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// Errors of orders, told apart with errors.Is.
+// Errors of orders, for use with errors.Is.
 var (
-	// ErrStaleFence means that the engine knows a higher fencing number; nothing was done.
-	ErrStaleFence = errors.New("engine: order with an old fencing number")
-	// ErrNoSlot means that all slots are taken; nothing was done.
-	ErrNoSlot = errors.New("engine: no free slot")
-	// ErrInUse means that the adapter version is serving; nothing was done.
+	// ErrStaleFence means that the engine has seen a higher fencing number. The order was not
+	// executed.
+	ErrStaleFence = errors.New("engine: order has a stale fencing number")
+	// ErrNoSlot means that all adapter slots are occupied. The order was not executed.
+	ErrNoSlot = errors.New("engine: no free adapter slot")
+	// ErrInUse means that the adapter version is serving requests. The order was not executed.
 	ErrInUse = errors.New("engine: adapter version in use")
 	// ErrLoadFailed means that the engine could not get the weights.
 	ErrLoadFailed = errors.New("engine: load failed")
-	// ErrNotDone means that the order did not leave this process, or that the engine refused it, as it
-	// does while it starts.
-	ErrNotDone = errors.New("engine: order not done")
-	// ErrUnknown means that the order may have been carried out, or may be yet.
+	// ErrNotDone means that the order was not sent, or that the engine rejected it, as it does
+	// during startup.
+	ErrNotDone = errors.New("engine: order not executed")
+	// ErrUnknown means that the order may have been executed, or may still be executed later.
 	ErrUnknown = errors.New("engine: outcome of the order unknown")
 )
 
-// Order to load or unload an adapter version. Source is where the weight store keeps it.
+// Order to load or unload an adapter version. Source is its location in the weight store.
 type Order struct {
 	Adapter string
 	Version string
@@ -40,7 +41,7 @@
 	Fence   int64
 }
 
-// wireOrder is the body of every order; the fields are spelled as in the engines' protocol.
+// wireOrder is the request body of every order. The field names are those of the engine protocol.
 type wireOrder struct {
 	Adapter string `json:"Adapter,omitempty"`
 	Version string `json:"Version,omitempty"`
@@ -49,15 +50,15 @@
 	Fence   int64  `json:"Fence"`
 }
 
-// wireRefusal is the error object of an engine's refusal.
-type wireRefusal struct {
+// wireError is the error object in an engine's error response.
+type wireError struct {
 	Error struct {
 		Message string `json:"message"`
 		Code    string `json:"code"`
 	} `json:"error"`
 }
 
-// Codes of refused orders and completions.
+// Error codes of refused orders and completions.
 const (
 	codeStaleFence    = "stale_fence"
 	codeNoSlot        = "no_slot"
@@ -65,27 +66,27 @@
 	codeModelNotFound = "model_not_found"
 )
 
-// Load orders the engine to load an adapter version and waits until it has.
+// Load orders the engine to load an adapter version and waits until it is loaded.
 func (c *Client) Load(ctx context.Context, order Order) error {
-	c.prepare()
+	c.initialize()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Source: order.Source, Fence: order.Fence}
-	return c.order(ctx, c.limits.Load, "/orders/load", wire)
+	return c.sendOrder(ctx, c.limits.Load, "/orders/load", wire)
 }
 
-// Unload orders the engine to give up an adapter version.
+// Unload orders the engine to unload an adapter version.
 func (c *Client) Unload(ctx context.Context, order Order) error {
-	c.prepare()
+	c.initialize()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Fence: order.Fence}
-	return c.order(ctx, c.limits.Order, "/orders/unload", wire)
+	return c.sendOrder(ctx, c.limits.Order, "/orders/unload", wire)
 }
 
 // Role orders the engine to change its role.
 func (c *Client) Role(ctx context.Context, role string, fence int64) error {
-	c.prepare()
-	return c.order(ctx, c.limits.Order, "/orders/role", wireOrder{Role: role, Fence: fence})
+	c.initialize()
+	return c.sendOrder(ctx, c.limits.Order, "/orders/role", wireOrder{Role: role, Fence: fence})
 }
 
-func (c *Client) order(ctx context.Context, limit time.Duration, target string, wire wireOrder) (err error) {
+func (c *Client) sendOrder(ctx context.Context, limit time.Duration, target string, wire wireOrder) (err error) {
 	defer func() { err = errors.WithMessage(err, target) }()
 	body, err := json.Marshal(wire)
 	if err != nil {
@@ -102,37 +103,38 @@
 		Body:    body,
 	})
 	if err != nil {
-		return c.orderLost(err)
+		return c.orderSendError(err)
 	}
 	defer response.Body.Close()
-	if crossed(response, id) {
-		c.observe(FaultCrossed)
-		return errors.WithMessage(ErrUnknown, "answer to another order")
+	if isForOtherRequest(response, id) {
+		c.reportFault(FaultCrossed)
+		return errors.WithMessage(ErrUnknown, "response to another order")
 	}
-	return c.orderAnswered(response)
+	return c.orderResult(response)
 }
 
-// orderLost tells an order that never left from one whose answer was lost. The difference matters to
-// the holder: an order that may yet be carried out can evict what it has pinned since.
-func (c *Client) orderLost(err error) error {
+// orderSendError distinguishes an order that was never sent from one whose response was lost. The
+// difference matters to the holder: an order that may still be executed can evict an adapter
+// version that the holder has pinned since.
+func (c *Client) orderSendError(err error) error {
 	var failure *exchange.Failure
 	if errors.As(err, &failure) && !failure.Left {
-		c.observe(FaultConnect)
+		c.reportFault(FaultConnect)
 		return errors.WithMessage(ErrNotDone, err.Error())
 	}
-	c.observe(FaultCut)
+	c.reportFault(FaultCut)
 	return errors.WithMessage(ErrUnknown, err.Error())
 }
 
-func (c *Client) orderAnswered(response *http.Response) error {
+func (c *Client) orderResult(response *http.Response) error {
 	if response.StatusCode == http.StatusOK {
 		return nil
 	}
-	refused := readRefusal(response, c.limits.AnswerBytes)
+	refused := readError(response, c.limits.AnswerBytes)
 	reason := http.StatusText(response.StatusCode) + " " + refused.Error.Code
 	switch response.StatusCode {
 	case http.StatusConflict:
-		return conflict(refused.Error.Code, reason)
+		return conflictError(refused.Error.Code, reason)
 	case http.StatusBadGateway:
 		return errors.WithMessage(ErrLoadFailed, refused.Error.Message)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests,
@@ -142,7 +144,7 @@
 	return errors.WithMessage(ErrUnknown, reason)
 }
 
-func conflict(code, reason string) error {
+func conflictError(code, reason string) error {
 	switch code {
 	case codeStaleFence:
 		return ErrStaleFence
@@ -154,21 +156,21 @@
 	return errors.WithMessage(ErrUnknown, reason)
 }
 
-// readRefusal reads an error object; one that can't be read gives an empty code, which no decision
-// takes for a promise.
-func readRefusal(response *http.Response, limit int) (refused wireRefusal) {
+// readError reads the error object of a response. If it cannot be read, the code is empty, and an
+// empty code never counts as proof that the request did not run.
+func readError(response *http.Response, limit int) (refused wireError) {
 	body, err := exchange.ReadAll(response.Body, limit)
 	if err != nil {
-		return wireRefusal{}
+		return wireError{}
 	}
 	if json.Unmarshal(body, &refused) != nil {
-		return wireRefusal{}
+		return wireError{}
 	}
 	return refused
 }
 
-// crossed tells an answer that names another request.
-func crossed(response *http.Response, id string) bool {
-	answered := response.Header.Get(headerRequestID)
-	return answered != "" && answered != id
+// isForOtherRequest reports whether the response carries the ID of a different request.
+func isForOtherRequest(response *http.Response, id string) bool {
+	responseID := response.Header.Get(headerRequestID)
+	return responseID != "" && responseID != id
 }
--- a/internal/upstream/engine/orders_test.go
+++ b/internal/upstream/engine/orders_test.go
@@ -14,15 +14,15 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-func answering(t *testing.T, handler http.HandlerFunc) *engine.Client {
+func newClient(t *testing.T, handler http.HandlerFunc) *engine.Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A server notices that its caller is gone only after it has read the body.
+		// The server detects a closed connection only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		handler(w, r)
 	}))
 	t.Cleanup(server.Close)
-	return &engine.Client{Address: server.Listener.Addr().String(), Limits: quickLimits()}
+	return &engine.Client{Address: server.Listener.Addr().String(), Limits: shortLimits()}
 }
 
 func TestOrderErrors(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 	for _, c := range cases {
 		is := is.New(t)
-		client := answering(t, func(w http.ResponseWriter, r *http.Request) {
+		client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
@@ -52,21 +52,22 @@
 	}
 }
 
-// An order's answer is lost on the way, or belongs to another order. The engine may have evicted by
-// now, so a holder that took this for "not done" would count a slot twice.
-func TestOrderAnswerLost(t *testing.T) {
+// The response to an order is lost, or a response to another order arrives instead. The engine may
+// have evicted an adapter by then. A holder that treated this as not executed would count an
+// adapter slot twice.
+func TestOrderResponseLost(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
+		name    string
+		respond http.HandlerFunc
 	}{
 		{"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
-		{"crossed", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }},
-		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
+		{"for another request", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }},
+		{"stalled", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			client := answering(t, c.answer)
+			client := newClient(t, c.respond)
 			client.Limits.Order = 200 * time.Millisecond
 			err := client.Unload(context.Background(), engine.Order{Adapter: "bids", Version: "2", Fence: 7})
 			is.True(errors.Is(err, engine.ErrUnknown))
@@ -76,7 +77,7 @@
 
 func TestReportAndEvents(t *testing.T) {
 	is := is.New(t)
-	client := answering(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/report" {
 			_, _ = w.Write([]byte(`{"Incarnation":"i","Slots":4,"Resident":["bids@2"],"AgeMillis":1500}`))
 			return
--- a/internal/upstream/engine/position.go
+++ b/internal/upstream/engine/position.go
@@ -1,7 +1,7 @@
 package engine
 
-// Where a stream stands, and which events of a resumed one are new. This decides alone that no token
-// reaches the caller twice and none is missing; it touches no connection.
+// The position in a stream, and which events of a resumed stream are new. This code alone ensures
+// that the caller receives each token exactly once. It does no I/O.
 
 import (
 	"github.com/pkg/errors"
@@ -9,52 +9,53 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-// errMissing means that the engine counted more tokens than came: resume from where the stream stands.
-var errMissing = errors.New("engine: tokens are missing")
+// errMissingTokens means that the engine counted more tokens than were received. The stream is
+// resumed from the current position.
+var errMissingTokens = errors.New("engine: stream ended before all its tokens were received")
 
-// position is what has been passed on of a stream. Progress counts the accepted events.
+// position records what has been delivered of a stream. acceptedEvents counts the accepted events.
 type position struct {
-	tokens   int
-	opened   bool
-	finished bool
-	counted  bool
-	usage    stream.Usage
-	progress int
+	tokens          int
+	openingReceived bool
+	finishReceived  bool
+	usageReceived   bool
+	usage           stream.Usage
+	acceptedEvents  int
 }
 
-// accept tells whether an event is new, and the position after it. Events with tokens are told apart
-// by their count. Those without (the opening one, the one with the finish reason, the one with the
-// usage) repeat the count before them, and are new once each: after a resume the engine sends them
-// again, since they come after the last token.
-func (p position) accept(chunk stream.Chunk, tokens int) (after position, isNew bool) {
+// accept reports whether an event is new, and the position after it. Events with tokens are
+// identified by their token count. Events without tokens (the opening event, the one with the
+// finish reason, the one with the usage) repeat the preceding count, and each is new once: after a
+// resume the engine sends them again, since they come after the last token.
+func (p position) accept(chunk stream.Chunk, tokens int) (next position, isNew bool) {
 	switch {
 	case tokens > p.tokens:
 	case tokens < p.tokens:
 		return p, false
-	case chunk.Finished && !p.finished:
-	case chunk.Counted && !p.counted:
-	case tokens == 0 && !p.opened && !chunk.Finished && !chunk.Counted:
+	case chunk.Finished && !p.finishReceived:
+	case chunk.Counted && !p.usageReceived:
+	case tokens == 0 && !p.openingReceived && !chunk.Finished && !chunk.Counted:
 	default:
 		return p, false
 	}
 	p.tokens = tokens
-	p.opened = true
-	p.progress++
-	p.finished = p.finished || chunk.Finished
+	p.openingReceived = true
+	p.acceptedEvents++
+	p.finishReceived = p.finishReceived || chunk.Finished
 	if chunk.Counted {
-		p.counted = true
+		p.usageReceived = true
 		p.usage = chunk.Usage
 	}
 	return p, true
 }
 
-// whole tells whether the stream may end here.
-func (p position) whole() error {
-	if !p.finished {
-		return errors.WithMessage(errMissing, "no finish reason")
+// checkComplete returns an error unless the stream may end at this position.
+func (p position) checkComplete() error {
+	if !p.finishReceived {
+		return errors.WithMessage(errMissingTokens, "no finish reason")
 	}
-	if p.counted && p.usage.CompletionTokens > p.tokens {
-		return errMissing
+	if p.usageReceived && p.usage.CompletionTokens > p.tokens {
+		return errMissingTokens
 	}
 	return nil
 }
--- a/internal/upstream/engine/position_test.go
+++ b/internal/upstream/engine/position_test.go
@@ -9,60 +9,61 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-// sent is one event of a model stream.
-type sent struct {
+// streamEvent is one event of a stream.
+type streamEvent struct {
 	tokens int
 	chunk  stream.Chunk
 }
 
-// drawStream draws a whole stream: perhaps an opening event, events of one or several tokens, the finish
-// reason on the last of them or by itself, and perhaps a usage.
-func drawStream(t *rapid.T) (events []sent) {
+// drawStream draws a complete stream: possibly an opening event, events of one or several tokens,
+// the finish reason on the last of them or in its own event, and possibly a usage event.
+func drawStream(t *rapid.T) (events []streamEvent) {
 	if rapid.Bool().Draw(t, "opening") {
-		events = append(events, sent{})
+		events = append(events, streamEvent{})
 	}
 	tokens := 0
 	for range rapid.IntRange(0, 8).Draw(t, "events") {
 		tokens += rapid.IntRange(1, 3).Draw(t, "width")
-		events = append(events, sent{tokens: tokens})
+		events = append(events, streamEvent{tokens: tokens})
 	}
 	if tokens > 0 && rapid.Bool().Draw(t, "finish on a token") {
 		events[len(events)-1].chunk.Finished = true
 	} else {
-		events = append(events, sent{tokens: tokens, chunk: stream.Chunk{Finished: true}})
+		events = append(events, streamEvent{tokens: tokens, chunk: stream.Chunk{Finished: true}})
 	}
 	if rapid.Bool().Draw(t, "usage") {
 		usage := stream.Usage{CompletionTokens: tokens}
-		events = append(events, sent{tokens: tokens, chunk: stream.Chunk{Counted: true, Usage: usage}})
+		events = append(events, streamEvent{tokens: tokens, chunk: stream.Chunk{Counted: true, Usage: usage}})
 	}
 	return events
 }
 
-// resumed is what an engine sends again from a count on: the events after it, those without tokens of
-// their own included, and perhaps some before it, as from an engine that rounds down.
-func resumed(events []sent, from int) (again []sent) {
+// resumedEvents returns what an engine sends when a stream is resumed after a token count: the
+// later events, including those without tokens of their own. A lower count gives extra events, as
+// from an engine that rounds down.
+func resumedEvents(events []streamEvent, from int) (resent []streamEvent) {
 	last := 0
 	for _, event := range events {
 		tokenless := event.tokens == last
 		last = event.tokens
 		if event.tokens > from || (event.tokens == from && tokenless) {
-			again = append(again, event)
+			resent = append(resent, event)
 		}
 	}
-	return again
+	return resent
 }
 
-// Connections are cut anywhere, any number of times, and the stream is resumed each time. The caller
-// must get each event of the uncut stream once and in order, and the stream must count as whole only
-// at its end.
-func TestEachEventOnceOverAnyCuts(t *testing.T) {
+// The connection is cut at any points, any number of times, and the stream is resumed each time.
+// The caller must receive each event of the uncut stream once and in order, and the stream must
+// count as complete only at its end.
+func TestEventsDeliveredOnceAcrossResumes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := drawStream(t)
 		var at position
-		var got []sent
-		for at.whole() != nil {
+		var got []streamEvent
+		for at.checkComplete() != nil {
 			from := max(0, at.tokens-rapid.IntRange(0, 2).Draw(t, "rounded down"))
-			connection := resumed(events, from)
+			connection := resumedEvents(events, from)
 			cut := rapid.IntRange(0, len(connection)).Draw(t, "cut")
 			for _, event := range connection[:cut] {
 				after, isNew := at.accept(event.chunk, event.tokens)
@@ -72,15 +73,15 @@
 				at = after
 			}
 		}
-		// The usage may follow the finish reason; the end mark comes after both.
-		for _, event := range resumed(events, at.tokens) {
+		// The usage may follow the finish reason; [DONE] comes after both.
+		for _, event := range resumedEvents(events, at.tokens) {
 			if _, isNew := at.accept(event.chunk, event.tokens); isNew {
 				got = append(got, event)
 				at, _ = at.accept(event.chunk, event.tokens)
 			}
 		}
 		if !slices.Equal(got, events) {
-			t.Fatalf("sent %v, passed on %v", events, got)
+			t.Fatalf("sent %v, delivered %v", events, got)
 		}
 	})
 }
--- a/internal/upstream/engine/progress.go
+++ b/internal/upstream/engine/progress.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// progressWatch ends an exchange that makes no progress. An open connection that went silent shows
-// itself by nothing else: no read fails, and the operating system notices after minutes, if ever.
-type progressWatch struct {
+// idleTimer ends an exchange that makes no progress. Only a timeout detects an open connection that
+// no longer delivers data: no read fails, and the operating system notices after minutes, if ever.
+type idleTimer struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// watchProgress returns a context that ends with errSilent unless the watch is extended in time.
-func watchProgress(ctx context.Context, limit time.Duration) (context.Context, *progressWatch) {
-	watched, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(limit, func() { cancel(errSilent) })
-	return watched, &progressWatch{timer: timer, cancel: cancel}
+// withIdleTimeout returns a context that ends with errIdleTimeout unless the timer is reset in
+// time.
+func withIdleTimeout(ctx context.Context, limit time.Duration) (context.Context, *idleTimer) {
+	timed, cancel := context.WithCancelCause(ctx)
+	timer := time.AfterFunc(limit, func() { cancel(errIdleTimeout) })
+	return timed, &idleTimer{timer: timer, cancel: cancel}
 }
 
-// pause stops the clock until the next extend.
-func (w *progressWatch) pause() { w.timer.Stop() }
+// pause stops the timer until the next reset.
+func (t *idleTimer) pause() { t.timer.Stop() }
 
-// extend allows another limit from now.
-func (w *progressWatch) extend(limit time.Duration) { w.timer.Reset(limit) }
+// reset restarts the timer with the given limit.
+func (t *idleTimer) reset(limit time.Duration) { t.timer.Reset(limit) }
 
-// stop ends the watch and the exchange with it.
-func (w *progressWatch) stop() {
-	w.timer.Stop()
-	w.cancel(nil)
+// stop stops the timer and ends the exchange.
+func (t *idleTimer) stop() {
+	t.timer.Stop()
+	t.cancel(nil)
 }
--- a/internal/upstream/engine/report.go
+++ b/internal/upstream/engine/report.go
@@ -1,7 +1,7 @@
 package engine
 
-// What an engine tells of itself. Both answers are hints: the report lags and the events come late and
-// with gaps.
+// Load reports and cache events of an engine. Both are only hints: the report is out of date when
+// it arrives, and the events arrive late and with gaps.
 
 import (
 	"context"
@@ -16,9 +16,10 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// Report is an engine's own view of itself; Age says how old it is. Resident names "adapter@version", as
-// does RunningModels, the versions that requests run on; nil from an engine that does not tell.
-// An Incarnation other than the last one means that the engine was restarted and holds nothing.
+// Report is an engine's load report; Age is how old it is. Resident lists the loaded adapter
+// versions as "adapter@version". RunningModels lists the versions that requests are running on, in
+// the same form; it is nil if the engine does not report them. If Incarnation differs from that of
+// the previous report, the engine was restarted and has no adapters loaded.
 type Report struct {
 	Incarnation string
 	Slots       int
@@ -31,7 +32,7 @@
 	RunningModels []string
 }
 
-// CacheEvent tells of a change in an engine's memory. Kind is "loaded", "evicted" or "prefix".
+// CacheEvent reports a change in an engine's memory. Kind is "loaded", "evicted" or "prefix".
 type CacheEvent struct {
 	Number  int64
 	Kind    string
@@ -65,11 +66,11 @@
 	Prefix  string
 }
 
-// Report asks for the engine's load report.
+// Report fetches the engine's load report.
 func (c *Client) Report(ctx context.Context) (report Report, err error) {
 	defer func() { err = errors.WithMessage(err, "report") }()
 	var wire wireReport
-	if err := c.get(ctx, "/report", &wire); err != nil {
+	if err := c.getJSON(ctx, "/report", &wire); err != nil {
 		return Report{}, err
 	}
 	return Report{
@@ -85,11 +86,12 @@
 	}, nil
 }
 
-// Events asks for the cache events after a number, and returns the number to ask after next.
+// Events fetches the cache events with numbers above after. It returns the number to pass as after
+// in the next call.
 func (c *Client) Events(ctx context.Context, after int64) (events []CacheEvent, next int64, err error) {
 	defer func() { err = errors.WithMessage(err, "events") }()
 	var wire wireEvents
-	if err := c.get(ctx, "/events?after="+strconv.FormatInt(after, 10), &wire); err != nil {
+	if err := c.getJSON(ctx, "/events?after="+strconv.FormatInt(after, 10), &wire); err != nil {
 		return nil, after, err
 	}
 	for _, event := range wire.Events {
@@ -98,8 +100,8 @@
 	return events, wire.Next, nil
 }
 
-func (c *Client) get(ctx context.Context, target string, into any) error {
-	c.prepare()
+func (c *Client) getJSON(ctx context.Context, target string, into any) error {
+	c.initialize()
 	ctx, cancel := context.WithTimeout(ctx, c.limits.Report)
 	defer cancel()
 	id := uuid.NewString()
@@ -116,9 +118,9 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", response.StatusCode)
 	}
-	if crossed(response, id) {
-		c.observe(FaultCrossed)
-		return errors.New("answer to another request")
+	if isForOtherRequest(response, id) {
+		c.reportFault(FaultCrossed)
+		return errors.New("response to another request")
 	}
 	body, err := exchange.ReadAll(response.Body, c.limits.AnswerBytes)
 	if err != nil {
