--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -1,14 +1,13 @@
-// Package exchange makes single HTTP exchanges with upstreams, each on a connection of its own, and
-// knows of each whether any byte of the request left this process. The engine and service clients
-// stand on it: "not run" is said of a request only when this package, or the upstream itself, vouches
-// for it.
+// Package exchange makes single HTTP exchanges with upstreams, each on its own connection, and
+// tracks whether any byte of the request was sent. The engine and service clients build on it: they
+// report a request as not run only if this package or the upstream itself guarantees it.
 //
-// A connection is never used twice. A pooled one can have gone silent for good while new ones work,
-// because something on the way lost track of it; it would swallow the next request, and nobody could
-// tell whether it ran. net/http also repeats a request by itself when a reused connection fails,
-// above all one with an Idempotency-Key header, which would run a booking twice. Opening a connection
-// costs a round trip of about two milliseconds between the data centres, against a first token after
-// some hundred.
+// Connections are never reused. A pooled connection can be dead while new ones work, because a
+// device on the path dropped its state. It would swallow the next request, and nothing would show
+// whether that request ran. In addition, net/http retries a request by itself if a reused
+// connection fails, in particular one with an Idempotency-Key header, which would run a booking
+// twice. Opening a connection costs a round trip of about two milliseconds between the data
+// centres, compared with some hundred milliseconds to a first token.
 package exchange
 
 import (
@@ -24,16 +23,17 @@
 	"github.com/pkg/errors"
 )
 
-// headerBytes bounds an answer's headers; without a bound a faulty upstream fills the memory.
-const headerBytes = 64 << 10
+// maxHeaderBytes bounds the headers of a response. Without a bound, a faulty upstream could exhaust
+// memory.
+const maxHeaderBytes = 64 << 10
 
-// ErrTooLarge means that an answer's body is larger than the reader's bound.
-var ErrTooLarge = errors.New("exchange: answer too large")
+// ErrTooLarge means that the body of a response exceeds the limit.
+var ErrTooLarge = errors.New("exchange: response body exceeds the limit")
 
-// errSealed is what a connection says to a write after its exchange was given up.
-var errSealed = errors.New("exchange: given up")
+// errSealed is the error of a write to a connection whose exchange was abandoned.
+var errSealed = errors.New("exchange: write after the exchange was abandoned")
 
-// Request is one request to the upstream at Address ("ip:port"). Target is its path and query.
+// Request to the upstream at Address ("ip:port"). Target is its path and query.
 type Request struct {
 	Address string
 	Method  string
@@ -42,21 +42,19 @@
 	Body    []byte
 }
 
-// Failure is an exchange without an answer. Left tells whether any byte of the request may have left
-// this process; when none has, the upstream can't have run it, now or later.
+// Failure is the error of an exchange without a response. Left reports whether any byte of the
+// request may have been sent. If none was, the upstream cannot have run the request and never will.
 type Failure struct {
 	Err  error
 	Left bool
 }
 
-// Error is the cause's text.
 func (f *Failure) Error() string { return f.Err.Error() }
 
-// Unwrap gives the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Transport makes exchanges. Connect is the longest that a connection may take to open. It is safe
-// for concurrent use once its field is set.
+// Transport makes exchanges. Connect bounds the opening of a connection. A Transport is safe for
+// concurrent use once its field is set.
 type Transport struct {
 	Connect time.Duration
 
@@ -64,13 +62,13 @@
 	base *http.Transport
 }
 
-func (t *Transport) transport() *http.Transport {
+func (t *Transport) httpTransport() *http.Transport {
 	t.once.Do(func() {
 		dialer := net.Dialer{Timeout: t.Connect}
 		t.base = &http.Transport{
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: headerBytes,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dialer.DialContext(ctx, network, address)
 				if err != nil {
@@ -83,31 +81,31 @@
 	return t.base
 }
 
-// Do sends the request once and returns the head of the answer, whose body the caller closes. It
-// follows no redirect and asks no proxy. When ctx ends, the exchange ends, the body's reading
-// included. Its errors are of type *Failure.
+// Do sends the request once and returns the response, whose body the caller closes. It follows no
+// redirects and uses no proxy. If ctx ends, the exchange ends, and so does reading the body. Errors
+// are of type *Failure.
 func (t *Transport) Do(ctx context.Context, request Request) (*http.Response, error) {
-	var used usedConn
+	var tracker connTracker
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { used.set(info.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { tracker.set(info.Conn) },
 	})
 	raw, err := http.NewRequestWithContext(ctx, request.Method, "http://"+request.Address+request.Target,
 		bytes.NewReader(request.Body))
 	if err != nil {
 		return nil, &Failure{Err: err}
 	}
-	raw.GetBody = nil // net/http repeats nothing that it can't read again
+	raw.GetBody = nil // net/http retries no request whose body it cannot read again
 	if request.Header != nil {
 		raw.Header = request.Header.Clone()
 	}
-	response, err := t.transport().RoundTrip(raw)
+	response, err := t.httpTransport().RoundTrip(raw)
 	if err != nil {
-		return nil, &Failure{Err: err, Left: used.seal()}
+		return nil, &Failure{Err: err, Left: tracker.seal()}
 	}
 	return response, nil
 }
 
-// ReadAll reads a body of at most limit bytes, or fails with ErrTooLarge.
+// ReadAll reads a body of at most limit bytes. If the body is longer, it fails with ErrTooLarge.
 func ReadAll(body io.Reader, limit int) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	if err != nil {
@@ -121,59 +119,61 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// usedConn is the connection that an exchange got, if it got one.
-type usedConn struct {
+// connTracker records the connection that an exchange used, if any.
+type connTracker struct {
 	mu   sync.Mutex
 	conn net.Conn
 }
 
-func (u *usedConn) set(conn net.Conn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.conn = conn
+func (t *connTracker) set(conn net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.conn = conn
 }
 
-// seal stops the connection and reports whether anything left on it. A connection of an unknown type
-// counts as used: the promise that nothing left is never made on a guess.
-func (u *usedConn) seal() (left bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.conn == nil {
+// seal blocks further writes to the connection and reports whether anything was written to it. A
+// connection of an unknown type counts as written to, so that a request is never reported as unsent
+// without proof.
+func (t *connTracker) seal() (maybeSent bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.conn == nil {
 		return false
 	}
-	sealable, ok := u.conn.(*sealableConn)
+	sealable, ok := t.conn.(*sealableConn)
 	if !ok {
 		return true
 	}
 	return sealable.seal()
 }
 
-// sealableConn notes whether anything was written, and takes no write after it is sealed. net/http
-// writes in a goroutine of its own, which may still be about to write when the exchange has already
-// been given up; without the seal, "nothing left" could be true when said and false a moment later.
+// sealableConn records whether anything was written, and rejects writes after it is sealed.
+// net/http writes in a separate goroutine, which may be about to write when the exchange has
+// already been abandoned. Without the seal, the request could be sent just after it was reported as
+// unsent.
 type sealableConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	left   bool
-	sealed bool
+	mu        sync.Mutex
+	maybeSent bool
+	sealed    bool
 }
 
-// Write notes the write before it is made, so that a write which fails half-way counts.
+// Write records the write before it makes it, so that a write that fails part-way counts.
 func (c *sealableConn) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
 		return 0, errSealed
 	}
-	c.left = true
+	c.maybeSent = true
 	c.mu.Unlock()
 	return c.Conn.Write(data)
 }
 
-func (c *sealableConn) seal() (left bool) {
+func (c *sealableConn) seal() (maybeSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.left
+	return c.maybeSent
 }
--- a/internal/upstream/exchange/exchange_test.go
+++ b/internal/upstream/exchange/exchange_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// An upstream points elsewhere. Following it would send the call, and its headers, a second time to an
-// address that nobody declared.
+// An upstream responds with a redirect. Following it would send the call and its headers a second
+// time, to an address that is not configured.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	calls := 0
@@ -45,9 +45,9 @@
 	is.Equal(calls, 1)
 }
 
-// A faulty upstream answers with headers without end. The exchange must fail in bounded memory, as one
-// whose request has left.
-func TestHeadersWithoutEnd(t *testing.T) {
+// A faulty upstream sends an endless response header. The exchange must fail in bounded memory, and
+// the request must count as sent.
+func TestEndlessResponseHeader(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -67,9 +67,9 @@
 	is.True(failure.Left)
 }
 
-// The address takes connections but never answers, so the caller's limit ends the exchange. The request
-// was sent, and only "left" is a true thing to say of it.
-func TestSilentUpstream(t *testing.T) {
+// The address accepts connections but never responds, so the caller's timeout ends the exchange.
+// The request was sent and must be reported as sent.
+func TestUnresponsiveUpstream(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
