--- a/internal/upstream/service/client.go
+++ b/internal/upstream/service/client.go
@@ -1,5 +1,5 @@
-// Package service is the client of plain services, the ones beside the model engines. A call is sent
-// at most once, on a connection of its own, and ends in one of three outcomes.
+// Package service is the client of plain services, which are upstreams other than model engines. A
+// call is sent at most once, on its own connection, and ends in one of three outcomes.
 package service
 
 import (
@@ -14,15 +14,15 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/exchange"
 )
 
-// Headers of the services' protocol.
+// Headers of the service protocol.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// Call is one call of a plain service. Path begins with a slash and is relative to the service, in its
-// escaped form; ID is the identity that the answer must repeat. IdempotencyKey goes on to the service
-// when set.
+// Call is one call of a plain service. Path begins with a slash, is relative to the service, and is
+// in its escaped form. ID is the request ID, which the response must repeat. IdempotencyKey is
+// forwarded to the service if set.
 type Call struct {
 	ID             string
 	Method         string
@@ -33,48 +33,49 @@
 	IdempotencyKey string
 }
 
-// Answer of a plain service, whole, with the headers that may go back to the caller.
+// Answer is the complete response of a plain service, with the headers that may be returned to the
+// caller.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Outcome of a call; sealed.
+// Outcome of a call, one of the types below.
 type Outcome interface{ outcome() }
 
-// NotRun is the outcome in which no byte of the call left this process.
+// NotRun means that no byte of the call was sent.
 type NotRun struct{ Err error }
 
-// Ran is the outcome in which the service answered.
+// Ran means that the service responded.
 type Ran struct{ Answer Answer }
 
-// Unknown is the outcome in which the call left this process, and whether it ran can't be told.
+// Unknown means that the call may have been sent and it cannot be determined whether it ran.
 type Unknown struct{ Err error }
 
 func (NotRun) outcome()  {}
 func (Ran) outcome()     {}
 func (Unknown) outcome() {}
 
-// ErrCrossed means that the answer belongs to another call.
-var ErrCrossed = errors.New("service: answer to another call")
+// ErrCrossed means that the response belongs to another call.
+var ErrCrossed = errors.New("service: response to another call")
 
-// Limits of a call. None has a measured reason yet.
+// Limits of a call.
 type Limits struct {
-	// Connect is the longest a connection may take to open, Answer the longest from the start of the
-	// call to the end of its answer.
+	// Connect bounds the opening of a connection, Answer the time from the start of the call to the
+	// end of the response.
 	Connect, Answer time.Duration
-	// AnswerBytes bounds an answer's body.
+	// AnswerBytes bounds the body of a response.
 	AnswerBytes int
 }
 
-// DefaultLimits suit services in the same region.
+// DefaultLimits are for services in the same region.
 func DefaultLimits() Limits {
 	return Limits{Connect: time.Second, Answer: 10 * time.Second, AnswerBytes: 1 << 20}
 }
 
-// Client of plain services. The zero Limits mean DefaultLimits. It is safe for concurrent use once its
-// fields are set.
+// Client of plain services. If Limits is zero, DefaultLimits are used. A Client is safe for
+// concurrent use once its fields are set.
 type Client struct {
 	Limits Limits
 
@@ -83,7 +84,7 @@
 	transport exchange.Transport
 }
 
-func (c *Client) prepare() {
+func (c *Client) initialize() {
 	c.once.Do(func() {
 		c.limits = c.Limits
 		if c.limits == (Limits{}) {
@@ -93,36 +94,37 @@
 	})
 }
 
-// Do sends the call once to the service at address ("ip:port"). Nothing is ever sent again here,
-// whatever the method: repeating is the caller's decision, made on the outcome.
+// Do sends the call once to the service at address ("ip:port"). It never retries, whatever the
+// method: the caller decides on retries, based on the outcome.
 //
-// A call whose ctx ends after it left is Unknown at once; the service may still run it.
+// If ctx ends after the call was sent, the outcome is Unknown at once; the service may still run
+// the call.
 func (c *Client) Do(ctx context.Context, address string, call Call) Outcome {
-	c.prepare()
+	c.initialize()
 	ctx, cancel := context.WithTimeout(ctx, c.limits.Answer)
 	defer cancel()
 	response, err := c.transport.Do(ctx, exchange.Request{
 		Address: address,
 		Method:  call.Method,
-		Target:  target(call),
+		Target:  requestTarget(call),
 		Header:  requestHeader(call),
 		Body:    call.Body,
 	})
 	if err != nil {
-		return unanswered(err)
+		return errorOutcome(err)
 	}
 	defer response.Body.Close()
-	return c.answered(response, call)
+	return c.responseOutcome(response, call)
 }
 
-func target(call Call) string {
+func requestTarget(call Call) string {
 	if call.RawQuery == "" {
 		return call.Path
 	}
 	return call.Path + "?" + call.RawQuery
 }
 
-func unanswered(err error) Outcome {
+func errorOutcome(err error) Outcome {
 	var failure *exchange.Failure
 	if errors.As(err, &failure) && !failure.Left {
 		return NotRun{Err: err}
@@ -130,9 +132,10 @@
 	return Unknown{Err: err}
 }
 
-// answered reads the whole answer. An answer that is crossed, cut or too large leaves the outcome
-// unknown: its status can't be trusted, or can't be passed on whole.
-func (c *Client) answered(response *http.Response, call Call) Outcome {
+// responseOutcome reads the whole response. If the response belongs to another call, is cut or is
+// too large, the outcome is unknown: its status cannot be trusted, or it cannot be forwarded in
+// full.
+func (c *Client) responseOutcome(response *http.Response, call Call) Outcome {
 	if response.Header.Get(headerRequestID) != call.ID {
 		return Unknown{Err: ErrCrossed}
 	}
@@ -149,7 +152,8 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// requestHeader is what goes on of the caller's headers, with the call's identity and key.
+// requestHeader returns the caller's headers that are forwarded, with the request ID and the
+// idempotency key.
 func requestHeader(call Call) http.Header {
 	header := SafeHeader(call.Header)
 	header.Set(headerRequestID, call.ID)
@@ -159,9 +163,10 @@
 	return header
 }
 
-// keptBack are headers that never pass between a caller and a service: credentials, which no service
-// may see; those about one connection; and those that this project sets itself.
-var keptBack = map[string]bool{
+// neverForwarded are headers that are not forwarded between callers and services: credentials,
+// which no service may see; headers about a single connection; and headers that this project sets
+// itself.
+var neverForwarded = map[string]bool{
 	"Authorization":       true,
 	"Proxy-Authorization": true,
 	"Cookie":              true,
@@ -185,7 +190,8 @@
 	"X-Idempotency-Key":   true,
 }
 
-// SafeHeader copies the headers that may pass, those named by Connection left out as well.
+// SafeHeader copies the headers that may be forwarded. It also omits those named by the Connection
+// header.
 func SafeHeader(header http.Header) http.Header {
 	perConnection := map[string]bool{}
 	for _, line := range header.Values("Connection") {
@@ -195,7 +201,7 @@
 	}
 	safe := http.Header{}
 	for name, values := range header {
-		if keptBack[name] || perConnection[name] {
+		if neverForwarded[name] || perConnection[name] {
 			continue
 		}
 		safe[name] = append([]string(nil), values...)
--- a/internal/upstream/service/client_test.go
+++ b/internal/upstream/service/client_test.go
@@ -37,7 +37,7 @@
 	return &service.Client{Limits: limits}
 }
 
-func TestCallAndAnswer(t *testing.T) {
+func TestCallAndResponse(t *testing.T) {
 	is := is.New(t)
 	var got *http.Request
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,16 +56,16 @@
 	is.Equal(ran.Answer.Header.Get("X-Order"), "9")
 	is.Equal(ran.Answer.Header.Get("Set-Cookie"), "")
 	is.Equal(got.URL.String(), "/orders?a=1")
-	is.Equal(got.Header.Get("Authorization"), "") // no upstream sees the key
+	is.Equal(got.Header.Get("Authorization"), "") // the API key reaches no upstream
 	is.Equal(got.Header.Get("X-Colour"), "white")
 	is.Equal(got.Header.Get("Idempotency-Key"), "order-7")
 }
 
-// A service, or the way to it, closes the connection at some step of a call. A library that repeats
-// the call by itself, as net/http does on reused connections and with an Idempotency-Key header, would
-// book an order twice. The service must see one call, with a body or without, after an earlier good
-// call or not.
-func TestCutCallIsNeverSentTwice(t *testing.T) {
+// A service, or a device on the path to it, closes the connection during a call. A library that
+// retries the call by itself, as net/http does on reused connections and with an Idempotency-Key
+// header, would book an order twice. The service must receive each call once, with or without a
+// body, and also after an earlier successful call.
+func TestInterruptedCallIsNotRetried(t *testing.T) {
 	cases := []struct {
 		name   string
 		method string
@@ -73,8 +73,8 @@
 	}{
 		{"with a body", http.MethodPost, []byte("{}")},
 		{"without a body", http.MethodPost, nil},
-		{"repeatable by its method", http.MethodDelete, nil},
-		{"reading", http.MethodGet, nil},
+		{"idempotent method", http.MethodDelete, nil},
+		{"read-only method", http.MethodGet, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,11 +100,11 @@
 	}
 }
 
-// The connection is reset after each number of bytes of the call has come through. "Not run" would be
-// a lie as soon as one byte left, since nobody knows what a service does with it.
+// The connection is reset after each number of bytes of the call. As soon as one byte was sent, the
+// call must not be reported as not run, since the service may have processed it.
 func TestCallCutAtEachByte(t *testing.T) {
-	const longerThanTheCall = 300
-	for cut := 0; cut < longerThanTheCall; cut += 1 {
+	const longerThanCall = 300
+	for cut := 0; cut < longerThanCall; cut += 1 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 		case service.Unknown:
 		case service.NotRun:
 			if bytes > 0 {
-				t.Fatalf("cut at %d: said not run after %d bytes", cut, bytes)
+				t.Fatalf("cut at %d: reported as not run after %d bytes", cut, bytes)
 			}
 		default:
 			t.Fatalf("cut at %d: %#v", cut, outcome)
@@ -152,17 +152,17 @@
 	}
 }
 
-// A service answers too late, for another call, in part, or with more than can be kept. The call may
-// have run all the same, and its caller must not be told otherwise.
-func TestUnusableAnswer(t *testing.T) {
+// A response is too late, for another call, incomplete or too large. The call may have run, so it
+// must not be reported as not run.
+func TestUnusableResponse(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer func(w http.ResponseWriter, r *http.Request)
+		name    string
+		respond func(w http.ResponseWriter, r *http.Request)
 	}{
 		{"late", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
-		{"crossed", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }},
-		{"without identity", func(http.ResponseWriter, *http.Request) {}},
-		{"cut", func(w http.ResponseWriter, r *http.Request) {
+		{"for another call", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }},
+		{"without request ID", func(http.ResponseWriter, *http.Request) {}},
+		{"incomplete", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.Header().Set("Content-Length", "50")
 			fmt.Fprint(w, "part")
@@ -177,8 +177,8 @@
 			is := is.New(t)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				_, _ = bufio.NewReader(r.Body).Discard(len(call().Body))
-				_, _ = r.Body.Read(make([]byte, 1)) // to the end, so that a gone caller is noticed
-				c.answer(w, r)
+				_, _ = r.Body.Read(make([]byte, 1)) // up to the end, so that a disconnect is detected
+				c.respond(w, r)
 			}))
 			defer server.Close()
 			_, unknown := client().Do(context.Background(), server.Listener.Addr().String(), call()).(service.Unknown)
@@ -187,9 +187,9 @@
 	}
 }
 
-// The service's machine is gone, or the caller gave up while the connection was still opening. Nothing
-// left, so the caller may safely send the call again.
-func TestNothingLeft(t *testing.T) {
+// The service's machine has failed, or the caller gave up while the connection was being opened.
+// Nothing was sent, so the caller may safely retry the call.
+func TestNothingSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/upstream/service/leak_test.go
+++ b/internal/upstream/service/leak_test.go
@@ -6,8 +6,8 @@
 	"go.uber.org/goleak"
 )
 
-// A lost connection must not leave a goroutine behind: each would cost memory until the instance is
-// restarted, and lost connections are an everyday matter.
+// A lost connection must not leak a goroutine. Connections are lost routinely, and each leaked
+// goroutine would hold memory until the instance restarts.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
