--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -144,8 +144,8 @@
 
 func (d *Daemon) engineLimits() engine.Limits {
 	limits := engine.DefaultLimits()
-	limits.FirstToken = d.Settings.Limits.FirstToken
-	limits.BetweenTokens = d.Settings.Limits.BetweenTokens
+	limits.FirstTokenTimeout = d.Settings.Limits.FirstToken
+	limits.InterTokenTimeout = d.Settings.Limits.BetweenTokens
 	return limits
 }
 
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -117,9 +117,9 @@
 func isCrash(outcome engine.Outcome) bool {
 	switch o := outcome.(type) {
 	case engine.Failed:
-		return o.Lost
+		return o.EngineLost
 	case engine.Unknown:
-		return o.Lost
+		return o.EngineLost
 	}
 	return false
 }
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -97,7 +97,7 @@
 	f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome { return answer(sink) }
 	f.cancel = func() error { return nil }
 	f.do = func(context.Context, service.Call) service.Outcome {
-		return service.Ran{Answer: service.Answer{Status: 201, Body: []byte("booked")}}
+		return service.Ran{Response: service.Response{Status: 201, Body: []byte("booked")}}
 	}
 	claims := &claim.Registry{Store: kv}
 	f.pipeline = &pipeline.Pipeline{
@@ -302,7 +302,7 @@
 // answer sends a whole stream of one token.
 func answer(sink engine.Sink) engine.Outcome {
 	if begin(sink) != nil {
-		return engine.Cancelled{Stopped: true}
+		return engine.Cancelled{StopConfirmed: true}
 	}
 	return engine.Completed{Tokens: 1}
 }
@@ -332,7 +332,7 @@
 }
 
 // callService calls the plain service.
-func (f *fixture) callService(ctx context.Context, method, key string) (service.Answer, error) {
+func (f *fixture) callService(ctx context.Context, method, key string) (service.Response, error) {
 	call := service.Call{ID: "r", Method: method, Path: "/orders", IdempotencyKey: key}
 	return f.pipeline.Call(ctx, caller, api.ServiceCall{Service: "paint", Call: call})
 }
--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -26,36 +26,36 @@
 // Limits bound each phase of an exchange. The timeouts of tokens are well above the target
 // latencies, 0.54 s to the first token and 30 ms between tokens.
 type Limits struct {
-	// Connect bounds the opening of a connection.
-	Connect time.Duration
-	// FirstToken is the longest wait from sending the request to the first event.
-	FirstToken time.Duration
-	// BetweenTokens is the longest wait between two events.
-	BetweenTokens time.Duration
-	// Resumes is how many consecutive resumes may bring no new event before the run is given up.
-	Resumes int
-	// Cancel bounds the cancellation of a stream.
-	Cancel time.Duration
-	// Order bounds a role or unload order, Load a load order, Report the fetching of a report or a
+	// ConnectTimeout bounds the opening of a connection.
+	ConnectTimeout time.Duration
+	// FirstTokenTimeout is the longest wait from sending the request to the first event.
+	FirstTokenTimeout time.Duration
+	// InterTokenTimeout is the longest wait between two events.
+	InterTokenTimeout time.Duration
+	// MaxResumes is how many consecutive resumes may bring no new event before the run is given up.
+	MaxResumes int
+	// CancelTimeout bounds the cancellation of a stream.
+	CancelTimeout time.Duration
+	// OrderTimeout bounds a role or unload order, LoadTimeout a load order, ReportTimeout the fetching of a report or a
 	// page of events.
-	Order, Load, Report time.Duration
-	// LineBytes bounds a line of a stream, AnswerBytes the body of any other response.
-	LineBytes, AnswerBytes int
+	OrderTimeout, LoadTimeout, ReportTimeout time.Duration
+	// MaxLineBytes bounds a line of a stream, MaxResponseBytes the body of any other response.
+	MaxLineBytes, MaxResponseBytes int
 }
 
 // DefaultLimits are for engines in the same region.
 func DefaultLimits() Limits {
 	return Limits{
-		Connect:       time.Second,
-		FirstToken:    10 * time.Second,
-		BetweenTokens: 3 * time.Second,
-		Resumes:       3,
-		Cancel:        2 * time.Second,
-		Order:         5 * time.Second,
-		Load:          30 * time.Second,
-		Report:        2 * time.Second,
-		LineBytes:     1 << 20,
-		AnswerBytes:   4 << 20,
+		ConnectTimeout:    time.Second,
+		FirstTokenTimeout: 10 * time.Second,
+		InterTokenTimeout: 3 * time.Second,
+		MaxResumes:        3,
+		CancelTimeout:     2 * time.Second,
+		OrderTimeout:      5 * time.Second,
+		LoadTimeout:       30 * time.Second,
+		ReportTimeout:     2 * time.Second,
+		MaxLineBytes:      1 << 20,
+		MaxResponseBytes:  4 << 20,
 	}
 }
 
@@ -64,9 +64,9 @@
 type Client struct {
 	Address string
 	Limits  Limits
-	// Observe, if set, is called for each fault, whether the client recovered from it or gave up.
+	// OnFault, if set, is called for each fault, whether the client recovered from it or gave up.
 	// It feeds counters.
-	Observe func(Fault)
+	OnFault func(Fault)
 
 	once      sync.Once
 	limits    Limits
@@ -135,8 +135,8 @@
 
 // WrongModel means that the engine ran another model. Nothing of its output reached the sink.
 type WrongModel struct {
-	Served  string
-	Stopped bool
+	ServedModel   string
+	StopConfirmed bool
 }
 
 // Failed means that the stream was lost after Tokens tokens and could not be resumed. Stopped
@@ -144,26 +144,26 @@
 // itself failed while the request ran, as in a crash: nothing listens at its address any more, or
 // it no longer knows the stream. Otherwise the cause may be the connection.
 type Failed struct {
-	Tokens  int
-	Err     error
-	Stopped bool
-	Lost    bool
+	Tokens        int
+	Err           error
+	StopConfirmed bool
+	EngineLost    bool
 }
 
 // Unknown means that the request may have been sent and it cannot be determined whether it ran.
 // Stopped and Lost are as in Failed; a request that never arrived looks like one that was lost.
 type Unknown struct {
-	Err     error
-	Stopped bool
-	Lost    bool
+	Err           error
+	StopConfirmed bool
+	EngineLost    bool
 }
 
 // Cancelled means that the caller disconnected or the sink failed. Stopped reports whether the
 // engine confirmed it.
 type Cancelled struct {
-	Tokens  int
-	Err     error
-	Stopped bool
+	Tokens        int
+	Err           error
+	StopConfirmed bool
 }
 
 func (Completed) outcome()   {}
@@ -193,13 +193,13 @@
 		if c.limits == (Limits{}) {
 			c.limits = DefaultLimits()
 		}
-		c.transport.Connect = c.limits.Connect
+		c.transport.ConnectTimeout = c.limits.ConnectTimeout
 	})
 }
 
 func (c *Client) reportFault(fault Fault) {
-	if c.Observe != nil {
-		c.Observe(fault)
+	if c.OnFault != nil {
+		c.OnFault(fault)
 	}
 }
 
--- a/internal/upstream/engine/complete.go
+++ b/internal/upstream/engine/complete.go
@@ -51,7 +51,7 @@
 		if ctx.Err() != nil {
 			return r.cancel(ctx, context.Cause(ctx))
 		}
-		if failedResumes >= r.client.limits.Resumes {
+		if failedResumes >= r.client.limits.MaxResumes {
 			return r.giveUp(ctx, err)
 		}
 		if failedResumes > 0 {
@@ -114,20 +114,20 @@
 // idleTimeout is the longest wait for the next event: before the first token, or between tokens.
 func (r *completionRun) idleTimeout() time.Duration {
 	if r.position.tokens == 0 {
-		return r.client.limits.FirstToken
+		return r.client.limits.FirstTokenTimeout
 	}
-	return r.client.limits.BetweenTokens
+	return r.client.limits.InterTokenTimeout
 }
 
 // handleSendError classifies an exchange without a response. Only the initial request can be
 // reported as not run, and only if no byte of it was sent.
 func (r *completionRun) handleSendError(ctx, attemptCtx context.Context, request exchange.Request, err error) (Outcome, error) {
 	var failure *exchange.Failure
-	maybeSent := !errors.As(err, &failure) || failure.Left
+	maybeSent := !errors.As(err, &failure) || failure.MaybeSent
 	if request.Method == http.MethodPost && !maybeSent {
 		r.client.reportFault(FaultConnect)
 		if ctx.Err() != nil {
-			return Cancelled{Err: context.Cause(ctx), Stopped: true}, nil
+			return Cancelled{Err: context.Cause(ctx), StopConfirmed: true}, nil
 		}
 		return NotRun{Err: err}, nil
 	}
@@ -181,9 +181,9 @@
 	r.client.reportFault(FaultWrongModel)
 	stopped := r.cancelStream(ctx)
 	if r.started {
-		return Failed{Tokens: r.position.tokens, Err: errWrongModel, Stopped: stopped}
+		return Failed{Tokens: r.position.tokens, Err: errWrongModel, StopConfirmed: stopped}
 	}
-	return WrongModel{Served: served, Stopped: stopped}
+	return WrongModel{ServedModel: served, StopConfirmed: stopped}
 }
 
 // handleRefusal classifies a response with a status other than 200. A statement of the engine that
@@ -212,7 +212,7 @@
 // refusalOutcome maps a refusal of the request to an outcome, or nil if the status does not show
 // whether the request ran.
 func (r *completionRun) refusalOutcome(response *http.Response) Outcome {
-	refused := readError(response, r.client.limits.AnswerBytes)
+	refused := readError(response, r.client.limits.MaxResponseBytes)
 	status := response.StatusCode
 	switch {
 	case status == http.StatusNotFound && refused.Error.Code == codeModelNotFound:
@@ -235,18 +235,18 @@
 	lost := errors.New("engine: the engine does not know the stream")
 	switch {
 	case r.started:
-		return Failed{Tokens: r.position.tokens, Err: lost, Stopped: true, Lost: true}, nil
+		return Failed{Tokens: r.position.tokens, Err: lost, StopConfirmed: true, EngineLost: true}, nil
 	case r.unconfirmedRefusal != nil:
 		return r.unconfirmedRefusal, nil
 	}
-	return Unknown{Err: lost, Stopped: true, Lost: true}, nil
+	return Unknown{Err: lost, StopConfirmed: true, EngineLost: true}, nil
 }
 
 // ---------------------------------------------------------------------------------------------
 
 // readStream delivers events until the stream ends or is lost.
 func (r *completionRun) readStream(ctx context.Context, body io.Reader, idle *idleTimer) (Outcome, error) {
-	reader := stream.NewReader(body, r.client.limits.LineBytes)
+	reader := stream.NewReader(body, r.client.limits.MaxLineBytes)
 	for {
 		event, err := reader.Next()
 		if err != nil {
@@ -276,7 +276,7 @@
 		return nil, err
 	}
 	if chunk.Failure != "" {
-		return Failed{Tokens: r.position.tokens, Err: errors.New(chunk.Failure), Stopped: true}, nil
+		return Failed{Tokens: r.position.tokens, Err: errors.New(chunk.Failure), StopConfirmed: true}, nil
 	}
 	if chunk.ID != r.dispatch.ID {
 		return nil, errMismatchedResponse
@@ -316,13 +316,13 @@
 	stopped := r.cancelStream(ctx)
 	lost := errors.Is(err, syscall.ECONNREFUSED)
 	if r.started {
-		return Failed{Tokens: r.position.tokens, Err: err, Stopped: stopped, Lost: lost}
+		return Failed{Tokens: r.position.tokens, Err: err, StopConfirmed: stopped, EngineLost: lost}
 	}
-	return Unknown{Err: err, Stopped: stopped, Lost: lost}
+	return Unknown{Err: err, StopConfirmed: stopped, EngineLost: lost}
 }
 
 func (r *completionRun) cancel(ctx context.Context, cause error) Outcome {
-	return Cancelled{Tokens: r.position.tokens, Err: cause, Stopped: r.cancelStream(ctx)}
+	return Cancelled{Tokens: r.position.tokens, Err: cause, StopConfirmed: r.cancelStream(ctx)}
 }
 
 // cancelStream cancels the stream at the engine and reports whether the engine confirmed that it no
--- a/internal/upstream/engine/complete_test.go
+++ b/internal/upstream/engine/complete_test.go
@@ -117,7 +117,7 @@
 				<-r.Context().Done()
 				return true
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), Observe: faults.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), OnFault: faults.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
@@ -141,8 +141,8 @@
 	client := &engine.Client{Address: fake.start(t), Limits: shortLimits()}
 	unknown, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Unknown)
 	is.True(ok)
-	is.True(unknown.Stopped)
-	is.True(!unknown.Lost)
+	is.True(unknown.StopConfirmed)
+	is.True(!unknown.EngineLost)
 	_, cancels := fake.counts()
 	is.Equal(cancels, 1)
 }
@@ -182,7 +182,7 @@
 				}
 				return number == 1
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), Observe: faults.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: shortLimits(), OnFault: faults.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
@@ -206,8 +206,8 @@
 		sink := &textSink{}
 		wrong, ok := client.Complete(context.Background(), dispatch(), sink).(engine.WrongModel)
 		is.True(ok)
-		is.Equal(wrong.Served, served)
-		is.True(wrong.Stopped)
+		is.Equal(wrong.ServedModel, served)
+		is.True(wrong.StopConfirmed)
 		is.Equal(sink.events, 0)
 	}
 }
@@ -285,8 +285,8 @@
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 2)
-	is.True(failed.Stopped)
-	is.True(failed.Lost)
+	is.True(failed.StopConfirmed)
+	is.True(failed.EngineLost)
 }
 
 // The engine process dies in the middle of a stream, and nothing listens at its address any more.
@@ -306,8 +306,8 @@
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 1)
-	is.True(failed.Lost)
-	is.True(!failed.Stopped)
+	is.True(failed.EngineLost)
+	is.True(!failed.StopConfirmed)
 }
 
 // A caller disconnects in the middle of its stream. The engine would otherwise generate up to the
@@ -338,7 +338,7 @@
 			client := &engine.Client{Address: fake.start(t), Limits: engine.DefaultLimits()}
 			cancelled, ok := client.Complete(ctx, dispatch(), c.sink).(engine.Cancelled)
 			is.True(ok)
-			is.True(cancelled.Stopped)
+			is.True(cancelled.StopConfirmed)
 			_, cancels := fake.counts()
 			is.Equal(cancels, 1)
 		})
@@ -352,8 +352,8 @@
 	var faults faultCounter
 	fake := &fakeEngine{tokens: 2}
 	limits := shortLimits()
-	client := &engine.Client{Address: fake.start(t), Limits: limits, Observe: faults.observe}
-	sink := &textSink{slow: limits.BetweenTokens + 100*time.Millisecond}
+	client := &engine.Client{Address: fake.start(t), Limits: limits, OnFault: faults.observe}
+	sink := &textSink{slow: limits.InterTokenTimeout + 100*time.Millisecond}
 	_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 	is.True(ok)
 	is.Equal(faults.count(engine.FaultSilent), 0)
--- a/internal/upstream/engine/fake_engine_test.go
+++ b/internal/upstream/engine/fake_engine_test.go
@@ -149,9 +149,9 @@
 // shortLimits make the failure cases end quickly. No test asserts their values.
 func shortLimits() engine.Limits {
 	limits := engine.DefaultLimits()
-	limits.FirstToken = 300 * time.Millisecond
-	limits.BetweenTokens = 300 * time.Millisecond
-	limits.Resumes = 2
+	limits.FirstTokenTimeout = 300 * time.Millisecond
+	limits.InterTokenTimeout = 300 * time.Millisecond
+	limits.MaxResumes = 2
 	return limits
 }
 
--- a/internal/upstream/engine/orders.go
+++ b/internal/upstream/engine/orders.go
@@ -26,11 +26,11 @@
 	ErrInUse = errors.New("engine: adapter version in use")
 	// ErrLoadFailed means that the engine could not get the weights.
 	ErrLoadFailed = errors.New("engine: load failed")
-	// ErrNotDone means that the order was not sent, or that the engine rejected it, as it does
+	// ErrNotExecuted means that the order was not sent, or that the engine rejected it, as it does
 	// during startup.
-	ErrNotDone = errors.New("engine: order not executed")
-	// ErrUnknown means that the order may have been executed, or may still be executed later.
-	ErrUnknown = errors.New("engine: outcome of the order unknown")
+	ErrNotExecuted = errors.New("engine: order not executed")
+	// ErrOutcomeUnknown means that the order may have been executed, or may still be executed later.
+	ErrOutcomeUnknown = errors.New("engine: outcome of the order unknown")
 )
 
 // Order to load or unload an adapter version. Source is its location in the weight store.
@@ -70,20 +70,20 @@
 func (c *Client) Load(ctx context.Context, order Order) error {
 	c.initialize()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Source: order.Source, Fence: order.Fence}
-	return c.sendOrder(ctx, c.limits.Load, "/orders/load", wire)
+	return c.sendOrder(ctx, c.limits.LoadTimeout, "/orders/load", wire)
 }
 
 // Unload orders the engine to unload an adapter version.
 func (c *Client) Unload(ctx context.Context, order Order) error {
 	c.initialize()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Fence: order.Fence}
-	return c.sendOrder(ctx, c.limits.Order, "/orders/unload", wire)
+	return c.sendOrder(ctx, c.limits.OrderTimeout, "/orders/unload", wire)
 }
 
-// Role orders the engine to change its role.
-func (c *Client) Role(ctx context.Context, role string, fence int64) error {
+// SetRole orders the engine to change its role.
+func (c *Client) SetRole(ctx context.Context, role string, fence int64) error {
 	c.initialize()
-	return c.sendOrder(ctx, c.limits.Order, "/orders/role", wireOrder{Role: role, Fence: fence})
+	return c.sendOrder(ctx, c.limits.OrderTimeout, "/orders/role", wireOrder{Role: role, Fence: fence})
 }
 
 func (c *Client) sendOrder(ctx context.Context, limit time.Duration, target string, wire wireOrder) (err error) {
@@ -108,7 +108,7 @@
 	defer response.Body.Close()
 	if isForOtherRequest(response, id) {
 		c.reportFault(FaultCrossed)
-		return errors.WithMessage(ErrUnknown, "response to another order")
+		return errors.WithMessage(ErrOutcomeUnknown, "response to another order")
 	}
 	return c.orderResult(response)
 }
@@ -118,19 +118,19 @@
 // version that the holder has pinned since.
 func (c *Client) orderSendError(err error) error {
 	var failure *exchange.Failure
-	if errors.As(err, &failure) && !failure.Left {
+	if errors.As(err, &failure) && !failure.MaybeSent {
 		c.reportFault(FaultConnect)
-		return errors.WithMessage(ErrNotDone, err.Error())
+		return errors.WithMessage(ErrNotExecuted, err.Error())
 	}
 	c.reportFault(FaultCut)
-	return errors.WithMessage(ErrUnknown, err.Error())
+	return errors.WithMessage(ErrOutcomeUnknown, err.Error())
 }
 
 func (c *Client) orderResult(response *http.Response) error {
 	if response.StatusCode == http.StatusOK {
 		return nil
 	}
-	refused := readError(response, c.limits.AnswerBytes)
+	refused := readError(response, c.limits.MaxResponseBytes)
 	reason := http.StatusText(response.StatusCode) + " " + refused.Error.Code
 	switch response.StatusCode {
 	case http.StatusConflict:
@@ -139,9 +139,9 @@
 		return errors.WithMessage(ErrLoadFailed, refused.Error.Message)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests,
 		http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed:
-		return errors.WithMessage(ErrNotDone, reason)
+		return errors.WithMessage(ErrNotExecuted, reason)
 	}
-	return errors.WithMessage(ErrUnknown, reason)
+	return errors.WithMessage(ErrOutcomeUnknown, reason)
 }
 
 func conflictError(code, reason string) error {
@@ -153,7 +153,7 @@
 	case codeInUse:
 		return ErrInUse
 	}
-	return errors.WithMessage(ErrUnknown, reason)
+	return errors.WithMessage(ErrOutcomeUnknown, reason)
 }
 
 // readError reads the error object of a response. If it cannot be read, the code is empty, and an
--- a/internal/upstream/engine/report.go
+++ b/internal/upstream/engine/report.go
@@ -102,7 +102,7 @@
 
 func (c *Client) getJSON(ctx context.Context, target string, into any) error {
 	c.initialize()
-	ctx, cancel := context.WithTimeout(ctx, c.limits.Report)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.ReportTimeout)
 	defer cancel()
 	id := uuid.NewString()
 	response, err := c.transport.Do(ctx, exchange.Request{
@@ -122,7 +122,7 @@
 		c.reportFault(FaultCrossed)
 		return errors.New("response to another request")
 	}
-	body, err := exchange.ReadAll(response.Body, c.limits.AnswerBytes)
+	body, err := exchange.ReadAll(response.Body, c.limits.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -45,8 +45,8 @@
 // Failure is the error of an exchange without a response. Left reports whether any byte of the
 // request may have been sent. If none was, the upstream cannot have run the request and never will.
 type Failure struct {
-	Err  error
-	Left bool
+	Err       error
+	MaybeSent bool
 }
 
 func (f *Failure) Error() string { return f.Err.Error() }
@@ -56,7 +56,7 @@
 // Transport makes exchanges. Connect bounds the opening of a connection. A Transport is safe for
 // concurrent use once its field is set.
 type Transport struct {
-	Connect time.Duration
+	ConnectTimeout time.Duration
 
 	once sync.Once
 	base *http.Transport
@@ -64,7 +64,7 @@
 
 func (t *Transport) httpTransport() *http.Transport {
 	t.once.Do(func() {
-		dialer := net.Dialer{Timeout: t.Connect}
+		dialer := net.Dialer{Timeout: t.ConnectTimeout}
 		t.base = &http.Transport{
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
@@ -100,7 +100,7 @@
 	}
 	response, err := t.httpTransport().RoundTrip(raw)
 	if err != nil {
-		return nil, &Failure{Err: err, Left: tracker.seal()}
+		return nil, &Failure{Err: err, MaybeSent: tracker.seal()}
 	}
 	return response, nil
 }
--- a/internal/upstream/exchange/exchange_test.go
+++ b/internal/upstream/exchange/exchange_test.go
@@ -18,7 +18,7 @@
 
 func do(t *testing.T, ctx context.Context, address string) (*http.Response, error) {
 	t.Helper()
-	transport := &exchange.Transport{Connect: time.Second}
+	transport := &exchange.Transport{ConnectTimeout: time.Second}
 	return transport.Do(ctx, exchange.Request{
 		Address: address,
 		Method:  http.MethodPost,
@@ -64,7 +64,7 @@
 	_, err := do(t, context.Background(), server.Listener.Addr().String())
 	var failure *exchange.Failure
 	is.True(errors.As(err, &failure))
-	is.True(failure.Left)
+	is.True(failure.MaybeSent)
 }
 
 // The address accepts connections but never responds, so the caller's timeout ends the exchange.
@@ -79,7 +79,7 @@
 	_, err = do(t, ctx, listener.Addr().String())
 	var failure *exchange.Failure
 	is.True(errors.As(err, &failure))
-	is.True(failure.Left)
+	is.True(failure.MaybeSent)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
--- a/internal/upstream/service/client.go
+++ b/internal/upstream/service/client.go
@@ -33,9 +33,9 @@
 	IdempotencyKey string
 }
 
-// Answer is the complete response of a plain service, with the headers that may be returned to the
+// Response is the complete response of a plain service, with the headers that may be returned to the
 // caller.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -48,7 +48,7 @@
 type NotRun struct{ Err error }
 
 // Ran means that the service responded.
-type Ran struct{ Answer Answer }
+type Ran struct{ Response Response }
 
 // Unknown means that the call may have been sent and it cannot be determined whether it ran.
 type Unknown struct{ Err error }
@@ -57,21 +57,21 @@
 func (Ran) outcome()     {}
 func (Unknown) outcome() {}
 
-// ErrCrossed means that the response belongs to another call.
-var ErrCrossed = errors.New("service: response to another call")
+// ErrMismatchedResponse means that the response belongs to another call.
+var ErrMismatchedResponse = errors.New("service: response to another call")
 
 // Limits of a call.
 type Limits struct {
-	// Connect bounds the opening of a connection, Answer the time from the start of the call to the
+	// ConnectTimeout bounds the opening of a connection, ResponseTimeout the time from the start of the call to the
 	// end of the response.
-	Connect, Answer time.Duration
-	// AnswerBytes bounds the body of a response.
-	AnswerBytes int
+	ConnectTimeout, ResponseTimeout time.Duration
+	// MaxResponseBytes bounds the body of a response.
+	MaxResponseBytes int
 }
 
 // DefaultLimits are for services in the same region.
 func DefaultLimits() Limits {
-	return Limits{Connect: time.Second, Answer: 10 * time.Second, AnswerBytes: 1 << 20}
+	return Limits{ConnectTimeout: time.Second, ResponseTimeout: 10 * time.Second, MaxResponseBytes: 1 << 20}
 }
 
 // Client of plain services. If Limits is zero, DefaultLimits are used. A Client is safe for
@@ -90,7 +90,7 @@
 		if c.limits == (Limits{}) {
 			c.limits = DefaultLimits()
 		}
-		c.transport.Connect = c.limits.Connect
+		c.transport.ConnectTimeout = c.limits.ConnectTimeout
 	})
 }
 
@@ -101,7 +101,7 @@
 // the call.
 func (c *Client) Do(ctx context.Context, address string, call Call) Outcome {
 	c.initialize()
-	ctx, cancel := context.WithTimeout(ctx, c.limits.Answer)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.ResponseTimeout)
 	defer cancel()
 	response, err := c.transport.Do(ctx, exchange.Request{
 		Address: address,
@@ -126,7 +126,7 @@
 
 func errorOutcome(err error) Outcome {
 	var failure *exchange.Failure
-	if errors.As(err, &failure) && !failure.Left {
+	if errors.As(err, &failure) && !failure.MaybeSent {
 		return NotRun{Err: err}
 	}
 	return Unknown{Err: err}
@@ -137,15 +137,15 @@
 // full.
 func (c *Client) responseOutcome(response *http.Response, call Call) Outcome {
 	if response.Header.Get(headerRequestID) != call.ID {
-		return Unknown{Err: ErrCrossed}
+		return Unknown{Err: ErrMismatchedResponse}
 	}
-	body, err := exchange.ReadAll(response.Body, c.limits.AnswerBytes)
+	body, err := exchange.ReadAll(response.Body, c.limits.MaxResponseBytes)
 	if err != nil {
 		return Unknown{Err: err}
 	}
-	return Ran{Answer: Answer{
+	return Ran{Response: Response{
 		Status: response.StatusCode,
-		Header: SafeHeader(response.Header),
+		Header: ForwardableHeader(response.Header),
 		Body:   body,
 	}}
 }
@@ -155,7 +155,7 @@
 // requestHeader returns the caller's headers that are forwarded, with the request ID and the
 // idempotency key.
 func requestHeader(call Call) http.Header {
-	header := SafeHeader(call.Header)
+	header := ForwardableHeader(call.Header)
 	header.Set(headerRequestID, call.ID)
 	if call.IdempotencyKey != "" {
 		header.Set(headerIdempotencyKey, call.IdempotencyKey)
@@ -190,9 +190,9 @@
 	"X-Idempotency-Key":   true,
 }
 
-// SafeHeader copies the headers that may be forwarded. It also omits those named by the Connection
+// ForwardableHeader copies the headers that may be forwarded. It also omits those named by the Connection
 // header.
-func SafeHeader(header http.Header) http.Header {
+func ForwardableHeader(header http.Header) http.Header {
 	perConnection := map[string]bool{}
 	for _, line := range header.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
