--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -36,8 +36,8 @@
 	MaxResumes int
 	// CancelTimeout bounds the cancellation of a stream.
 	CancelTimeout time.Duration
-	// OrderTimeout bounds a role or unload order, LoadTimeout a load order, ReportTimeout the fetching of a report or a
-	// page of events.
+	// OrderTimeout bounds a role or unload order, LoadTimeout a load order, ReportTimeout the
+	// fetching of a report or a page of events.
 	OrderTimeout, LoadTimeout, ReportTimeout time.Duration
 	// MaxLineBytes bounds a line of a stream, MaxResponseBytes the body of any other response.
 	MaxLineBytes, MaxResponseBytes int
@@ -139,10 +139,10 @@
 	StopConfirmed bool
 }
 
-// Failed means that the stream was lost after Tokens tokens and could not be resumed. Stopped
-// reports whether the engine confirmed that the request no longer runs. Lost means that the engine
-// itself failed while the request ran, as in a crash: nothing listens at its address any more, or
-// it no longer knows the stream. Otherwise the cause may be the connection.
+// Failed means that the stream was lost after Tokens tokens and could not be resumed. StopConfirmed
+// reports whether the engine confirmed that the request no longer runs. EngineLost means that the
+// engine itself failed while the request ran, as in a crash: nothing listens at its address any
+// more, or it no longer knows the stream. Otherwise the cause may be the connection.
 type Failed struct {
 	Tokens        int
 	Err           error
@@ -151,15 +151,16 @@
 }
 
 // Unknown means that the request may have been sent and it cannot be determined whether it ran.
-// Stopped and Lost are as in Failed; a request that never arrived looks like one that was lost.
+// StopConfirmed and EngineLost are as in Failed; a request that never arrived looks like one that
+// was lost.
 type Unknown struct {
 	Err           error
 	StopConfirmed bool
 	EngineLost    bool
 }
 
-// Cancelled means that the caller disconnected or the sink failed. Stopped reports whether the
-// engine confirmed it.
+// Cancelled means that the caller disconnected or the sink failed. StopConfirmed reports whether
+// the engine confirmed the cancellation.
 type Cancelled struct {
 	Tokens        int
 	Err           error
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -42,7 +42,7 @@
 	Body    []byte
 }
 
-// Failure is the error of an exchange without a response. Left reports whether any byte of the
+// Failure is the error of an exchange without a response. MaybeSent reports whether any byte of the
 // request may have been sent. If none was, the upstream cannot have run the request and never will.
 type Failure struct {
 	Err       error
@@ -53,8 +53,8 @@
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Transport makes exchanges. Connect bounds the opening of a connection. A Transport is safe for
-// concurrent use once its field is set.
+// Transport makes exchanges. ConnectTimeout bounds the opening of a connection. A Transport is safe
+// for concurrent use once its field is set.
 type Transport struct {
 	ConnectTimeout time.Duration
 
--- a/internal/upstream/service/client.go
+++ b/internal/upstream/service/client.go
@@ -33,8 +33,8 @@
 	IdempotencyKey string
 }
 
-// Response is the complete response of a plain service, with the headers that may be returned to the
-// caller.
+// Response is the complete response of a plain service, with the headers that may be returned to
+// the caller.
 type Response struct {
 	Status int
 	Header http.Header
@@ -62,8 +62,8 @@
 
 // Limits of a call.
 type Limits struct {
-	// ConnectTimeout bounds the opening of a connection, ResponseTimeout the time from the start of the call to the
-	// end of the response.
+	// ConnectTimeout bounds the opening of a connection, ResponseTimeout the time from the start of
+	// the call to the end of the response.
 	ConnectTimeout, ResponseTimeout time.Duration
 	// MaxResponseBytes bounds the body of a response.
 	MaxResponseBytes int
@@ -190,8 +190,8 @@
 	"X-Idempotency-Key":   true,
 }
 
-// ForwardableHeader copies the headers that may be forwarded. It also omits those named by the Connection
-// header.
+// ForwardableHeader copies the headers that may be forwarded. It also omits those named by the
+// Connection header.
 func ForwardableHeader(header http.Header) http.Header {
 	perConnection := map[string]bool{}
 	for _, line := range header.Values("Connection") {
