--- a/internal/catalog/head/head.go
+++ b/internal/catalog/head/head.go
@@ -1,33 +1,34 @@
-// Package head holds the one small value that orders everything the fleet agrees on: which immutable
-// parts make up the configuration, who is a member, and the revision that both have. It is read from
-// the store by a few instances and swapped whole by compare-and-swap; the codec package maps it to
-// bytes and the repository keeps it.
+// Package head holds the value that the whole fleet agrees on: the immutable parts that make up the
+// configuration, the members, and one revision for both. A few instances read it from the store; it is
+// replaced as a whole by compare-and-swap. The codec package encodes it and the repository package stores
+// it.
 package head
 
 import "slices"
 
-// PartCount is the number of parts the configuration is split into. At the target of 45,000 adapters
-// a part holds some 1,400 resources, a few hundred kilobytes: well under the megabyte that the store
-// takes, while the head that names them stays at a few kilobytes.
+// PartCount is the number of parts the configuration is split into. At the target of 45,000 adapters a
+// part holds about 1,400 resources, a few hundred kilobytes. That is well under the store's limit of one
+// megabyte per value, and the head that references the parts stays at a few kilobytes.
 const PartCount = 64
 
-// MaxChanges is how many marks of swaps the head keeps. A writer whose answer was lost looks for its
-// mark here; it would have to be out of touch for more swaps than this not to learn the outcome. The
-// number has no measured reason yet: at 1,000 changes a day it spans more than an hour.
+// MaxChanges is the number of recent swaps that the head records. A writer that did not receive the
+// response to its swap looks for its swap ID here. It cannot learn the outcome if more swaps than this
+// were made in the meantime. At 1,000 changes a day the record spans more than an hour.
 const MaxChanges = 64
 
-// Part names one immutable part. Revision is the head revision that the part was written for and Hash
-// the SHA-256 of its content in lower-case hex; Hash is empty for a part without resources. A part
-// whose Revision is at or below the head's and which the head does not name can never be named again,
-// since a swap that would name it fails: that makes deleting it safe without waiting for its writer.
+// Part references one immutable part. Revision is the head revision that the part was written for. Hash
+// is the SHA-256 of its content in lower-case hex, empty for a part without resources. A part whose
+// Revision is not above the head's and which the head does not reference can never be referenced again,
+// because a swap to a head that references it fails. Such a part can be deleted without waiting for its
+// writer.
 type Part struct {
 	Revision int64
 	Hash     string
 }
 
-// Member is an instance that takes a share of rates and of upstreams. Incarnation is new for each
-// start of its process, Address is where its peers reach it (IP and port), and Since is the head
-// revision that added this incarnation.
+// Member is an instance that takes a share of rates and of upstreams. Incarnation is new for each start
+// of its process, Address is where its peers reach it (IP and port), and Since is the head revision that
+// added this incarnation.
 type Member struct {
 	Name        string
 	Incarnation string
@@ -36,16 +37,16 @@
 	Since       int64
 }
 
-// Change is the mark of one swap: the writer's own unique text, and the revision the swap made.
+// Change records one swap: its ID, which is unique to the writer's attempt, and the revision it made.
 type Change struct {
 	Mark     string
 	Revision int64
 }
 
-// Head is immutable: its slices are never written after it was made, and the With methods return new
-// ones. Revision is one higher with each swap and 0 before the first. Epoch is the revision of the
-// last change of members or of the upstreams' places; it is the fencing number of orders to engines.
-// Parts has PartCount entries or, before the first swap, none.
+// Head is immutable: its slices are never modified, and the With methods return new values. Revision
+// rises by one with each swap and is 0 before the first. Epoch is the revision of the last change of the
+// members or of the upstreams' names, addresses and data centres; it is the fencing token of orders to
+// engines. Parts has PartCount entries or, before the first swap, none.
 type Head struct {
 	Revision int64
 	Epoch    int64
@@ -54,17 +55,17 @@
 	Changes  []Change
 }
 
-// Pointer is the value that is swapped: it names the whole head, which is kept beside the parts. Readers
-// look at the newest head every second; at 330 members the whole would be some 50 kB each time, the
-// pointer is 200 bytes. Mark is the mark of the swap that made the revision, and Hash the SHA-256 of the
-// head's bytes. The zero Pointer stands for the head before the first swap.
+// Pointer is the value that is swapped. It references the whole head, which is stored separately like the
+// parts. Readers fetch the pointer every second; at 330 members the whole head would be about 50 kB each
+// time, the pointer is 200 bytes. Mark is the ID of the swap that made the revision, and Hash the SHA-256
+// of the encoded head. The zero Pointer stands for the head before the first swap.
 type Pointer struct {
 	Revision int64
 	Mark     string
 	Hash     string
 }
 
-// LastMark gives the mark of the swap that made this head, or nothing before the first.
+// LastMark returns the ID of the swap that made this head, or "" before the first.
 func (h Head) LastMark() string {
 	if len(h.Changes) == 0 {
 		return ""
@@ -72,7 +73,7 @@
 	return h.Changes[len(h.Changes)-1].Mark
 }
 
-// Part returns the name of a part, the empty Part while there is none.
+// Part returns the reference to a part, the empty Part if there is none.
 func (h Head) Part(index int) Part {
 	if index >= len(h.Parts) {
 		return Part{}
@@ -80,7 +81,7 @@
 	return h.Parts[index]
 }
 
-// Member finds a member by name.
+// Member returns the member of the given name.
 func (h Head) Member(name string) (member Member, found bool) {
 	for _, m := range h.Members {
 		if m.Name == name {
@@ -90,7 +91,8 @@
 	return Member{}, false
 }
 
-// Marked tells whether one of the kept changes carries the mark, and the revision it made.
+// Marked returns the revision that the swap with the given ID made, if the swap is among the recorded
+// ones.
 func (h Head) Marked(mark string) (revision int64, found bool) {
 	for _, c := range h.Changes {
 		if c.Mark == mark {
@@ -101,10 +103,10 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// The With methods prepare the next head: they leave Revision alone and write Revision+1 wherever
-// the revision of the change is wanted. WithSwap then completes it.
+// The With methods prepare the next head. They do not change Revision and write Revision+1 wherever
+// the revision of the change is needed. WithSwap then completes it.
 
-// WithPart returns the head with another part in one place, written for the next revision.
+// WithPart returns the head with the part at index replaced by one written for the next revision.
 func (h Head) WithPart(index int, hash string) Head {
 	parts := make([]Part, PartCount)
 	copy(parts, h.Parts)
@@ -113,9 +115,9 @@
 	return h
 }
 
-// WithMember returns the head with the member added, or put in the place of the one of that name, and
-// the epoch raised. The member's Since becomes the next revision. A member that is there already,
-// with the same incarnation and address, changes nothing.
+// WithMember returns the head with the member added, or replacing the member of the same name, and the
+// epoch raised. The member's Since becomes the next revision. If the member is already there with the
+// same incarnation, address and data centre, nothing changes.
 func (h Head) WithMember(member Member) Head {
 	member.Since = h.Revision + 1
 	old, found := h.Member(member.Name)
@@ -133,7 +135,8 @@
 	return h
 }
 
-// WithoutMember returns the head without the member of that name, and the epoch raised if it was there.
+// WithoutMember returns the head without the member of that name. The epoch rises if the member was
+// there.
 func (h Head) WithoutMember(name string) Head {
 	if _, found := h.Member(name); !found {
 		return h
@@ -143,13 +146,13 @@
 	return h
 }
 
-// WithEpoch returns the head with the epoch raised to the next revision: the upstreams changed.
+// WithEpoch returns the head with the epoch raised to the next revision, because the upstreams changed.
 func (h Head) WithEpoch() Head {
 	h.Epoch = h.Revision + 1
 	return h
 }
 
-// WithSwap completes the next head: the revision is one higher and the mark is the newest of Changes.
+// WithSwap completes the next head: it raises the revision by one and records the swap's ID.
 func (h Head) WithSwap(mark string) Head {
 	h.Revision++
 	changes := append(slices.Clone(h.Changes), Change{Mark: mark, Revision: h.Revision})
@@ -160,7 +163,7 @@
 	return h
 }
 
-// Equal tells whether two heads are the same in every field.
+// Equal reports whether two heads are the same in every field.
 func (h Head) Equal(other Head) bool {
 	return h.Revision == other.Revision && h.Epoch == other.Epoch &&
 		slices.Equal(h.Parts, other.Parts) && slices.Equal(h.Members, other.Members) &&
--- a/internal/catalog/head/head_test.go
+++ b/internal/catalog/head/head_test.go
@@ -15,13 +15,13 @@
 	a := head.Member{Name: "a", Incarnation: "1", Address: "127.0.0.1:1"}
 
 	joined := first.WithMember(a)
-	is.Equal(len(first.Members), 0) // the old value is untouched
+	is.Equal(len(first.Members), 0) // the original value is not modified
 	is.Equal(joined.Epoch, int64(5))
 	is.Equal(joined.Members[0].Since, int64(5))
 
 	next := joined.WithSwap("m")
 	is.Equal(next.Revision, int64(5))
-	is.True(next.WithMember(a).Equal(next)) // the same incarnation again changes nothing
+	is.True(next.WithMember(a).Equal(next)) // adding the same incarnation again changes nothing
 
 	a.Incarnation = "2"
 	is.Equal(next.WithMember(a).Members[0].Since, int64(6))
@@ -30,7 +30,7 @@
 	is.True(next.WithoutMember("b").Equal(next))
 }
 
-func TestChangesKeepTheNewestMarks(t *testing.T) {
+func TestRecentSwapsAreBounded(t *testing.T) {
 	is := is.New(t)
 	h := head.Head{}
 	for i := range head.MaxChanges + 3 {
@@ -44,7 +44,7 @@
 	is.Equal(revision, int64(4))
 }
 
-func TestPartsAreCopied(t *testing.T) {
+func TestWithPartCopiesTheParts(t *testing.T) {
 	is := is.New(t)
 	first := head.Head{Revision: 1}.WithPart(3, "x")
 	second := first.WithPart(3, "y")
