--- a/internal/catalog/resource/resource.go
+++ b/internal/catalog/resource/resource.go
@@ -1,15 +1,15 @@
-// Package resource holds what operators declare: workspaces, keys, base models, adapters and their
-// versions, upstreams and services. Every other package reads these values; only the configuration
-// aggregate changes them, and it does so by making new ones. The types carry no tags: the codec
-// packages map them by hand to JSON for operators and for the store.
+// Package resource defines the resources that operators declare: workspaces, keys, base models, adapters
+// and their versions, upstreams and services. Every other package only reads these values; the
+// configuration package changes them by making new ones. The types carry no tags: the codec package maps
+// them explicitly to JSON for operators and for the store.
 package resource
 
 import "time"
 
-// Kind names one of the seven kinds of resource, spelled as operators write it.
+// Kind is one of the seven kinds of resource, spelled as operators write it.
 type Kind string
 
-// The kinds, in the order in which one may refer to another.
+// The kinds, ordered so that a kind refers only to kinds before it.
 const (
 	KindBaseModel      Kind = "BaseModel"
 	KindWorkspace      Kind = "Workspace"
@@ -20,34 +20,34 @@
 	KindService        Kind = "Service"
 )
 
-// Kinds lists all kinds, referred ones before those that refer to them.
+// Kinds returns all kinds, each after the kinds that it refers to.
 func Kinds() []Kind {
 	return []Kind{
 		KindBaseModel, KindWorkspace, KindKey, KindAdapter, KindAdapterVersion, KindUpstream, KindService,
 	}
 }
 
-// ID identifies a resource: no two of one kind share a name.
+// ID identifies a resource. Names are unique within a kind.
 type ID struct {
 	Kind Kind
 	Name string
 }
 
-// String gives the form used in messages, such as "Adapter/bids".
+// String returns the form used in messages, such as "Adapter/bids".
 func (id ID) String() string {
 	return string(id.Kind) + "/" + id.Name
 }
 
-// Meta is what all resources have in common. Version is the resource version: zero for a resource
-// not yet accepted, otherwise the configuration revision that last changed it. A change that states
-// an older Version than the accepted one is a conflict.
+// Meta holds the fields that all resources have in common. Version is the resource version: zero for a
+// resource not yet accepted, otherwise the configuration revision that last changed it. A change that
+// states an older Version than the accepted one is a conflict.
 type Meta struct {
 	Name    string
 	Version int64
 }
 
-// Resource is one declared resource. It is sealed: the types of this package are the only ones, and
-// code that treats them differently switches over the type.
+// Resource is one declared resource. The interface is sealed: only the types of this package implement
+// it, and code that treats them differently switches over the type.
 type Resource interface {
 	ID() ID
 	ResourceVersion() int64
@@ -61,8 +61,8 @@
 	Meta Meta
 }
 
-// Workspace is a paying tenant. Rate is in tokens a second and Burst in tokens, both over all
-// instances together. Weight is its share when upstreams are short; 1 is usual.
+// Workspace is a paying tenant. Rate is in tokens per second and Burst in tokens, both summed over all
+// instances. Weight is its share when upstream capacity is scarce; 1 is the default.
 type Workspace struct {
 	Meta       Meta
 	Rate       float64
@@ -71,9 +71,9 @@
 	Objectives Objectives
 }
 
-// Objectives are what the workspace was promised, as used by the burn report. The shares are
-// between 0 and 1: Answered is the share of requests that must be answered, FirstToken the share
-// whose first token must come within FirstTokenWithin, Admitted the share of requests within the
+// Objectives are the service level objectives of a workspace, used by the burn-rate report. The shares
+// are between 0 and 1. Answered is the share of requests that must be answered, FirstToken the share
+// whose first token must arrive within FirstTokenWithin, and Admitted the share of requests within the
 // rate that must not be refused.
 type Objectives struct {
 	Answered         float64
@@ -82,9 +82,9 @@
 	Admitted         float64
 }
 
-// Key is a caller's credential. Only the SHA-256 of the secret is kept, in lower-case hex; the
-// secret is shown once, when the key is granted. A withdrawn key stays declared, so that its use is
-// refused as withdrawn and not as unknown.
+// Key is a caller's credential. Only the SHA-256 of the secret is stored, in lower-case hex; the secret
+// is shown once, when the key is granted. A withdrawn key stays declared, so that its use is refused as
+// withdrawn and not as unknown.
 type Key struct {
 	Meta      Meta
 	Workspace string
@@ -92,8 +92,8 @@
 	Withdrawn bool
 }
 
-// Adapter is a LoRA adapter. Workspaces lists who may use it; empty means every workspace. Current
-// is the version served when a caller names none.
+// Adapter is a LoRA adapter. Workspaces lists who may use it; an empty list means every workspace.
+// Current is the version served when a caller does not name one.
 type Adapter struct {
 	Meta       Meta
 	BaseModel  string
@@ -101,8 +101,8 @@
 	Current    string
 }
 
-// AdapterVersion is one immutable set of weights of an adapter. Its name is "adapter@version", and
-// Source is where the weight store keeps it.
+// AdapterVersion is one immutable set of weights of an adapter. Its name is "adapter@version", and Source
+// is its location in the weight store.
 type AdapterVersion struct {
 	Meta    Meta
 	Adapter string
@@ -110,9 +110,9 @@
 	Source  string
 }
 
-// Upstream is a model engine. Slots is how many adapter versions it holds at once, Batch how many
-// requests it runs at once. ChecksFencing tells whether it refuses orders with an old fencing
-// number. A leaving upstream gets no new work.
+// Upstream is a model engine. Slots is how many adapter versions it can hold loaded (adapter slots),
+// Batch how many requests it can run at once (batch slots). ChecksFencing says whether it rejects orders
+// with an old fencing token. An upstream that is leaving gets no new work.
 type Upstream struct {
 	Meta          Meta
 	Address       string
@@ -124,8 +124,8 @@
 	Leaving       bool
 }
 
-// Service is a plain service beside the engines. Calls whose method is in Repeatable may be sent
-// again; every other call needs an idempotency key and runs at most once.
+// Service is a plain service that is not a model engine. Calls whose method is in Repeatable may be
+// retried; every other call needs an idempotency key and runs at most once.
 type Service struct {
 	Meta       Meta
 	Addresses  []string
@@ -135,46 +135,46 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// ID of a base model.
+// ID returns the ID of a base model.
 func (r BaseModel) ID() ID { return ID{Kind: KindBaseModel, Name: r.Meta.Name} }
 
-// ID of a workspace.
+// ID returns the ID of a workspace.
 func (r Workspace) ID() ID { return ID{Kind: KindWorkspace, Name: r.Meta.Name} }
 
-// ID of a key; its name is not secret.
+// ID returns the ID of a key; its name is not secret.
 func (r Key) ID() ID { return ID{Kind: KindKey, Name: r.Meta.Name} }
 
-// ID of an adapter.
+// ID returns the ID of an adapter.
 func (r Adapter) ID() ID { return ID{Kind: KindAdapter, Name: r.Meta.Name} }
 
-// ID of an adapter version, named "adapter@version".
+// ID returns the ID of an adapter version, named "adapter@version".
 func (r AdapterVersion) ID() ID { return ID{Kind: KindAdapterVersion, Name: r.Meta.Name} }
 
-// ID of an upstream.
+// ID returns the ID of an upstream.
 func (r Upstream) ID() ID { return ID{Kind: KindUpstream, Name: r.Meta.Name} }
 
-// ID of a service.
+// ID returns the ID of a service.
 func (r Service) ID() ID { return ID{Kind: KindService, Name: r.Meta.Name} }
 
-// ResourceVersion of a base model.
+// ResourceVersion returns the resource version of a base model.
 func (r BaseModel) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of a workspace.
+// ResourceVersion returns the resource version of a workspace.
 func (r Workspace) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of a key.
+// ResourceVersion returns the resource version of a key.
 func (r Key) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of an adapter.
+// ResourceVersion returns the resource version of an adapter.
 func (r Adapter) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of an adapter version: the revision that declared it.
+// ResourceVersion returns the resource version of an adapter version: the revision that declared it.
 func (r AdapterVersion) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of an upstream.
+// ResourceVersion returns the resource version of an upstream.
 func (r Upstream) ResourceVersion() int64 { return r.Meta.Version }
 
-// ResourceVersion of a service.
+// ResourceVersion returns the resource version of a service.
 func (r Service) ResourceVersion() int64 { return r.Meta.Version }
 
 func (BaseModel) sealed()      {}
@@ -185,7 +185,7 @@
 func (Upstream) sealed()       {}
 func (Service) sealed()        {}
 
-// WithVersion returns the resource with another resource version.
+// WithVersion returns a copy of the resource with the given resource version.
 func WithVersion(r Resource, version int64) Resource {
 	switch r := r.(type) {
 	case BaseModel:
@@ -213,13 +213,13 @@
 	panic("resource: a kind is missing from WithVersion")
 }
 
-// WithWithdrawn returns the key withdrawn or granted again.
+// WithWithdrawn returns a copy of the key, withdrawn or granted again.
 func (r Key) WithWithdrawn(withdrawn bool) Key {
 	r.Withdrawn = withdrawn
 	return r
 }
 
-// WithLeaving returns the upstream marked as leaving or as staying.
+// WithLeaving returns a copy of the upstream, marked as leaving or as not leaving.
 func (r Upstream) WithLeaving(leaving bool) Upstream {
 	r.Leaving = leaving
 	return r
