--- a/internal/catalog/codec/codec_test.go
+++ b/internal/catalog/codec/codec_test.go
@@ -14,7 +14,7 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// everyKind has one resource of each kind with no field left at its zero value.
+// everyKind has one resource of each kind, with no field left at its zero value.
 var everyKind = []resource.Resource{
 	resource.BaseModel{Meta: resource.Meta{Name: "base", Version: 1}},
 	resource.Workspace{
@@ -34,7 +34,7 @@
 	},
 }
 
-func TestEveryKindComesBackAsItWas(t *testing.T) {
+func TestEveryKindRoundTrips(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(everyKind), len(resource.Kinds()))
 	for _, r := range everyKind {
@@ -52,7 +52,7 @@
 	is.Equal(decoded, everyKind)
 }
 
-func TestHeadComesBackAsItWas(t *testing.T) {
+func TestHeadRoundTrips(t *testing.T) {
 	is := is.New(t)
 	h := head.Head{}.WithPart(3, "hash").WithMember(head.Member{
 		Name: "i", Incarnation: "1", Address: "10.0.0.1:1", DataCentre: "south",
@@ -75,20 +75,20 @@
 	is.Equal(decoded, pointer)
 }
 
-func TestFilesThatAreWrong(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	const start = `{"Resources":[{"Kind":"Workspace","Name":"w"`
 	cases := []struct {
 		name     string
 		file     string
 		problems []string
 	}{
-		{"no JSON", `Rate = 1`, []string{"File/: is not valid JSON"}},
-		{"cut off", start, []string{"File/: is not valid JSON"}},
-		{"no object", `[]`, []string{"File/: must be a JSON object"}},
-		{"something after", `{"Resources":[]}{}`, []string{"File/: has something after its end"}},
+		{"not JSON", `Rate = 1`, []string{"File/: is not valid JSON"}},
+		{"truncated", start, []string{"File/: is not valid JSON"}},
+		{"not an object", `[]`, []string{"File/: must be a JSON object"}},
+		{"trailing data", `{"Resources":[]}{}`, []string{"File/: has something after its end"}},
 		{"no resources", `{"resources":[]}`, []string{"File/ Resources: is missing", "File/ resources: no such field"}},
-		{"other case", start + `,"rate":1}]}`, []string{"Workspace/w rate: no such field"}},
-		{"twice", start + `,"Rate":1,"Rate":2}]}`, []string{`Resource/: has the field "Rate" twice`}},
+		{"field name in another case", start + `,"rate":1}]}`, []string{"Workspace/w rate: no such field"}},
+		{"duplicate field", start + `,"Rate":1,"Rate":2}]}`, []string{`Resource/: has the field "Rate" twice`}},
 		{"wrong types", start + `,"Rate":"1","Objectives":{"FirstTokenWithin":540,"Admited":1}}]}`, []string{
 			"Workspace/w Rate: must be a number",
 			"Workspace/w Objectives.FirstTokenWithin: must be a text",
@@ -96,7 +96,7 @@
 		}},
 		{"duration without a unit", start + `,"Objectives":{"FirstTokenWithin":"540"}}]}`, []string{"Workspace/w Objectives.FirstTokenWithin: must be a duration"}},
 		{"negative version", start + `,"ResourceVersion":-1}]}`, []string{"Workspace/w ResourceVersion: must be a whole number"}},
-		{"part of a slot", `{"Resources":[{"Kind":"Upstream","Name":"e","Slots":1.5}]}`, []string{"Upstream/e Slots: must be a whole number"}},
+		{"fractional slots", `{"Resources":[{"Kind":"Upstream","Name":"e","Slots":1.5}]}`, []string{"Upstream/e Slots: must be a whole number"}},
 		{"two resources", `{"Resources":[{"Kind":"Tenant","Name":"a"},{"Kind":"Key","Name":"b","Withdrawn":1}]}`, []string{
 			"Tenant/a Kind: no such kind", "Key/b Withdrawn: must be true or false",
 		}},
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestVersionsInAFile(t *testing.T) {
+func TestResourceVersionsInFile(t *testing.T) {
 	is := is.New(t)
 	change, err := codec.DecodeFile([]byte(`{"Resources":[
 		{"Kind":"BaseModel","Name":"a"},
@@ -132,8 +132,8 @@
 	}
 }
 
-// FuzzResourceFile: whatever an operator sends, it is refused with problems or taken, and what is taken
-// comes back from the store as it was.
+// FuzzResourceFile checks that any input is either refused with problems or accepted, and that accepted
+// resources round-trip through a stored part unchanged.
 func FuzzResourceFile(f *testing.F) {
 	file, err := codec.EncodeFile(everyKind)
 	if err != nil {
@@ -161,14 +161,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			back, err := codec.DecodePart(part)
+			decoded, err := codec.DecodePart(part)
 			if err != nil {
 				t.Fatal(err)
 			}
-			again := configuration.Configuration{}.WithParts(map[int][]resource.Resource{i: back}, 1)
-			single := configuration.Configuration{}.WithParts(map[int][]resource.Resource{i: resources}, 1)
-			if len(again.DifferencesFrom(single)) > 0 {
-				t.Fatalf("came back changed: %s", part)
+			roundTripped := configuration.Configuration{}.WithParts(map[int][]resource.Resource{i: decoded}, 1)
+			original := configuration.Configuration{}.WithParts(map[int][]resource.Resource{i: resources}, 1)
+			if len(roundTripped.DifferencesFrom(original)) > 0 {
+				t.Fatalf("changed in a round trip: %s", part)
 			}
 		}
 	})
--- a/internal/catalog/codec/file_codec.go
+++ b/internal/catalog/codec/file_codec.go
@@ -11,9 +11,9 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// DecodeFile reads a file of the form {"Resources": [...]} as the change it asks for. A resource that
-// states no ResourceVersion is declared against whatever is current. All that is wrong with the file
-// is reported together, as configuration.Problems.
+// DecodeFile decodes a file of the form {"Resources": [...]} into the change it requests. A resource that
+// states no ResourceVersion is declared without a version check. All problems in the file are reported
+// together, as configuration.Problems.
 func DecodeFile(data []byte) (change configuration.Change, err error) {
 	items, err := fileItems(data)
 	if err != nil {
@@ -45,10 +45,10 @@
 	}
 	o.kind = "File"
 	if _, found := o.fields["Resources"]; !found {
-		o.problem("Resources", "is missing")
+		o.addProblem("Resources", "is missing")
 	}
-	items = decoded[[]json.RawMessage](o, "Resources", "must be a list of resources")
-	o.finish()
+	items = decodeField[[]json.RawMessage](o, "Resources", "must be a list of resources")
+	o.reportUnknownFields()
 	if len(o.problems) > 0 {
 		return nil, configuration.Problems(o.problems)
 	}
@@ -63,7 +63,7 @@
 	return configuration.Problems{{Kind: "File", Problem: err.Error()}}
 }
 
-// EncodeFile writes resources as a file that can be applied again.
+// EncodeFile encodes resources as a file that can be applied again.
 func EncodeFile(resources []resource.Resource) (data []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "encode resources") }()
 	wire := struct{ Resources []any }{Resources: make([]any, len(resources))}
--- a/internal/catalog/codec/head_codec.go
+++ b/internal/catalog/codec/head_codec.go
@@ -1,4 +1,4 @@
-// The head as the store keeps it, and the small pointer to it that is swapped.
+// The stored forms of the head and of the small pointer to it that is swapped.
 
 package codec
 
@@ -40,13 +40,13 @@
 	}
 )
 
-// EncodePointer writes a pointer.
+// EncodePointer encodes a pointer.
 func EncodePointer(p head.Pointer) (data []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "encode pointer to the head") }()
 	return json.Marshal(wirePointer(p))
 }
 
-// DecodePointer reads a pointer.
+// DecodePointer decodes a pointer.
 func DecodePointer(data []byte) (p head.Pointer, err error) {
 	defer func() { err = errors.WithMessage(err, "decode pointer to the head") }()
 	var wire wirePointer
@@ -56,7 +56,7 @@
 	return head.Pointer(wire), nil
 }
 
-// EncodeHead writes a head.
+// EncodeHead encodes a head.
 func EncodeHead(h head.Head) (data []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "encode head") }()
 	wire := wireHead{Revision: h.Revision, Epoch: h.Epoch}
@@ -74,7 +74,7 @@
 	return json.Marshal(wire)
 }
 
-// DecodeHead reads a head.
+// DecodeHead decodes a head.
 func DecodeHead(data []byte) (h head.Head, err error) {
 	defer func() { err = errors.WithMessage(err, "decode head") }()
 	var wire wireHead
--- a/internal/catalog/codec/object.go
+++ b/internal/catalog/codec/object.go
@@ -1,6 +1,6 @@
-// Reading a JSON object strictly. encoding/json takes a field whatever its case, takes it twice, and
-// says of the first wrong one only; an operator's misspelt "rate" would then be a workspace without
-// a rate. Here each field is taken by its exact name, and all that is wrong is reported together.
+// Strict decoding of JSON objects. encoding/json matches field names in any case, accepts duplicate
+// fields and reports only the first error. A misspelt "rate" would then yield a workspace without a rate.
+// This decoder matches field names exactly and reports all problems together.
 
 package codec
 
@@ -16,7 +16,7 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/configuration"
 )
 
-// object is one JSON object whose fields are taken one by one.
+// object is a JSON object whose fields are read one by one.
 type object struct {
 	fields   map[string]json.RawMessage
 	prefix   string
@@ -25,8 +25,8 @@
 	problems []configuration.Problem
 }
 
-// readObject splits an object into its fields. It fails on what is not an object and on a field that
-// stands twice.
+// readObject splits an object into its fields. It fails on input that is not an object and on duplicate
+// fields.
 func readObject(data []byte) (o *object, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	start, err := decoder.Token()
@@ -61,120 +61,120 @@
 	if err := decoder.Decode(&value); err != nil {
 		return errors.New("is not valid JSON: " + err.Error())
 	}
-	if _, twice := o.fields[name]; twice {
+	if _, duplicate := o.fields[name]; duplicate {
 		return errors.Errorf("has the field %q twice", name)
 	}
 	o.fields[name] = value
 	return nil
 }
 
-// take removes a field and gives its value; a field that is absent or null is not found.
-func (o *object) take(field string) (value json.RawMessage, found bool) {
+// popField removes a field and returns its value. A field that is absent or null counts as not found.
+func (o *object) popField(field string) (value json.RawMessage, found bool) {
 	value, found = o.fields[field]
 	delete(o.fields, field)
 	return value, found && string(value) != "null"
 }
 
-func (o *object) problem(field, problem string) {
+func (o *object) addProblem(field, problem string) {
 	o.problems = append(o.problems, configuration.Problem{
 		Kind: o.kind, Name: o.name, Field: o.prefix + field, Problem: problem,
 	})
 }
 
-// finish reports the fields that nobody took.
-func (o *object) finish() {
+// reportUnknownFields reports the fields that were not read.
+func (o *object) reportUnknownFields() {
 	var unknown []string
 	for field := range o.fields {
 		unknown = append(unknown, field)
 	}
 	slices.Sort(unknown)
 	for _, field := range unknown {
-		o.problem(field, "no such field")
+		o.addProblem(field, "no such field")
 	}
 }
 
-func (o *object) text(field string) string {
-	return decoded[string](o, field, "must be a text")
+func (o *object) stringField(field string) string {
+	return decodeField[string](o, field, "must be a text")
 }
 
-func (o *object) flag(field string) bool {
-	return decoded[bool](o, field, "must be true or false")
+func (o *object) boolField(field string) bool {
+	return decodeField[bool](o, field, "must be true or false")
 }
 
-func (o *object) texts(field string) []string {
-	texts := decoded[[]string](o, field, "must be a list of texts")
+func (o *object) stringsField(field string) []string {
+	texts := decodeField[[]string](o, field, "must be a list of texts")
 	if len(texts) == 0 {
-		return nil // absent and empty are one, so that both are equal to what is declared
+		return nil // so that an absent and an empty list compare equal
 	}
 	return texts
 }
 
-func (o *object) number(field string, absent float64) float64 {
+func (o *object) floatField(field string, defaultValue float64) float64 {
 	if _, found := o.fields[field]; !found {
-		return absent
+		return defaultValue
 	}
-	return decoded[float64](o, field, "must be a number")
+	return decodeField[float64](o, field, "must be a number")
 }
 
-func (o *object) whole(field string) int {
-	number := o.number(field, 0)
+func (o *object) intField(field string) int {
+	number := o.floatField(field, 0)
 	if number != math.Trunc(number) || math.Abs(number) > 1<<31-1 {
-		o.problem(field, "must be a whole number")
+		o.addProblem(field, "must be a whole number")
 		return 0
 	}
 	return int(number)
 }
 
-// version takes a resource version, or says that none is stated.
-func (o *object) version(field string) (version int64, stated bool) {
-	value, found := o.take(field)
+// versionField reads a resource version; stated is false if there is none.
+func (o *object) versionField(field string) (version int64, stated bool) {
+	value, found := o.popField(field)
 	if !found {
 		return 0, false
 	}
 	if err := json.Unmarshal(value, &version); err != nil || version < 0 {
-		o.problem(field, "must be a whole number, 0 or above")
+		o.addProblem(field, "must be a whole number, 0 or above")
 		return 0, false
 	}
 	return version, true
 }
 
-// duration takes a text such as "540ms".
-func (o *object) duration(field string) time.Duration {
-	text := o.text(field)
+// durationField reads a duration such as "540ms".
+func (o *object) durationField(field string) time.Duration {
+	text := o.stringField(field)
 	if text == "" {
 		return 0
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		o.problem(field, `must be a duration such as "540ms"`)
+		o.addProblem(field, `must be a duration such as "540ms"`)
 	}
 	return duration
 }
 
-// object takes a nested object; read is called with it if it is there.
-func (o *object) object(field string, read func(*object)) {
-	value, found := o.take(field)
+// objectField reads a nested object with read, if the field is present.
+func (o *object) objectField(field string, read func(*object)) {
+	value, found := o.popField(field)
 	if !found {
 		return
 	}
 	inner, err := readObject(value)
 	if err != nil {
-		o.problem(field, err.Error())
+		o.addProblem(field, err.Error())
 		return
 	}
 	inner.prefix, inner.kind, inner.name = o.prefix+field+".", o.kind, o.name
 	read(inner)
-	inner.finish()
+	inner.reportUnknownFields()
 	o.problems = append(o.problems, inner.problems...)
 }
 
-func decoded[V any](o *object, field, problem string) (value V) {
-	raw, found := o.take(field)
+func decodeField[V any](o *object, field, problem string) (value V) {
+	raw, found := o.popField(field)
 	if !found {
 		return value
 	}
 	if err := json.Unmarshal(raw, &value); err != nil {
-		o.problem(field, problem)
+		o.addProblem(field, problem)
 		var zero V
 		return zero
 	}
--- a/internal/catalog/codec/part_codec.go
+++ b/internal/catalog/codec/part_codec.go
@@ -1,6 +1,6 @@
-// A part as the store keeps it. It looks like an operator's file, but it was written by an instance and
-// is named by its content, so it is read in one go and not field by field: an instance that starts
-// reads more than a hundred thousand resources before it can serve.
+// The stored form of a part. It has the format of an operator's file, but it was written by an instance
+// and is addressed by its content hash, so it is decoded in one pass and not field by field: an instance
+// that starts reads more than a hundred thousand resources before it can serve.
 
 package codec
 
@@ -42,14 +42,14 @@
 	Repeatable    []string
 }
 
-// EncodePart writes the resources of one part; equal resources in equal order give equal bytes.
+// EncodePart encodes the resources of one part. Equal resources in equal order give equal bytes.
 func EncodePart(resources []resource.Resource) (data []byte, err error) {
 	return EncodeFile(resources)
 }
 
-// DecodePart reads a part from the store. It takes each resource's version as the accepted one. A
-// field that is not known fails it: it was written by a newer program, and an instance that left it
-// out would also write the part back without it.
+// DecodePart decodes a stored part. Each resource's version is the accepted one. An unknown field is an
+// error: it was written by a newer release, and an instance that ignored it would write the part back
+// without it.
 func DecodePart(data []byte) (resources []resource.Resource, err error) {
 	defer func() { err = errors.WithMessage(err, "decode part") }()
 	var wire struct{ Resources []wirePartResource }
@@ -107,7 +107,8 @@
 	return o, err
 }
 
-// HashOf is the content name of a part: the SHA-256 of its bytes in lower-case hex.
+// HashOf returns the SHA-256 of the data in lower-case hex, which is the content address of parts and
+// heads.
 func HashOf(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
--- a/internal/catalog/codec/resource_codec.go
+++ b/internal/catalog/codec/resource_codec.go
@@ -1,6 +1,6 @@
-// Package codec maps the domain's values to JSON by hand: resources for operators and for the parts
-// kept in the store, and the head. Fields are named as in the domain, durations are texts such as
-// "540ms". The domain types know nothing of it.
+// Package codec maps the domain's values explicitly to JSON: resources for operators and for the parts
+// kept in the store, and the head. Fields are named as in the domain; durations are strings such as
+// "540ms". The domain types do not depend on this package.
 package codec
 
 import (
@@ -12,33 +12,33 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// usualWeight is the weight of a workspace that states none.
-const usualWeight = 1
+// defaultWeight is the weight of a workspace that does not state one.
+const defaultWeight = 1
 
-// DecodeResource reads one resource as an operator writes it. versionStated tells whether it said
-// which resource version it was read at. The error is configuration.Problems.
+// DecodeResource decodes one resource as an operator writes it. versionStated says whether it states the
+// resource version it was read at. The error is configuration.Problems.
 func DecodeResource(data []byte) (r resource.Resource, versionStated bool, err error) {
 	o, err := readObject(data)
 	if err != nil {
 		return nil, false, configuration.Problems{{Kind: "Resource", Problem: err.Error()}}
 	}
-	o.kind = o.text("Kind")
-	o.name = o.text("Name")
+	o.kind = o.stringField("Kind")
+	o.name = o.stringField("Name")
 	meta := resource.Meta{Name: o.name}
-	meta.Version, versionStated = o.version("ResourceVersion")
+	meta.Version, versionStated = o.versionField("ResourceVersion")
 	r = readFields(o, meta)
 	if r == nil {
-		o.problem("Kind", "no such kind")
+		o.addProblem("Kind", "no such kind")
 		return nil, false, configuration.Problems(o.problems)
 	}
-	o.finish()
+	o.reportUnknownFields()
 	if len(o.problems) > 0 {
 		return nil, false, configuration.Problems(o.problems)
 	}
 	return r, versionStated, nil
 }
 
-// readFields takes the fields of the object's kind; it gives nil for a kind that is not known.
+// readFields reads the fields of the object's kind; it returns nil for an unknown kind.
 func readFields(o *object, meta resource.Meta) resource.Resource {
 	switch resource.Kind(o.kind) {
 	case resource.KindBaseModel:
@@ -47,24 +47,24 @@
 		return readWorkspace(o, meta)
 	case resource.KindKey:
 		return resource.Key{
-			Meta: meta, Workspace: o.text("Workspace"), Hash: o.text("Hash"), Withdrawn: o.flag("Withdrawn"),
+			Meta: meta, Workspace: o.stringField("Workspace"), Hash: o.stringField("Hash"), Withdrawn: o.boolField("Withdrawn"),
 		}
 	case resource.KindAdapter:
 		return resource.Adapter{
-			Meta: meta, BaseModel: o.text("BaseModel"), Workspaces: o.texts("Workspaces"), Current: o.text("Current"),
+			Meta: meta, BaseModel: o.stringField("BaseModel"), Workspaces: o.stringsField("Workspaces"), Current: o.stringField("Current"),
 		}
 	case resource.KindAdapterVersion:
 		return readAdapterVersion(o, meta)
 	case resource.KindUpstream:
 		return resource.Upstream{
-			Meta: meta, Address: o.text("Address"), DataCentre: o.text("DataCentre"),
-			BaseModel: o.text("BaseModel"), Slots: o.whole("Slots"), Batch: o.whole("Batch"),
-			ChecksFencing: o.flag("ChecksFencing"), Leaving: o.flag("Leaving"),
+			Meta: meta, Address: o.stringField("Address"), DataCentre: o.stringField("DataCentre"),
+			BaseModel: o.stringField("BaseModel"), Slots: o.intField("Slots"), Batch: o.intField("Batch"),
+			ChecksFencing: o.boolField("ChecksFencing"), Leaving: o.boolField("Leaving"),
 		}
 	case resource.KindService:
 		return resource.Service{
-			Meta: meta, Addresses: o.texts("Addresses"), Workspaces: o.texts("Workspaces"),
-			Repeatable: o.texts("Repeatable"),
+			Meta: meta, Addresses: o.stringsField("Addresses"), Workspaces: o.stringsField("Workspaces"),
+			Repeatable: o.stringsField("Repeatable"),
 		}
 	}
 	return nil
@@ -72,23 +72,23 @@
 
 func readWorkspace(o *object, meta resource.Meta) resource.Workspace {
 	workspace := resource.Workspace{
-		Meta: meta, Rate: o.number("Rate", 0), Burst: o.number("Burst", 0), Weight: o.number("Weight", usualWeight),
+		Meta: meta, Rate: o.floatField("Rate", 0), Burst: o.floatField("Burst", 0), Weight: o.floatField("Weight", defaultWeight),
 	}
-	o.object("Objectives", func(o *object) {
+	o.objectField("Objectives", func(o *object) {
 		workspace.Objectives = resource.Objectives{
-			Answered:         o.number("Answered", 0),
-			FirstToken:       o.number("FirstToken", 0),
-			FirstTokenWithin: o.duration("FirstTokenWithin"),
-			Admitted:         o.number("Admitted", 0),
+			Answered:         o.floatField("Answered", 0),
+			FirstToken:       o.floatField("FirstToken", 0),
+			FirstTokenWithin: o.durationField("FirstTokenWithin"),
+			Admitted:         o.floatField("Admitted", 0),
 		}
 	})
 	return workspace
 }
 
-// readAdapterVersion fills in the name, which follows from the adapter and the version.
+// readAdapterVersion fills in a missing name from the adapter and the version.
 func readAdapterVersion(o *object, meta resource.Meta) resource.AdapterVersion {
 	version := resource.AdapterVersion{
-		Meta: meta, Adapter: o.text("Adapter"), Version: o.text("Version"), Source: o.text("Source"),
+		Meta: meta, Adapter: o.stringField("Adapter"), Version: o.stringField("Version"), Source: o.stringField("Source"),
 	}
 	if version.Meta.Name == "" {
 		version.Meta.Name = configuration.VersionName(version.Adapter, version.Version)
@@ -99,8 +99,9 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// The resource version stands as ResourceVersion, because an adapter version has a Version of its own.
-// The wire forms, in the order in which the fields are written. Their names are the domain's.
+// The wire forms, with fields in the order in which they are written. Their names are the domain's,
+// except that the resource version is ResourceVersion, because an adapter version has a Version of its
+// own.
 type (
 	wireMeta struct {
 		Kind            string
@@ -156,7 +157,7 @@
 	}
 )
 
-// EncodeResource writes a resource with its resource version, as operators and the parts have it.
+// EncodeResource encodes a resource with its resource version, for operators and for parts.
 func EncodeResource(r resource.Resource) (data []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "encode "+r.ID().String()) }()
 	return json.Marshal(wireOf(r))
