--- a/internal/catalog/configuration/apply.go
+++ b/internal/catalog/configuration/apply.go
@@ -1,5 +1,5 @@
-// How a change is accepted: the operations go into a draft, every rule is looked at, and only a draft
-// without a problem becomes the next configuration.
+// Validation of changes. The operations are applied to a draft, every rule is checked, and only a draft
+// without problems becomes the next configuration.
 
 package configuration
 
@@ -11,16 +11,16 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// Apply gives the configuration after the change, as of the given revision, which is also the
-// resource version of whatever it changed; a resource declared again as it is keeps its version. It
-// fails with Problems if anything is invalid and with Conflicts if it is valid but made on old
-// resource versions; nothing is changed then.
+// Apply returns the configuration after the change, as of the given revision, which also becomes the
+// resource version of whatever the change modified. A resource that is declared again unchanged keeps its
+// version. Apply fails with Problems if anything is invalid and with Conflicts if the change is valid but
+// made on old resource versions; in both cases nothing is changed.
 func (c Configuration) Apply(change Change, revision int64) (next Configuration, err error) {
-	d := newBuilder(c)
+	b := newBuilder(c)
 	var problems Problems
 	var conflicts Conflicts
 	seen := map[resource.ID]bool{}
-	var taken Change // the operations that are made on current versions
+	var accepted Change // the operations made on current versions
 	for _, operation := range change {
 		id := operation.target()
 		if seen[id] {
@@ -29,35 +29,35 @@
 		}
 		seen[id] = true
 		current, found := c.Resource(id)
-		if conflict, bad := versionConflict(operation, current, found); bad {
+		if conflict, isConflict := versionConflict(operation, current, found); isConflict {
 			conflicts = append(conflicts, conflict)
 			continue
 		}
-		taken = append(taken, operation)
+		accepted = append(accepted, operation)
 		switch operation := operation.(type) {
 		case Declare:
 			invalid := fieldProblems(operation.Resource)
 			invalid = append(invalid, transitionProblems(current, operation.Resource)...)
 			problems = append(problems, invalid...)
-			d.declare(operation.Resource, revision)
+			b.declare(operation.Resource, revision)
 		case Remove:
-			d.remove(id)
+			b.remove(id)
 		}
 	}
-	problems = append(problems, d.referenceProblems(taken)...)
-	problems = append(problems, d.uniquenessProblems()...)
+	problems = append(problems, b.referenceProblems(accepted)...)
+	problems = append(problems, b.uniquenessProblems()...)
 	if len(problems) > 0 {
 		return c, append(problems, conflicts...)
 	}
 	if len(conflicts) > 0 {
 		return c, conflicts
 	}
-	return d.finish(revision), nil
+	return b.finish(revision), nil
 }
 
-// versionConflict compares the version that the operator read with the current one. Two operators who
-// read the same version and both write would otherwise lose the first one's change silently.
-func versionConflict(operation Operation, current resource.Resource, found bool) (conflict Problem, bad bool) {
+// versionConflict compares the version that the operator read with the current one. Otherwise, if two
+// operators read the same version and both wrote, the first one's change would be lost silently.
+func versionConflict(operation Operation, current resource.Resource, found bool) (conflict Problem, isConflict bool) {
 	var actual int64
 	if found {
 		actual = current.ResourceVersion()
@@ -74,15 +74,15 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// builder is a configuration being made from an older one.
+// builder builds a configuration from an older one.
 type builder struct {
 	base      Configuration
 	resources draft[resource.Resource]
 	keyNames  draft[string]
 	referrers draft[int]
-	// listed says that an upstream or a service changed, so that their lists are made anew.
-	listed bool
-	// duplicateHashes are the keys whose hash another key had when they were declared.
+	// listsChanged says that an upstream or a service changed, so that their lists must be rebuilt.
+	listsChanged bool
+	// duplicateHashes are the keys whose hash another key already had when they were declared.
 	duplicateHashes []resource.ID
 }
 
@@ -95,21 +95,21 @@
 	}
 }
 
-// declare puts the resource in with the new version, unless it is there already as it is.
+// declare adds the resource with the new version, unless an identical one is already declared.
 func (b *builder) declare(r resource.Resource, version int64) {
 	current, found := b.resources.table.get(r.ID().String())
-	if found && same(current, r) {
+	if found && equalIgnoringVersion(current, r) {
 		return
 	}
 	b.put(resource.WithVersion(r, version))
 }
 
-// put puts the resource in as it is, its version included.
+// put adds or replaces the resource, keeping its version.
 func (b *builder) put(r resource.Resource) {
 	b.remove(r.ID())
 	b.resources.set(r.ID().String(), r)
 	for _, reference := range referencesOf(r) {
-		b.count(reference.to, 1)
+		b.addReferrers(reference.to, 1)
 	}
 	b.index(r)
 }
@@ -117,14 +117,14 @@
 func (b *builder) index(r resource.Resource) {
 	switch r := r.(type) {
 	case resource.Key:
-		other, taken := b.keyNames.table.get(r.Hash)
-		if taken && other != r.Meta.Name {
+		other, found := b.keyNames.table.get(r.Hash)
+		if found && other != r.Meta.Name {
 			b.duplicateHashes = append(b.duplicateHashes, r.ID())
 			return
 		}
 		b.keyNames.set(r.Hash, r.Meta.Name)
 	case resource.Upstream, resource.Service:
-		b.listed = true
+		b.listsChanged = true
 	case resource.BaseModel, resource.Workspace, resource.Adapter, resource.AdapterVersion:
 	}
 }
@@ -136,7 +136,7 @@
 	}
 	b.resources.remove(id.String())
 	for _, reference := range referencesOf(old) {
-		b.count(reference.to, -1)
+		b.addReferrers(reference.to, -1)
 	}
 	switch old := old.(type) {
 	case resource.Key:
@@ -144,12 +144,12 @@
 			b.keyNames.remove(old.Hash)
 		}
 	case resource.Upstream, resource.Service:
-		b.listed = true
+		b.listsChanged = true
 	case resource.BaseModel, resource.Workspace, resource.Adapter, resource.AdapterVersion:
 	}
 }
 
-func (b *builder) count(id resource.ID, by int) {
+func (b *builder) addReferrers(id resource.ID, by int) {
 	referrers, _ := b.referrers.table.get(id.String())
 	referrers += by
 	if referrers == 0 {
@@ -168,16 +168,16 @@
 		upstreams: b.base.upstreams,
 		services:  b.base.services,
 	}
-	if b.listed {
-		next.upstreams = listed[resource.Upstream](next)
-		next.services = listed[resource.Service](next)
+	if b.listsChanged {
+		next.upstreams = listByName[resource.Upstream](next)
+		next.services = listByName[resource.Service](next)
 	}
 	return next
 }
 
-// listed collects the resources of one type by name. It looks through everything, which at 100,000
-// resources is a few milliseconds and happens only when an upstream or a service changes.
-func listed[R resource.Resource](c Configuration) []R {
+// listByName returns the resources of one type sorted by name. It scans every resource, which at 100,000
+// resources takes a few milliseconds and is only done when an upstream or a service changes.
+func listByName[R resource.Resource](c Configuration) []R {
 	var found []R
 	for i := range head.PartCount {
 		for _, r := range c.resources.entries(i) {
@@ -190,8 +190,8 @@
 	return found
 }
 
-// same tells whether two resources of one ID are equal but for their versions.
-func same(a, b resource.Resource) bool {
+// equalIgnoringVersion reports whether two resources with the same ID are equal apart from their versions.
+func equalIgnoringVersion(a, b resource.Resource) bool {
 	b = resource.WithVersion(b, a.ResourceVersion())
 	switch a := a.(type) {
 	case resource.Adapter:
--- a/internal/catalog/configuration/change.go
+++ b/internal/catalog/configuration/change.go
@@ -1,5 +1,6 @@
-// What an operator asks for, and how it is refused. A change goes from the operators' codec into
-// Configuration.Apply; the errors here go back to the operator with kind, name and field.
+// Changes that operators request, and the errors with which they are refused. A change is decoded by the
+// codec package and passed to Configuration.Apply; the errors are returned to the operator with kind,
+// name and field.
 
 package configuration
 
@@ -10,31 +11,31 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// Expected resource versions that are not versions.
+// Values of Expected that are not resource versions.
 const (
-	// AnyVersion: the operation is taken against whatever is current.
+	// AnyVersion skips the version check: the operation applies to the current version, whatever it is.
 	AnyVersion int64 = -1
-	// MustBeNew: the resource must not exist yet.
+	// MustBeNew requires that the resource does not exist yet.
 	MustBeNew int64 = 0
 )
 
 // Change is a list of operations that are accepted together or not at all.
 type Change []Operation
 
-// Operation is one step of a change. It is sealed: Declare and Remove are the only ones.
+// Operation is one step of a change. The interface is sealed: Declare and Remove are the only operations.
 type Operation interface {
 	target() resource.ID
 	expected() int64
 }
 
-// Declare adds the resource or puts it in the place of the one with its ID. Expected is the resource
-// version it was read at, or AnyVersion, or MustBeNew. The version inside Resource is not looked at.
+// Declare adds the resource or replaces the one with its ID. Expected is the resource version it was read
+// at, or AnyVersion, or MustBeNew. The version inside Resource is ignored.
 type Declare struct {
 	Resource resource.Resource
 	Expected int64
 }
 
-// Remove takes the resource out. Expected is as in Declare, without MustBeNew.
+// Remove removes the resource. Expected is as in Declare, without MustBeNew.
 type Remove struct {
 	ID       resource.ID
 	Expected int64
@@ -47,8 +48,8 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Problem is one thing that is wrong with a change. Field is empty when the resource as a whole is
-// meant. Kind and Name may be empty or malformed, since they come from the operator.
+// Problem is one thing that is wrong with a change. Field is empty when the problem is with the resource
+// as a whole. Kind and Name may be empty or malformed, since they come from the operator.
 type Problem struct {
 	Kind    string
 	Name    string
@@ -56,12 +57,12 @@
 	Problem string
 }
 
-// ProblemOf makes a problem of a resource that can be identified.
+// ProblemOf returns a problem with the resource of the given ID.
 func ProblemOf(id resource.ID, field, problem string) Problem {
 	return Problem{Kind: string(id.Kind), Name: id.Name, Field: field, Problem: problem}
 }
 
-// String gives one line such as "Key/night Workspace: no such workspace".
+// String returns one line such as "Key/night Workspace: no such workspace".
 func (p Problem) String() string {
 	place := p.Kind + "/" + p.Name
 	if p.Field != "" {
@@ -70,24 +71,25 @@
 	return place + ": " + p.Problem
 }
 
-// Problems is the error of a change that is invalid: all that is wrong with it, conflicts included.
+// Problems is the error of an invalid change. It lists everything that is wrong with it, conflicts
+// included.
 type Problems []Problem
 
-// Error gives every problem, separated by semicolons.
+// Error returns every problem, separated by semicolons.
 func (p Problems) Error() string {
-	return "configuration: invalid change: " + joined(p)
+	return "configuration: invalid change: " + joinProblems(p)
 }
 
-// Conflicts is the error of a valid change that was made on old resource versions. Nothing was
-// changed; the operator reads again and decides anew.
+// Conflicts is the error of a valid change that was made on old resource versions. Nothing was changed;
+// the operator has to read the current versions and decide again.
 type Conflicts []Problem
 
-// Error gives every conflict, separated by semicolons.
+// Error returns every conflict, separated by semicolons.
 func (c Conflicts) Error() string {
-	return "configuration: conflict: " + joined(c)
+	return "configuration: conflict: " + joinProblems(c)
 }
 
-func joined(problems []Problem) string {
+func joinProblems(problems []Problem) string {
 	lines := make([]string, len(problems))
 	for i, p := range problems {
 		lines[i] = p.String()
--- a/internal/catalog/configuration/configuration.go
+++ b/internal/catalog/configuration/configuration.go
@@ -1,7 +1,7 @@
-// Package configuration holds the aggregate of all declared resources and the rules by which a change
-// of them is accepted. A Configuration is immutable: Apply gives the next one or says everything that
-// is wrong. The request path looks keys, workspaces, adapters and upstreams up in it; the repository
-// keeps it in the store, part by part.
+// Package configuration holds the aggregate of all declared resources and the rules by which changes to
+// them are accepted. A Configuration is immutable: Apply returns the next one or reports everything that
+// is wrong. The request path looks up keys, workspaces, adapters and upstreams in it; the repository
+// package stores it part by part.
 package configuration
 
 import (
@@ -15,19 +15,19 @@
 // Configuration is every declared resource as of one revision. The zero value is empty.
 type Configuration struct {
 	revision int64
-	// resources by "Kind/Name"; its buckets are the parts kept in the store.
+	// resources by "Kind/Name". Its buckets correspond to the parts in the store.
 	resources table[resource.Resource]
-	// keyNames gives a key's name by the hash of its secret.
+	// keyNames maps the hash of a key's secret to the key's name.
 	keyNames table[string]
-	// referrers counts, by "Kind/Name", how many resources name this one, so that a removal needs no
-	// search through all adapters.
+	// referrers counts, by "Kind/Name", how many resources refer to this one, so that a removal does not
+	// have to search all adapters.
 	referrers table[int]
-	// upstreams and services stand here by name as well: there are few, and requests list them.
+	// upstreams and services are also listed by name: there are few, and requests iterate over them.
 	upstreams []resource.Upstream
 	services  []resource.Service
 }
 
-// Revision is the head revision that this configuration belongs to.
+// Revision returns the head revision that this configuration belongs to.
 func (c Configuration) Revision() int64 { return c.revision }
 
 // WithRevision returns the configuration as of a later head that changed no resource.
@@ -36,12 +36,12 @@
 	return c
 }
 
-// Resource finds a resource by its ID.
+// Resource returns a resource by its ID.
 func (c Configuration) Resource(id resource.ID) (r resource.Resource, found bool) {
 	return c.resources.get(id.String())
 }
 
-// KeyByHash finds a key by the SHA-256 of its secret in lower-case hex. Withdrawn keys are found too.
+// KeyByHash returns a key by the SHA-256 of its secret in lower-case hex, withdrawn keys included.
 func (c Configuration) KeyByHash(hash string) (key resource.Key, found bool) {
 	name, found := c.keyNames.get(hash)
 	if !found {
@@ -49,49 +49,50 @@
 	}
 	key, found = lookUp[resource.Key](c, resource.KindKey, name)
 	if !found || key.Hash != hash {
-		// Only a fault of the index leads here. Without the comparison it would let a secret be used
-		// as another key.
+		// Only a bug in the index leads here. Without the comparison such a bug would let one key's
+		// secret be used as another key.
 		return resource.Key{}, false
 	}
 	return key, true
 }
 
-// Key finds a key by its name.
+// Key returns a key by its name.
 func (c Configuration) Key(name string) (key resource.Key, found bool) {
 	return lookUp[resource.Key](c, resource.KindKey, name)
 }
 
-// Workspace finds a workspace.
+// Workspace returns a workspace by its name.
 func (c Configuration) Workspace(name string) (workspace resource.Workspace, found bool) {
 	return lookUp[resource.Workspace](c, resource.KindWorkspace, name)
 }
 
-// Adapter finds an adapter.
+// Adapter returns an adapter by its name.
 func (c Configuration) Adapter(name string) (adapter resource.Adapter, found bool) {
 	return lookUp[resource.Adapter](c, resource.KindAdapter, name)
 }
 
-// AdapterVersion finds one version of an adapter.
+// AdapterVersion returns one version of an adapter.
 func (c Configuration) AdapterVersion(adapter, version string) (av resource.AdapterVersion, found bool) {
 	return lookUp[resource.AdapterVersion](c, resource.KindAdapterVersion, VersionName(adapter, version))
 }
 
-// Upstream finds an upstream.
+// Upstream returns an upstream by its name.
 func (c Configuration) Upstream(name string) (upstream resource.Upstream, found bool) {
 	return lookUp[resource.Upstream](c, resource.KindUpstream, name)
 }
 
-// Service finds a plain service.
+// Service returns a plain service by its name.
 func (c Configuration) Service(name string) (service resource.Service, found bool) {
 	return lookUp[resource.Service](c, resource.KindService, name)
 }
 
-// VersionName is the name of an adapter version: "adapter@version".
+// VersionName returns the name of an adapter version: "adapter@version".
 func VersionName(adapter, version string) string {
 	return adapter + "@" + version
 }
 
-// UpstreamsOf lists the upstreams that run a base model, by name, leaving ones included.
+// UpstreamsOf returns the upstreams that run a base model, sorted by name, including those that are
+// leaving.
 func (c Configuration) UpstreamsOf(baseModel string) []resource.Upstream {
 	var matching []resource.Upstream
 	for _, u := range c.upstreams {
@@ -102,14 +103,14 @@
 	return matching
 }
 
-// Upstreams lists all upstreams by name. The slice is shared: it is not to be written to.
+// Upstreams returns all upstreams sorted by name. The slice is shared and must not be modified.
 func (c Configuration) Upstreams() []resource.Upstream { return c.upstreams }
 
-// Services lists all plain services by name. The slice is shared: it is not to be written to.
+// Services returns all plain services sorted by name. The slice is shared and must not be modified.
 func (c Configuration) Services() []resource.Service { return c.services }
 
-// Resources lists the resources of a kind by name. It looks through everything: it is for operators,
-// not for the path of a request.
+// Resources returns the resources of a kind sorted by name. It scans every resource, so it is for
+// operators and not for the request path.
 func (c Configuration) Resources(kind resource.Kind) []resource.Resource {
 	var matching []resource.Resource
 	for i := range head.PartCount {
@@ -123,7 +124,7 @@
 	return matching
 }
 
-// Count is the number of all resources.
+// Count returns the number of all resources.
 func (c Configuration) Count() int {
 	count := 0
 	for i := range head.PartCount {
--- a/internal/catalog/configuration/configuration_oracle_test.go
+++ b/internal/catalog/configuration/configuration_oracle_test.go
@@ -12,12 +12,13 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// The configuration keeps indexes beside its resources: who names whom, keys by hash, upstreams. If one
-// were wrong, a key could run for no workspace or for one that is gone. Random changes are made on a
-// few names, and after each the indexes are held against a look at every resource.
+// Guards the configuration's indexes (reference counts, keys by hash, lists of upstreams) against
+// diverging from the resources. A wrong index could run a key for no workspace or for a removed one.
+// Random changes are made on a few names, and after each the indexes are compared with a scan of every
+// resource.
 func TestIndexesAgreeWithTheResources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// What the others name is there at first, so that most changes are accepted.
+		// Resources that others refer to are declared first, so that most changes are accepted.
 		c, err := configuration.Configuration{}.Apply(declared(
 			resource.BaseModel{Meta: named("a")}, resource.BaseModel{Meta: named("b")},
 			workspace("a", 1), workspace("b", 1),
@@ -72,7 +73,7 @@
 	})
 }
 
-// checkIndexes finds out by looking at everything what the indexes say at once.
+// checkIndexes compares the indexes with a scan of every resource.
 func checkIndexes(t *rapid.T, c configuration.Configuration) {
 	var keys, upstreams int
 	addresses := map[string]bool{}
@@ -85,7 +86,7 @@
 				t.Fatalf("key %s is not found by its hash", r.Meta.Name)
 			}
 			if _, ok := c.Workspace(r.Workspace); !ok {
-				t.Fatalf("key %s is of no workspace", r.Meta.Name)
+				t.Fatalf("key %s has no workspace", r.Meta.Name)
 			}
 		case resource.Upstream:
 			upstreams++
@@ -106,11 +107,12 @@
 		}
 	}
 	if keys != 0 {
-		t.Fatal("there are hashes of keys that are gone")
+		t.Fatal("the index contains hashes of removed keys")
 	}
 }
 
-// checkRemoval: a resource can be removed if and only if all is whole without it.
+// checkRemoval checks that a resource can be removed if and only if the remaining resources are valid
+// without it.
 func checkRemoval(t *rapid.T, c configuration.Configuration, r resource.Resource) {
 	_, err := c.Apply(configuration.Change{
 		configuration.Remove{ID: r.ID(), Expected: r.ResourceVersion()},
@@ -124,11 +126,12 @@
 	_, wanted := configuration.Configuration{}.Apply(rest, 1)
 	var problems configuration.Problems
 	if errors.As(err, &problems) != errors.As(wanted, &problems) {
-		t.Fatalf("removal of %s: %v, but without it: %v", r.ID(), err, wanted)
+		t.Fatalf("removal of %s gives %v, but the configuration without it gives %v", r.ID(), err, wanted)
 	}
 }
 
-// checkParts: replacing the changed parts, as a reader of the store does, gives the same configuration.
+// checkParts checks that replacing the changed parts, as a reader of the store does, gives the same
+// configuration.
 func checkParts(t *rapid.T, before, after configuration.Configuration) {
 	parts := map[int][]resource.Resource{}
 	for _, index := range after.ChangedParts(before) {
@@ -139,7 +142,7 @@
 	}
 	read := before.WithParts(parts, after.Revision())
 	if differences := read.DifferencesFrom(after); len(differences) > 0 {
-		t.Fatalf("read from the store, %v differ", differences)
+		t.Fatalf("resources differ after being read from the store: %v", differences)
 	}
 	checkIndexes(t, read)
 }
--- a/internal/catalog/configuration/configuration_test.go
+++ b/internal/catalog/configuration/configuration_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// declared makes a change of resources declared against whatever is current.
+// declared returns a change that declares the resources without a version check.
 func declared(resources ...resource.Resource) (change configuration.Change) {
 	for _, r := range resources {
 		change = append(change, configuration.Declare{Resource: r, Expected: configuration.AnyVersion})
@@ -39,7 +39,7 @@
 	return change
 }
 
-// example is a small configuration as of revision 1 in which every kind stands.
+// example is a small configuration as of revision 1 that contains every kind.
 func example(t *testing.T) configuration.Configuration {
 	t.Helper()
 	c, err := configuration.Configuration{}.Apply(declared(
@@ -67,7 +67,7 @@
 	is.True(!found)
 	_, found = c.AdapterVersion("bids", "1")
 	is.True(found)
-	_, found = c.Adapter("lines") // a workspace of that name is no adapter
+	_, found = c.Adapter("lines") // a workspace of that name is not an adapter
 	is.True(!found)
 	is.Equal(len(c.UpstreamsOf("base")), 1)
 	is.Equal(len(c.UpstreamsOf("other")), 0)
@@ -76,7 +76,7 @@
 	is.Equal(c.Count(), 7)
 }
 
-func TestTheSameFileAgainChangesNothing(t *testing.T) {
+func TestReapplyingAFileChangesNothing(t *testing.T) {
 	is := is.New(t)
 	c := example(t)
 	again, err := c.Apply(declared(workspace("lines", 10), adapterVersion("bids", "1")), 2)
@@ -95,20 +95,20 @@
 		change configuration.Change
 		fields []string
 	}{
-		{"two bad resources are both told", declared(workspace("a b", 1), workspace("ok", -1)), []string{"Name", "Rate"}},
-		{"rate that is no number", declared(nan), []string{"Rate"}},
-		{"key of no workspace", declared(resource.Key{Meta: named("k"), Workspace: "x", Hash: hashOf("c")}), []string{"Workspace"}},
-		{"secret in place of a hash", declared(resource.Key{Meta: named("k"), Workspace: "lines", Hash: "s"}), []string{"Hash"}},
-		{"two keys of one secret", declared(resource.Key{Meta: named("k"), Workspace: "lines", Hash: hashOf("a")}), []string{"Hash"}},
-		{"key moved", declared(workspace("w", 1), resource.Key{Meta: named("night"), Workspace: "w", Hash: hashOf("a")}), []string{"Workspace"}},
-		{"version that is not there", declared(resource.Adapter{Meta: named("bids"), BaseModel: "base", Current: "2"}), []string{"Current"}},
+		{"two invalid resources are both reported", declared(workspace("a b", 1), workspace("ok", -1)), []string{"Name", "Rate"}},
+		{"rate is NaN", declared(nan), []string{"Rate"}},
+		{"key of an unknown workspace", declared(resource.Key{Meta: named("k"), Workspace: "x", Hash: hashOf("c")}), []string{"Workspace"}},
+		{"secret instead of a hash", declared(resource.Key{Meta: named("k"), Workspace: "lines", Hash: "s"}), []string{"Hash"}},
+		{"two keys with the same secret", declared(resource.Key{Meta: named("k"), Workspace: "lines", Hash: hashOf("a")}), []string{"Hash"}},
+		{"key moved to another workspace", declared(workspace("w", 1), resource.Key{Meta: named("night"), Workspace: "w", Hash: hashOf("a")}), []string{"Workspace"}},
+		{"unknown current version", declared(resource.Adapter{Meta: named("bids"), BaseModel: "base", Current: "2"}), []string{"Current"}},
 		{"adapter version changed", declared(resource.AdapterVersion{Meta: named("bids@1"), Adapter: "bids", Version: "1", Source: "x"}), []string{""}},
 		{"adapter version misnamed", declared(resource.AdapterVersion{Meta: named("bids-2"), Adapter: "bids", Version: "2", Source: "x"}), []string{"Name"}},
 		{"engine declared twice", declared(upstream("engine-2", "10.0.0.1:80")), []string{"Address"}},
-		{"address by name", declared(upstream("engine-2", "engine:80")), []string{"Address"}},
-		{"method that is none", declared(resource.Service{Meta: named("s"), Addresses: []string{"10.0.0.3:1"}, Repeatable: []string{"get"}}), []string{"Repeatable"}},
+		{"address with a host name", declared(upstream("engine-2", "engine:80")), []string{"Address"}},
+		{"unknown method", declared(resource.Service{Meta: named("s"), Addresses: []string{"10.0.0.3:1"}, Repeatable: []string{"get"}}), []string{"Repeatable"}},
 		{"one resource twice", declared(workspace("w", 1), workspace("w", 2)), []string{"Name"}},
-		{"removal of what is named", configuration.Change{configuration.Remove{
+		{"removal of a referenced resource", configuration.Change{configuration.Remove{
 			ID: resource.ID{Kind: resource.KindWorkspace, Name: "lines"}, Expected: 1,
 		}}, []string{""}},
 		{"removal of the current version", configuration.Change{configuration.Remove{
@@ -127,15 +127,15 @@
 				fields = append(fields, p.Field)
 			}
 			is.Equal(fields, c.fields)
-			_, found := after.Workspace("good") // the good resource beside the bad one is not taken either
+			_, found := after.Workspace("good") // the valid resource in the same change is not accepted either
 			is.True(!found)
 		})
 	}
 }
 
-// Two operators read the same workspace; the first raises its rate, and then the second, who has not
-// seen that, sends a change of her own. Were it taken, the first one's rate would be lost and neither
-// would be told.
+// Guards against lost updates. Two operators read the same workspace; the first raises its rate, then the
+// second sends a change based on the old version. If it were accepted, the first one's rate would be lost
+// and neither operator would be notified.
 func TestChangeOnAnOldVersionIsAConflict(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestRemovalOfAWholeFamilyAtOnce(t *testing.T) {
+func TestRemoveResourcesThatReferToEachOther(t *testing.T) {
 	is := is.New(t)
 	c := example(t)
 	next, err := c.Apply(configuration.Change{
@@ -179,9 +179,9 @@
 	is.Equal(c.Count(), 7)
 }
 
-// A key is removed and one of the same name is granted to another workspace. Were the old secret still
-// found under the name, its holder would run requests for a workspace that is not hers.
-func TestOldSecretOfANameUsedAgain(t *testing.T) {
+// A key is removed and a key of the same name is granted to another workspace. If the name still matched
+// the old secret, its owner would run requests for a workspace that is not theirs.
+func TestOldSecretOfAReusedKeyName(t *testing.T) {
 	is := is.New(t)
 	night := resource.Key{Meta: named("night"), Workspace: "lines", Hash: hashOf("a")}
 	removed, err := example(t).Apply(configuration.Change{configuration.Remove{ID: night.ID(), Expected: 1}}, 2)
@@ -197,7 +197,7 @@
 	is.Equal(key.Workspace, "feed")
 }
 
-// BenchmarkApplyOne measures one adapter version added to 45,000 adapters.
+// BenchmarkApplyOne measures the addition of one adapter version to 45,000 adapters.
 func BenchmarkApplyOne(b *testing.B) {
 	c := large(b)
 	b.ReportAllocs()
--- a/internal/catalog/configuration/fields.go
+++ b/internal/catalog/configuration/fields.go
@@ -1,4 +1,4 @@
-// The rules for one resource by itself, and for what may become of it once declared.
+// Rules for a single resource, and for how a declared resource may change.
 
 package configuration
 
@@ -13,21 +13,24 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// namePattern: names stand in URLs, in store keys and, for adapters, before the @ of a model name.
+// namePattern restricts names because they appear in URLs, in store keys and, for adapters, before the @
+// of a model name.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
 
-// hashPattern is a SHA-256 in lower-case hex.
+// hashPattern matches a SHA-256 in lower-case hex.
 var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// methods that a service may name as repeatable.
-var methods = []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"}
+// httpMethods are the HTTP methods that a service may list as repeatable.
+var httpMethods = []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"}
 
 const (
 	nameProblem    = "must be 1 to 100 letters, digits, dots, dashes or underscores, a letter or digit first"
 	addressProblem = "must be an IP address and a port"
-	// maxRate bounds rates and bursts, in tokens: beyond it sums of shares lose whole tokens in a float64.
+	// maxRate bounds rates and bursts, in tokens. Above it, sums of shares lose whole tokens in a
+	// float64.
 	maxRate = 1e12
-	// maxSource bounds the text of a source: it is sent with each order to load.
+	// maxSource bounds the length of a source in bytes, because the source is sent with each order to
+	// load.
 	maxSource = 1000
 )
 
@@ -37,13 +40,13 @@
 	problems []Problem
 }
 
-func (c *checker) require(good bool, field, problem string) {
-	if !good {
+func (c *checker) require(ok bool, field, problem string) {
+	if !ok {
 		c.problems = append(c.problems, ProblemOf(c.id, field, problem))
 	}
 }
 
-// fieldProblems looks at one resource by itself.
+// fieldProblems checks the fields of one resource.
 func fieldProblems(r resource.Resource) []Problem {
 	c := &checker{id: r.ID()}
 	switch r := r.(type) {
@@ -94,10 +97,11 @@
 	c.require(r.Objectives.FirstTokenWithin >= 0, "Objectives.FirstTokenWithin", "must not be negative")
 }
 
-// amount: a NaN would compare false with everything and let any request through.
+// amount rejects NaN explicitly: every comparison with NaN is false, so such a rate would admit any
+// request.
 func (c *checker) amount(field string, value float64) {
-	good := !math.IsNaN(value) && value >= 0 && value <= maxRate
-	c.require(good, field, fmt.Sprintf("must be between 0 and %g", float64(maxRate)))
+	valid := !math.IsNaN(value) && value >= 0 && value <= maxRate
+	c.require(valid, field, fmt.Sprintf("must be between 0 and %g", float64(maxRate)))
 }
 
 func (c *checker) share(field string, value float64) {
@@ -107,8 +111,8 @@
 func (c *checker) adapterVersion(r resource.AdapterVersion) {
 	c.name("Adapter", r.Adapter)
 	c.name("Version", r.Version)
-	wanted := VersionName(r.Adapter, r.Version)
-	c.require(r.Meta.Name == wanted, "Name", fmt.Sprintf("must be %q, from Adapter and Version", wanted))
+	expected := VersionName(r.Adapter, r.Version)
+	c.require(r.Meta.Name == expected, "Name", fmt.Sprintf("must be %q, from Adapter and Version", expected))
 	c.require(r.Source != "" && len(r.Source) <= maxSource, "Source", "must be 1 to 1000 bytes")
 }
 
@@ -128,7 +132,7 @@
 	c.require(len(unique(r.Addresses)) == len(r.Addresses), "Addresses", "names one twice")
 	c.names("Workspaces", r.Workspaces)
 	for _, method := range r.Repeatable {
-		c.require(slices.Contains(methods, method), "Repeatable", "must be of "+strings.Join(methods, ", "))
+		c.require(slices.Contains(httpMethods, method), "Repeatable", "must be of "+strings.Join(httpMethods, ", "))
 	}
 }
 
@@ -139,7 +143,8 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// transitionProblems looks at what a declared resource may become. current is nil for a new one.
+// transitionProblems checks whether a declared resource may change from current to next. current is nil
+// for a new resource.
 func transitionProblems(current, next resource.Resource) []Problem {
 	if current == nil {
 		return nil
@@ -147,16 +152,16 @@
 	c := &checker{id: next.ID()}
 	switch next := next.(type) {
 	case resource.AdapterVersion:
-		// A version that could change would run other weights than were asked for, on the engines
-		// that had loaded it before.
-		c.require(same(current, next), "", "an adapter version cannot be changed; declare another version")
+		// If a version could change, engines that had loaded it before would run other weights than the
+		// caller requested.
+		c.require(equalIgnoringVersion(current, next), "", "an adapter version cannot be changed; declare another version")
 	case resource.Key:
-		// A key that moved would for a few seconds still be run for its old workspace.
+		// Requests with a key that moved would still run for its old workspace for a few seconds.
 		old, _ := current.(resource.Key)
 		c.require(old.Workspace == next.Workspace, "Workspace", "cannot be changed; grant another key")
 		c.require(old.Hash == next.Hash, "Hash", "cannot be changed; grant another key")
 	case resource.Adapter:
-		// The versions were made for one base model and cannot run on another.
+		// The adapter's versions were made for one base model and cannot run on another.
 		old, _ := current.(resource.Adapter)
 		c.require(old.BaseModel == next.BaseModel, "BaseModel", "cannot be changed; declare another adapter")
 	case resource.BaseModel, resource.Workspace, resource.Upstream, resource.Service:
--- a/internal/catalog/configuration/parts.go
+++ b/internal/catalog/configuration/parts.go
@@ -1,4 +1,5 @@
-// The configuration as the parts that the store keeps, and what differs between two configurations.
+// Conversion between a configuration and its stored parts, and the differences between two
+// configurations.
 
 package configuration
 
@@ -9,7 +10,7 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// Part lists the resources of one part in the order of their IDs.
+// Part returns the resources of one part, sorted by ID.
 func (c Configuration) Part(index int) []resource.Resource {
 	resources := make([]resource.Resource, 0, len(c.resources.entries(index)))
 	for _, r := range c.resources.entries(index) {
@@ -19,13 +20,13 @@
 	return resources
 }
 
-// PartOf tells which part a resource is kept in.
+// PartOf returns the index of the part that a resource is stored in.
 func PartOf(id resource.ID) int {
 	return bucketOf(id.String())
 }
 
-// ChangedParts lists the parts that may differ from those of the configuration this one was made from.
-// A part that a change left alone is never among them.
+// ChangedParts returns the parts that may differ from those of previous, the configuration that this one
+// was made from. A part that the change did not write to is never among them.
 func (c Configuration) ChangedParts(previous Configuration) []int {
 	var changed []int
 	for i := range head.PartCount {
@@ -36,8 +37,8 @@
 	return changed
 }
 
-// WithParts gives the configuration with whole parts replaced by what the store has for them, as of a
-// revision. The rules are not looked at again: what is in the store was accepted there.
+// WithParts returns the configuration, as of a revision, with whole parts replaced by those read from the
+// store. The rules are not checked again, because stored resources have already been accepted.
 func (c Configuration) WithParts(parts map[int][]resource.Resource, revision int64) Configuration {
 	b := newBuilder(c)
 	for index := range parts {
@@ -53,16 +54,16 @@
 	return b.finish(revision)
 }
 
-// Difference is one resource that differs between two configurations: Before is nil for a new one and
-// After for one that was removed.
+// Difference is one resource that differs between two configurations. Before is nil for a new resource
+// and After for a removed one.
 type Difference struct {
 	ID     resource.ID
 	Before resource.Resource
 	After  resource.Resource
 }
 
-// DifferencesFrom lists what differs from a previous configuration, by ID. Only changed parts are
-// looked at, so that after a small change it is cheap.
+// DifferencesFrom returns the differences from a previous configuration, sorted by ID. It compares only
+// changed parts, so it is cheap after a small change.
 func (c Configuration) DifferencesFrom(previous Configuration) []Difference {
 	var differences []Difference
 	for _, index := range c.ChangedParts(previous) {
@@ -86,5 +87,5 @@
 }
 
 func unchanged(a, b resource.Resource) bool {
-	return a.ResourceVersion() == b.ResourceVersion() && same(a, b)
+	return a.ResourceVersion() == b.ResourceVersion() && equalIgnoringVersion(a, b)
 }
--- a/internal/catalog/configuration/references.go
+++ b/internal/catalog/configuration/references.go
@@ -1,4 +1,4 @@
-// Which resources name which others, and the rules that look at more than one resource.
+// References between resources, and the rules that involve more than one resource.
 
 package configuration
 
@@ -9,13 +9,13 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// reference is one resource's naming of another, in one of its fields.
+// reference is a reference to another resource in one field of a resource.
 type reference struct {
 	field string
 	to    resource.ID
 }
 
-// referencesOf lists what a resource names. Each name counts once for each time it stands there.
+// referencesOf returns the references of a resource, one for each occurrence of a name.
 func referencesOf(r resource.Resource) []reference {
 	switch r := r.(type) {
 	case resource.Key:
@@ -55,9 +55,9 @@
 	return resource.ID{Kind: resource.KindBaseModel, Name: name}
 }
 
-// referenceProblems looks at the draft after all operations: what was declared names only what is
-// there, and what was removed is named by nothing that is left. So one file may declare an adapter
-// together with the version it serves, in any order.
+// referenceProblems checks the draft after all operations. What was declared may refer only to resources
+// that exist, and nothing left may refer to what was removed. One file may therefore declare an adapter
+// together with its current version, in any order.
 func (b *builder) referenceProblems(change Change) []Problem {
 	var problems []Problem
 	for _, operation := range change {
@@ -77,7 +77,7 @@
 	var problems []Problem
 	for _, reference := range referencesOf(r) {
 		if reference.to.Name == "" {
-			continue // an empty name is a problem of the field itself
+			continue // an empty name is reported by fieldProblems
 		}
 		if _, found := b.resources.table.get(reference.to.String()); !found {
 			problems = append(problems, ProblemOf(r.ID(), reference.field, "no such resource: "+reference.to.String()))
@@ -86,8 +86,8 @@
 	return problems
 }
 
-// referrerOf finds a resource that names the ID, for the message. The count says first whether there
-// is one, so that the search through everything happens only for a removal that is refused.
+// referrerOf finds a resource that refers to the ID, for the message. The reference count is checked
+// first, so that the scan of every resource happens only for a removal that is refused.
 func (b *builder) referrerOf(id resource.ID) (referrer resource.ID, found bool) {
 	if count, _ := b.referrers.table.get(id.String()); count == 0 {
 		return resource.ID{}, false
@@ -95,8 +95,8 @@
 	var referrers []resource.ID
 	for i := range head.PartCount {
 		for _, r := range b.resources.table.entries(i) {
-			names := func(reference reference) bool { return reference.to == id }
-			if slices.ContainsFunc(referencesOf(r), names) {
+			refersToID := func(reference reference) bool { return reference.to == id }
+			if slices.ContainsFunc(referencesOf(r), refersToID) {
 				referrers = append(referrers, r.ID())
 			}
 		}
@@ -107,24 +107,24 @@
 	return slices.MinFunc(referrers, compareIDs), true
 }
 
-// uniquenessProblems looks for two keys with one secret and two upstreams at one address. Two keys
-// with one secret would leave open whose workspace a request runs for. An engine declared twice would
-// have two holders, and one would evict what the other had pinned.
+// uniquenessProblems finds keys with the same secret and upstreams with the same address. With two keys
+// for one secret it would be undefined which workspace a request runs for. An engine declared twice would
+// have two holders, and one would evict adapters that the other had pinned.
 func (b *builder) uniquenessProblems() []Problem {
 	var problems []Problem
 	for _, id := range b.duplicateHashes {
 		problems = append(problems, ProblemOf(id, "Hash", "another key has the same hash"))
 	}
-	if !b.listed {
+	if !b.listsChanged {
 		return problems
 	}
-	names := map[string]string{}
-	for _, u := range listed[resource.Upstream](Configuration{resources: b.resources.table}) {
-		if first, taken := names[u.Address]; taken {
+	nameByAddress := map[string]string{}
+	for _, u := range listByName[resource.Upstream](Configuration{resources: b.resources.table}) {
+		if first, found := nameByAddress[u.Address]; found {
 			problems = append(problems, ProblemOf(u.ID(), "Address", "upstream "+first+" has the same address"))
 			continue
 		}
-		names[u.Address] = u.Meta.Name
+		nameByAddress[u.Address] = u.Meta.Name
 	}
 	return problems
 }
