--- a/internal/catalog/repository/commit.go
+++ b/internal/catalog/repository/commit.go
@@ -1,4 +1,5 @@
-// Changing: parts are written, the head is swapped, and a swap whose answer was lost is settled.
+// Commits: parts are written, the head is swapped, and the outcome of a swap is resolved when its
+// response was lost.
 
 package repository
 
@@ -18,28 +19,28 @@
 )
 
 const (
-	// firstPause and longestPause bound the pause before a swap is tried again, with jitter. The first
-	// is about the time a swap takes, so that writers that met once rarely meet again.
-	firstPause   = 10 * time.Millisecond
-	longestPause = time.Second
-	// maxPart is the largest value that the store holds.
-	maxPart = 1 << 20
+	// initialBackoff and maxBackoff bound the jittered exponential backoff between attempts. The first is
+	// about the duration of a swap, so that writers that conflicted once rarely conflict again.
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = time.Second
+	// maxValueBytes is the largest value that the store accepts.
+	maxValueBytes = 1 << 20
 )
 
-// ErrTooLarge tells that the change would make a part larger than the store holds; nothing was changed.
+// ErrTooLarge says that the change would make a part larger than the store accepts; nothing was changed.
 var ErrTooLarge = errors.New("repository: the configuration is too large for the store")
 
-// Mutation makes the next head and configuration of the newest ones. It may be called several times,
-// each time with what another writer has made meanwhile, so it must be free of side effects. What it
-// changes has the revision after h's. An error ends the commit and nothing is changed.
+// Mutation returns the next head and configuration, given the newest ones. It may be called several
+// times, each time with the latest state after another writer's swap, so it must be free of side effects.
+// What it changes gets the revision after h's. An error ends the commit and nothing is changed.
 type Mutation func(
 	h head.Head, c configuration.Configuration,
 ) (nextHead head.Head, next configuration.Configuration, err error)
 
-// Apply accepts the change that decide makes of the newest configuration, and gives the revision
-// since which it is accepted. It fails with configuration.Problems or configuration.Conflicts, with
-// what decide fails with, with store.ErrUnavailable if nothing was changed, and with store.ErrUnknown
-// if that could not be found out before the context ended.
+// Apply commits the change that decide derives from the newest configuration, and returns the revision at
+// which it was accepted. It fails with configuration.Problems or configuration.Conflicts, with the error
+// of decide, with store.ErrUnavailable if nothing was changed, and with store.ErrUnknown if the outcome
+// could not be determined before the context ended.
 func (r *Repository) Apply(
 	ctx context.Context, decide func(c configuration.Configuration) (configuration.Change, error),
 ) (revision int64, err error) {
@@ -55,7 +56,7 @@
 	})
 }
 
-// CommitHead changes the head alone: its members.
+// CommitHead changes only the head, such as its members.
 func (r *Repository) CommitHead(
 	ctx context.Context, mutate func(h head.Head) (head.Head, error),
 ) (revision int64, err error) {
@@ -67,78 +68,77 @@
 	})
 }
 
-// Commit changes head and configuration together. It begins with a read, so that nothing is refused
-// or found to be done already on the ground of old knowledge. A mutation that changes nothing makes no
-// new revision, and gives the current one. Errors are as those of Apply. Revision, parts and marks of the mutation's head are not
-// looked at.
+// Commit changes head and configuration together. It begins with a read, so that no change is refused or
+// found to be a no-op on the basis of an outdated snapshot. A mutation that changes nothing makes no new
+// revision, and Commit returns the current one. Errors are as for Apply. The revision, parts and recorded
+// swaps in the mutation's head are ignored.
 func (r *Repository) Commit(ctx context.Context, mutate Mutation) (revision int64, err error) {
 	defer func() { err = errors.WithMessage(err, "commit") }()
-	if err := r.committing.acquire(ctx); err != nil {
+	if err := r.commitLock.acquire(ctx); err != nil {
 		return 0, errors.WithMessage(store.ErrUnavailable, err.Error())
 	}
-	defer r.committing.release()
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	defer r.commitLock.release()
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		base, err := r.Refresh(ctx)
 		if err != nil && !errors.Is(err, ErrWentBack) {
 			return 0, err
 		}
 		if err == nil {
-			revision, err = r.attempt(ctx, base, mutate)
+			revision, err = r.tryCommit(ctx, base, mutate)
 			if !errors.Is(err, store.ErrConflict) {
 				return revision, err
 			}
 		}
-		if err := sleep(ctx, pause); err != nil {
-			return 0, errors.WithMessage(store.ErrUnavailable, "other writers were first each time, or reads were stale")
+		if err := sleepWithJitter(ctx, backoff); err != nil {
+			return 0, errors.WithMessage(store.ErrUnavailable, "each swap conflicted with another writer's, or reads were stale")
 		}
 	}
 }
 
-// attempt makes one swap on the ground of base. It fails with store.ErrConflict if another writer
-// was first.
-func (r *Repository) attempt(ctx context.Context, base Snapshot, mutate Mutation) (revision int64, err error) {
+// tryCommit makes one swap based on base. It fails with store.ErrConflict if another writer swapped first.
+func (r *Repository) tryCommit(ctx context.Context, base Snapshot, mutate Mutation) (revision int64, err error) {
 	h, c, err := mutate(base.Head, base.Configuration)
 	if err != nil {
 		return 0, err
 	}
 	changed := c.ChangedParts(base.Configuration)
 	if len(changed) == 0 && h.Equal(base.Head) {
-		return base.Head.Revision, r.confirm(ctx, base)
+		return base.Head.Revision, r.confirmHead(ctx, base)
 	}
-	if placesChanged(base.Configuration, c) {
+	if upstreamSetChanged(base.Configuration, c) {
 		h = h.WithEpoch()
 	}
 	h, err = r.writeParts(ctx, h, c, changed)
 	if err != nil {
-		return 0, nothingChanged(err)
+		return 0, asUnavailable(err)
 	}
 	next := Snapshot{Head: h.WithSwap(r.Writer + "/" + uuid.NewString())}
 	next.Configuration = c.WithRevision(next.Head.Revision)
-	whole, pointer, err := encoded(next.Head)
+	encodedHead, pointer, err := encodeHead(next.Head)
 	if err != nil {
 		return 0, err
 	}
-	if err := r.writeValue(ctx, wholeKey(pointer), whole); err != nil {
-		return 0, nothingChanged(err)
+	if err := r.writeValue(ctx, wholeHeadKey(pointer), encodedHead); err != nil {
+		return 0, asUnavailable(err)
 	}
 	return next.Head.Revision, r.swap(ctx, base, next, pointer)
 }
 
-// encoded gives the bytes of a head and the pointer to it.
-func encoded(h head.Head) (whole []byte, p head.Pointer, err error) {
+// encodeHead returns the encoded head and the pointer to it.
+func encodeHead(h head.Head) (encodedHead []byte, p head.Pointer, err error) {
 	if h.Revision == 0 {
 		return nil, head.Pointer{}, nil
 	}
-	whole, err = codec.EncodeHead(h)
-	return whole, head.Pointer{Revision: h.Revision, Mark: h.LastMark(), Hash: codec.HashOf(whole)}, err
+	encodedHead, err = codec.EncodeHead(h)
+	return encodedHead, head.Pointer{Revision: h.Revision, Mark: h.LastMark(), Hash: codec.HashOf(encodedHead)}, err
 }
 
-// confirm swaps the head for itself. The read that a change began with may have been stale, where the
-// store's copies lag. A change that does something finds that out when its swap conflicts; one that
-// finds itself done already has to look, or an operator would be told that something is in force which
-// a later change, not seen here, has undone.
-func (r *Repository) confirm(ctx context.Context, base Snapshot) error {
-	_, pointer, err := encoded(base.Head)
+// confirmHead replaces the head with itself. The read that a commit began with may have been stale if the
+// store's replicas lag. A commit with a change detects that when its swap conflicts. A commit without a
+// change has to verify it, or an operator would be informed that something is in force which a later
+// change, missed by the stale read, has undone.
+func (r *Repository) confirmHead(ctx context.Context, base Snapshot) error {
+	_, pointer, err := encodeHead(base.Head)
 	if err != nil {
 		return err
 	}
@@ -146,49 +146,50 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	entry, err := r.Store.CompareAndSwap(ctx, HeadKey, base.storeRevision, value)
 	if err != nil {
-		return nothingChanged(err)
+		return asUnavailable(err)
 	}
-	base.storeRevision, base.ConfirmedAt = entry.Revision, began
-	r.adopt(base)
+	base.storeRevision, base.ConfirmedAt = entry.Revision, startedAt
+	r.install(base)
 	return nil
 }
 
-// nothingChanged turns the unknown outcome of writing a part into a failure: as long as the head is
-// not swapped, a part that was written counts for nothing.
-func nothingChanged(err error) error {
+// asUnavailable turns the unknown outcome of writing a part or a head into ErrUnavailable: as long as
+// the pointer is not swapped, what was written has no effect.
+func asUnavailable(err error) error {
 	if errors.Is(err, store.ErrUnknown) {
 		return errors.WithMessage(store.ErrUnavailable, err.Error())
 	}
 	return err
 }
 
-// placesChanged tells whether the set of upstreams, or where one of them is, differs. Who holds which
-// upstream follows from that, so the epoch has to rise with it. Slots or leaving do not count: raising
-// the epoch stops all orders until it is in force everywhere.
-func placesChanged(before, after configuration.Configuration) bool {
+// upstreamSetChanged reports whether the set of upstreams, or the address or data centre of one, differs.
+// The holder of each upstream follows from these, so the epoch has to rise with them. Changes of Slots,
+// Leaving and the like do not raise it, because a new epoch stops all orders until it is in force
+// everywhere.
+func upstreamSetChanged(before, after configuration.Configuration) bool {
 	old, now := before.Upstreams(), after.Upstreams()
 	if len(old) != len(now) {
 		return true
 	}
 	for i := range now {
-		if place(old[i]) != place(now[i]) {
+		if upstreamLocation(old[i]) != upstreamLocation(now[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-func place(u resource.Upstream) [3]string {
+func upstreamLocation(u resource.Upstream) [3]string {
 	return [3]string{u.Meta.Name, u.Address, u.DataCentre}
 }
 
-// writeParts writes the changed parts to the store and names them in the head.
+// writeParts writes the changed parts to the store and references them in the head.
 func (r *Repository) writeParts(
 	ctx context.Context, h head.Head, c configuration.Configuration, changed []int,
-) (named head.Head, err error) {
+) (referenced head.Head, err error) {
 	contents := make([][]byte, len(changed))
 	for i, index := range changed {
 		resources := c.Part(index)
@@ -200,12 +201,12 @@
 		if err != nil {
 			return h, err
 		}
-		if len(contents[i]) > maxPart {
+		if len(contents[i]) > maxValueBytes {
 			return h, errors.WithMessagef(ErrTooLarge, "part %d: %d bytes", index, len(contents[i]))
 		}
 		h = h.WithPart(index, codec.HashOf(contents[i]))
 	}
-	err = inParallel(ctx, len(changed), func(ctx context.Context, i int) error {
+	err = runParallel(ctx, len(changed), func(ctx context.Context, i int) error {
 		if contents[i] == nil {
 			return nil
 		}
@@ -214,10 +215,10 @@
 	return h, err
 }
 
-// writeValue writes an immutable value. Its key names its content, so a conflict says that it is there
-// already, which is also how a lost answer is settled.
+// writeValue writes an immutable value. Its key contains its content hash, so a conflict means that the
+// value is already stored. A retry after a lost response is resolved in the same way.
 func (r *Repository) writeValue(ctx context.Context, key string, content []byte) error {
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		_, err := r.Store.CompareAndSwap(ctx, key, store.Absent, content)
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			return nil
@@ -225,75 +226,76 @@
 		if !errors.Is(err, store.ErrUnknown) {
 			return err
 		}
-		if sleep(ctx, pause) != nil {
+		if sleepWithJitter(ctx, backoff) != nil {
 			return err
 		}
 	}
 }
 
-// swap puts the pointer to the next head in place. An answer that was lost leaves open whether the write took effect, or
-// still will: the request may yet arrive. So the same write is sent again. If the first one arrives
-// before it, the second one conflicts and the mark is found in the head; if it arrives later, it
-// conflicts itself. Either way the answer to the operator is true.
+// swap replaces the pointer to the head. If the response is lost, it is unknown whether the write took
+// effect or still will, because the request may be delayed. The same write is therefore sent again. If
+// the first request arrives before it, the second conflicts and the swap ID is found in the head; if the
+// first arrives later, the first conflicts. Either way the operator gets the true outcome.
 func (r *Repository) swap(ctx context.Context, base, next Snapshot, pointer head.Pointer) error {
 	value, err := codec.EncodePointer(pointer)
 	if err != nil {
 		return err
 	}
-	lost := false
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
-		began := time.Now()
+	outcomeUnknown := false
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		startedAt := time.Now()
 		entry, err := r.Store.CompareAndSwap(ctx, HeadKey, base.storeRevision, value)
 		switch {
 		case err == nil:
-			next.ConfirmedAt = began
+			next.ConfirmedAt = startedAt
 			next.storeRevision = entry.Revision
-			r.adopt(next)
+			r.install(next)
 			return nil
-		case errors.Is(err, store.ErrConflict) && lost:
-			return r.settle(ctx, base, pointer.Mark)
+		case errors.Is(err, store.ErrConflict) && outcomeUnknown:
+			return r.resolveSwap(ctx, base, pointer.Mark)
 		case errors.Is(err, store.ErrUnknown):
-			lost = true
-		case errors.Is(err, store.ErrUnavailable) && lost:
+			outcomeUnknown = true
+		case errors.Is(err, store.ErrUnavailable) && outcomeUnknown:
 		default:
 			return err
 		}
-		if sleep(ctx, pause) != nil {
+		if sleepWithJitter(ctx, backoff) != nil {
 			return errors.WithMessage(store.ErrUnknown, "the answer to the swap was lost")
 		}
 	}
 }
 
-// settle finds out, after a lost answer, whether a swap with the mark took effect. The pointer in the
-// store is not the one the swap was made on any more. If the mark is in the head, it did; if the head
-// follows base within the marks that are kept and has not the mark, another writer's swap came first.
-func (r *Repository) settle(ctx context.Context, base Snapshot, mark string) error {
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
-		began := time.Now()
-		entry, h, err := r.readWhole(ctx)
+// resolveSwap determines after a lost response whether the swap with this ID took effect. The pointer in
+// the store is no longer the one that the swap expected. If the head records the ID, the swap took
+// effect. If the head is newer than base by no more than the number of recorded swaps and does not record
+// the ID, another writer's swap came first.
+func (r *Repository) resolveSwap(ctx context.Context, base Snapshot, swapID string) error {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		startedAt := time.Now()
+		entry, h, err := r.readPointerAndHead(ctx)
 		if err == nil {
-			if _, found := h.Marked(mark); found {
-				_, _ = r.take(ctx, base.Head, entry, began) // what cannot be taken up now is read again later
+			if _, found := h.Marked(swapID); found {
+				_, _ = r.installEntry(ctx, base.Head, entry, startedAt) // if it cannot be installed now, a later read does
 				return nil
 			}
 			if h.Revision > base.Head.Revision+head.MaxChanges {
-				return errors.WithMessage(store.ErrUnknown, "too many swaps since")
+				return errors.WithMessage(store.ErrUnknown, "more swaps were made since than the head records")
 			}
 			if h.Revision > base.Head.Revision {
 				return store.ErrConflict
 			}
-			// A stale read: it shows the head from before the swap.
+			// The read was stale: it shows the head from before the swap.
 		}
-		if sleep(ctx, pause) != nil {
+		if sleepWithJitter(ctx, backoff) != nil {
 			return errors.WithMessage(store.ErrUnknown, "the answer to the swap was lost")
 		}
 	}
 }
 
-// readWhole reads the pointer and the head it names. A head that is missing has been replaced and swept
-// since; the next read finds a newer one.
-func (r *Repository) readWhole(ctx context.Context) (entry store.Entry, h head.Head, err error) {
-	entry, err = r.readHead(ctx)
+// readPointerAndHead reads the pointer and the head it references. If the head is missing, it has been
+// replaced and swept in the meantime; the next read finds a newer one.
+func (r *Repository) readPointerAndHead(ctx context.Context) (entry store.Entry, h head.Head, err error) {
+	entry, err = r.readPointer(ctx)
 	if err != nil {
 		return store.Entry{}, head.Head{}, err
 	}
@@ -305,9 +307,10 @@
 	return entry, h, err
 }
 
-// sleep pauses for about that long, or fails when the context ends first.
-func sleep(ctx context.Context, pause time.Duration) error {
-	timer := time.NewTimer(pause/2 + rand.N(pause))
+// sleepWithJitter pauses for half to one and a half times the given duration, or fails when the context
+// ends first.
+func sleepWithJitter(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration/2 + rand.N(duration))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/catalog/repository/history.go
+++ b/internal/catalog/repository/history.go
@@ -1,4 +1,4 @@
-// What changed between the snapshots that an instance took up, for operators who watch.
+// Changes between the snapshots that an instance installed, for operators who watch the configuration.
 
 package repository
 
@@ -9,9 +9,9 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// maxHistory bounds the changes kept, in resources: some 10 MB. A watcher that is further behind is
-// told so and reads everything again.
-const maxHistory = 100_000
+// maxHistoryResources bounds the recorded changes, in resources; that is about 10 MB. A watcher that is
+// further behind is notified and has to read everything again.
+const maxHistoryResources = 100_000
 
 // Changed is one resource that was declared, with its resource version, or removed.
 type Changed struct {
@@ -20,58 +20,59 @@
 	Removed bool
 }
 
-// step is what changed from one snapshot to the next.
-type step struct {
+// snapshotDiff is the difference between one snapshot and the next.
+type snapshotDiff struct {
 	from    int64
 	to      int64
 	changed []Changed
 }
 
-// history is a ring of the newest steps, bounded by the resources in them.
+// history is a buffer of the newest diffs, bounded by the number of resources in them.
 type history struct {
-	steps []step
+	diffs []snapshotDiff
 	size  int
 }
 
-// stepBetween compares two snapshots.
-func stepBetween(before, after Snapshot) step {
-	s := step{from: before.Head.Revision, to: after.Head.Revision}
-	if s.to <= s.from {
-		return s
+// diffSnapshots returns the difference between two snapshots.
+func diffSnapshots(before, after Snapshot) snapshotDiff {
+	diff := snapshotDiff{from: before.Head.Revision, to: after.Head.Revision}
+	if diff.to <= diff.from {
+		return diff
 	}
 	for _, d := range after.Configuration.DifferencesFrom(before.Configuration) {
 		changed := Changed{ID: d.ID, Removed: d.After == nil}
 		if d.After != nil {
 			changed.Version = d.After.ResourceVersion()
 		}
-		s.changed = append(s.changed, changed)
+		diff.changed = append(diff.changed, changed)
 	}
-	return s
+	return diff
 }
 
-// record keeps a step; it is called with the repository's mutex held.
-func (h *history) record(s step) {
-	h.steps = append(h.steps, s)
-	h.size += len(s.changed) + 1
-	for h.size > maxHistory && len(h.steps) > 0 {
-		h.size -= len(h.steps[0].changed) + 1
-		h.steps = slices.Delete(h.steps, 0, 1)
+// record appends a diff and drops the oldest ones above the bound; the repository's mutex must be held.
+func (h *history) record(diff snapshotDiff) {
+	h.diffs = append(h.diffs, diff)
+	h.size += len(diff.changed) + 1
+	for h.size > maxHistoryResources && len(h.diffs) > 0 {
+		h.size -= len(h.diffs[0].changed) + 1
+		h.diffs = slices.Delete(h.diffs, 0, 1)
 	}
 }
 
-// since lists what changed after a revision; complete says whether the steps reach back that far.
-func (h *history) since(revision, current int64) (changed []Changed, complete bool) {
+// changesSince returns what changed after a revision. complete is false if the recorded diffs do not
+// reach back that far.
+func (h *history) changesSince(revision, current int64) (changed []Changed, complete bool) {
 	if revision >= current {
 		return nil, true
 	}
-	for _, s := range h.steps {
-		if s.to <= revision {
+	for _, diff := range h.diffs {
+		if diff.to <= revision {
 			continue
 		}
-		if s.from <= revision {
+		if diff.from <= revision {
 			complete = true
 		}
-		changed = append(changed, s.changed...)
+		changed = append(changed, diff.changed...)
 	}
 	if !complete {
 		return nil, false
@@ -79,14 +80,14 @@
 	return changed, true
 }
 
-// ChangesAfter waits until the current revision is above after, or the context ends, and lists what
-// changed since. complete is false when after lies further back than is kept: then the caller reads
-// everything again. A resource that changed several times may be listed as often.
+// ChangesAfter waits until the current revision is above after, or the context ends, and returns what
+// changed since. complete is false when after is older than the recorded changes; the caller then has to
+// read everything again. A resource that changed several times may be listed several times.
 func (r *Repository) ChangesAfter(
 	ctx context.Context, after int64,
 ) (current Snapshot, changed []Changed, complete bool) {
 	for {
-		current, advanced := r.currentAndAdvanced()
+		current, advanced := r.currentAndNext()
 		if current.Head.Revision > after || ctx.Err() != nil {
 			return r.changesSince(after)
 		}
@@ -100,6 +101,6 @@
 func (r *Repository) changesSince(revision int64) (current Snapshot, changed []Changed, complete bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	changed, complete = r.history.since(revision, r.current.Head.Revision)
+	changed, complete = r.history.changesSince(revision, r.current.Head.Revision)
 	return r.current, changed, complete
 }
--- a/internal/catalog/repository/large_test.go
+++ b/internal/catalog/repository/large_test.go
@@ -10,7 +10,7 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// large keeps 45,000 adapters with two versions each in a store, as at the target.
+// large stores 45,000 adapters with two versions each, as at the target.
 func large(b *testing.B) (kv *store.Memory, writer *repository.Repository) {
 	b.Helper()
 	kv = &store.Memory{}
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkLoad measures how long an instance that starts takes to read everything.
+// BenchmarkLoad measures how long an instance takes to read the whole configuration when it starts.
 func BenchmarkLoad(b *testing.B) {
 	kv, _ := large(b)
 	entries, err := kv.List(b.Context(), "")
@@ -65,8 +65,8 @@
 	b.ReportMetric(float64(all), "all-bytes")
 }
 
-// BenchmarkChange measures one accepted change, from the read it begins with to the swapped head, and
-// another instance's taking it up.
+// BenchmarkChange measures one accepted change, from the read it begins with to the swapped head, and its
+// installation at another instance.
 func BenchmarkChange(b *testing.B) {
 	kv, writer := large(b)
 	reader := &repository.Repository{Store: kv, Writer: "b"}
--- a/internal/catalog/repository/parallel.go
+++ b/internal/catalog/repository/parallel.go
@@ -1,4 +1,4 @@
-// Small means of running store calls side by side, and one at a time.
+// Helpers that run store calls concurrently, and commits one at a time.
 
 package repository
 
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// workers share out numbered tasks. After an error no further task begins, but those under way are
-// done: what they fetch is of use to the next try.
-type workers struct {
+// workerPool distributes numbered tasks. After an error no further task is started, but running tasks are
+// completed, because the next attempt can use what they fetch.
+type workerPool struct {
 	task  func(ctx context.Context, i int) error
 	count int64
 	next  atomic.Int64
@@ -24,22 +24,22 @@
 	err   error
 }
 
-// inParallel does the tasks 0 to count-1, fetchWidth at a time, and gives the first error. It succeeds
-// only if every task was done: a part that was not fetched because the caller had gone would otherwise
-// pass for an empty one, and its resources for removed.
-func inParallel(ctx context.Context, count int, task func(ctx context.Context, i int) error) error {
-	w := &workers{task: task, count: int64(count)}
-	for range min(count, fetchWidth) {
+// runParallel runs the tasks 0 to count-1, at most maxParallelCalls at a time, and returns the first
+// error. It succeeds only if every task was completed. Otherwise a part that was not fetched because the
+// caller had cancelled would look like an empty one, and its resources would look removed.
+func runParallel(ctx context.Context, count int, task func(ctx context.Context, i int) error) error {
+	w := &workerPool{task: task, count: int64(count)}
+	for range min(count, maxParallelCalls) {
 		w.group.Go(func() { w.run(ctx) })
 	}
 	w.group.Wait()
 	if w.err == nil && w.done.Load() < w.count {
-		return errors.WithMessage(store.ErrUnavailable, "given up on")
+		return errors.WithMessage(store.ErrUnavailable, "cancelled before all calls were made")
 	}
 	return w.err
 }
 
-func (w *workers) run(ctx context.Context) {
+func (w *workerPool) run(ctx context.Context) {
 	for {
 		i := w.next.Add(1) - 1
 		if i >= w.count || ctx.Err() != nil {
@@ -54,17 +54,16 @@
 	}
 }
 
-// semaphore lets one goroutine in at a time; waiting for it ends with the context. The zero value is
-// free.
+// semaphore admits one goroutine at a time; acquire fails when the context ends. The zero value is free.
 type semaphore struct {
-	once  sync.Once
-	place chan struct{}
+	once sync.Once
+	slot chan struct{}
 }
 
 func (s *semaphore) acquire(ctx context.Context) error {
-	s.once.Do(func() { s.place = make(chan struct{}, 1) })
+	s.once.Do(func() { s.slot = make(chan struct{}, 1) })
 	select {
-	case s.place <- struct{}{}:
+	case s.slot <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -72,5 +71,5 @@
 }
 
 func (s *semaphore) release() {
-	<-s.place
+	<-s.slot
 }
--- a/internal/catalog/repository/parts_test.go
+++ b/internal/catalog/repository/parts_test.go
@@ -16,9 +16,10 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// A writer is paused between writing its parts and swapping the head, for longer than unnamed parts
-// are kept. Were its parts deleted and its swap taken, no instance could read the configuration.
-func TestSweepNeverDeletesWhatASwapCanStillName(t *testing.T) {
+// A writer is paused between writing its parts and swapping the head, for longer than the grace period of
+// unreferenced parts. If the sweeper deleted its parts and its swap then succeeded, no instance could
+// read the configuration.
+func TestSweepKeepsPartsThatASwapCanStillReference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 		other := &repository.Repository{Store: kv, Writer: "other"}
@@ -34,15 +35,15 @@
 			}
 			return deleted
 		}
-		h := &hooked{Store: kv}
+		h := &hookedStore{Store: kv}
 		paused := &repository.Repository{Store: h, Writer: "paused"}
 		h.before = func(key string) {
 			if key == repository.HeadKey {
 				h.before = nil
-				is.Equal(sweep(), 0) // its parts may still be named
+				is.Equal(sweep(), 0) // a swap may still reference its parts
 				_, err := declare(ctx, other, workspace("w", 1), configuration.MustBeNew)
 				is.NoErr(err)
-				is.Equal(sweep(), 2) // now they cannot, nor its head
+				is.Equal(sweep(), 2) // no swap can reference its part or its head any more
 			}
 		}
 		_, err := declare(ctx, paused, workspace("w", 2), configuration.AnyVersion)
@@ -53,9 +54,9 @@
 	})
 }
 
-// An operator changes a rate again and again; what earlier changes wrote is deleted within two rounds,
-// and what is named never is.
-func TestSweeperComesRound(t *testing.T) {
+// An operator changes a rate repeatedly. The values that earlier changes wrote must be deleted within two
+// rounds of sweeps, and referenced values never.
+func TestSweeperDeletesUnreferencedParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, kv := is.New(t), &store.Memory{}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -74,7 +75,7 @@
 			is.NoErr(err)
 			heads, err := kv.List(ctx, "heads/")
 			is.NoErr(err)
-			is.Equal(len(heads), len(parts)) // each change wrote one of either
+			is.Equal(len(heads), len(parts)) // each change wrote one part and one head
 			return len(parts)
 		}
 		is.Equal(left(), 10)
@@ -88,27 +89,27 @@
 	})
 }
 
-// A caller goes away while the first parts are being fetched. A part that was not fetched must not
-// pass for an empty one: the resources in it would vanish from the instance.
-func TestGivenUpFetchIsNoEmptyPart(t *testing.T) {
+// The caller cancels while the first parts are being fetched. A part that was not fetched must not be
+// treated as empty: its resources would disappear from the instance.
+func TestCancelledFetchInstallsNoEmptyParts(t *testing.T) {
 	is, kv := is.New(t), &store.Memory{}
 	writer := &repository.Repository{Store: kv, Writer: "a"}
 	_, err := declare(t.Context(), writer, workspace("w", 1), configuration.MustBeNew)
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
-	reader := &repository.Repository{Store: &cancelling{Store: kv, cancel: cancel}, Writer: "b"}
+	reader := &repository.Repository{Store: &cancellingStore{Store: kv, cancel: cancel}, Writer: "b"}
 	_, err = reader.Refresh(ctx)
 	is.True(err != nil)
 	is.Equal(reader.Current().Head.Revision, int64(0))
 }
 
-// cancelling ends the caller's context as soon as the head was read.
-type cancelling struct {
+// cancellingStore cancels the caller's context as soon as the head was read.
+type cancellingStore struct {
 	store.Store
 	cancel context.CancelFunc
 }
 
-func (c *cancelling) Get(ctx context.Context, key string) (store.Entry, error) {
+func (c *cancellingStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	entry, err := c.Store.Get(context.WithoutCancel(ctx), key)
 	if !strings.HasPrefix(key, "part/") {
 		c.cancel()
@@ -116,9 +117,9 @@
 	return entry, err
 }
 
-// All instances of a fleet start at once, and the store allows each only a few reads a second. Beginning
-// anew with each try, an instance would never have read all parts, and stay unready.
-func TestLoadMakesProgressAtTheStoresLimit(t *testing.T) {
+// All instances of a fleet start at once, and the store allows each only a few reads a second. If each
+// attempt started over, an instance would never read all parts and would stay unready.
+func TestLoadMakesProgressWhenRateLimited(t *testing.T) {
 	is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 	writer := &repository.Repository{Store: kv, Writer: "a"}
 	_, err := writer.Apply(ctx, func(configuration.Configuration) (change configuration.Change, err error) {
@@ -129,7 +130,7 @@
 		return change, nil
 	})
 	is.NoErr(err)
-	limited := &rateLimited{Store: kv}
+	limited := &rateLimitedStore{Store: kv}
 	reader := &repository.Repository{Store: limited, Writer: "b"}
 	tries := 0
 	for reader.Current().Head.Revision == 0 && tries < 20 {
@@ -138,16 +139,16 @@
 		tries++
 	}
 	is.Equal(rates(reader.Current().Configuration), rates(writer.Current().Configuration))
-	is.True(tries <= 8) // 64 parts, nine to a try beside the head
+	is.True(tries <= 8) // 64 parts, nine in each attempt besides the head
 }
 
-// rateLimited allows as many reads as are left.
-type rateLimited struct {
+// rateLimitedStore fails all reads beyond the number left.
+type rateLimitedStore struct {
 	store.Store
 	left atomic.Int64
 }
 
-func (l *rateLimited) Get(ctx context.Context, key string) (store.Entry, error) {
+func (l *rateLimitedStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if l.left.Add(-1) < 0 {
 		return store.Entry{}, store.ErrUnavailable
 	}
--- a/internal/catalog/repository/pending.go
+++ b/internal/catalog/repository/pending.go
@@ -1,8 +1,8 @@
-// Parts that were fetched for a head which could not be read whole yet. When many instances start at
-// once, or a change touches every part, they ask for more than the store's rate allows, and some reads
-// are refused. An instance that began from the first part each time might never get to the last one,
-// and all of them together would keep the store at its limit; one would notice instances that stay
-// unready after a rollout. So what was fetched once is kept until the head is taken up.
+// A cache of the parts fetched for a head that could not be read completely yet. When many instances
+// start at once, or a change touches every part, they exceed the store's rate limit and some reads are
+// refused. An instance that began with the first part on each attempt might never reach the last one, and
+// all of them together would keep the store at its limit; the symptom would be instances that stay
+// unready after a rollout. Fetched parts are therefore kept until the head is installed.
 
 package repository
 
@@ -13,49 +13,50 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// pendingParts holds fetched parts by their keys, and the head that names them; the zero value is empty.
-type pendingParts struct {
+// fetchCache holds fetched parts by their keys, and the head that references them; the zero value is
+// empty.
+type fetchCache struct {
 	mutex   sync.Mutex
 	headKey string
 	head    head.Head
 	parts   map[string][]resource.Resource
 }
 
-func (p *pendingParts) getHead(key string) (h head.Head, found bool) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.head, p.headKey == key
+func (c *fetchCache) getHead(key string) (h head.Head, found bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.head, c.headKey == key
 }
 
-func (p *pendingParts) putHead(key string, h head.Head) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.headKey, p.head = key, h
+func (c *fetchCache) putHead(key string, h head.Head) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.headKey, c.head = key, h
 }
 
-func (p *pendingParts) get(key string) (resources []resource.Resource, found bool) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	resources, found = p.parts[key]
+func (c *fetchCache) get(key string) (resources []resource.Resource, found bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	resources, found = c.parts[key]
 	return resources, found
 }
 
-func (p *pendingParts) put(key string, resources []resource.Resource) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.parts == nil {
-		p.parts = map[string][]resource.Resource{}
+func (c *fetchCache) put(key string, resources []resource.Resource) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.parts == nil {
+		c.parts = map[string][]resource.Resource{}
 	}
-	p.parts[key] = resources
+	c.parts[key] = resources
 }
 
-// keepOnly forgets the parts that are not wanted any more.
-func (p *pendingParts) keepOnly(wanted map[string]bool) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for key := range p.parts {
+// retain discards all parts except those wanted.
+func (c *fetchCache) retain(wanted map[string]bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for key := range c.parts {
 		if !wanted[key] {
-			delete(p.parts, key)
+			delete(c.parts, key)
 		}
 	}
 }
--- a/internal/catalog/repository/read.go
+++ b/internal/catalog/repository/read.go
@@ -1,5 +1,6 @@
-// Reading: the pointer to the head comes from the store; if it names another head than the one at hand,
-// that is fetched, with the parts that differ, and the snapshot made of them becomes the current one.
+// Reads: the pointer to the head is read from the store. If it references another head than the current
+// one, that head and the parts that differ are fetched, and the resulting snapshot becomes the current
+// one.
 
 package repository
 
@@ -17,18 +18,19 @@
 )
 
 const (
-	// DefaultPollEvery is how often Run reads the head when PollEvery is not set.
+	// DefaultPollEvery is the interval at which Run reads the head when PollEvery is not set.
 	DefaultPollEvery = time.Second
-	// fetchWidth is how many parts are fetched or written at a time. It bounds what one instance asks
-	// of the store at once; the number has no measured reason yet.
-	fetchWidth = 8
-	// headReads is how often the head is read again when a part it names is missing. A part goes
-	// missing only when the head has moved on, so that the second read finds a newer one.
-	headReads = 5
+	// maxParallelCalls is how many parts are fetched or written concurrently. It bounds the load of one
+	// instance on the store.
+	maxParallelCalls = 8
+	// maxAssembleAttempts is how many times a snapshot is assembled when a part that the head references is
+	// missing, reading the head again after each attempt. A part is missing only when a newer head has
+	// replaced this one, so the second read finds the newer one.
+	maxAssembleAttempts = 5
 )
 
-// partKey is where the store keeps a part. The index stands first so that Sweep lists a small share of
-// all parts at a time.
+// partKey returns the store key of a part. The index comes first so that Sweep lists a small share of all
+// parts at a time.
 func partKey(index int, part head.Part) string {
 	return fmt.Sprintf("%s%d/%s", partPrefix(index), part.Revision, part.Hash)
 }
@@ -37,11 +39,11 @@
 	return fmt.Sprintf("part/%02d/", index)
 }
 
-// headPrefix begins the keys under which whole heads are kept.
+// headPrefix is the prefix of the keys of whole heads.
 const headPrefix = "heads/"
 
-// wholeKey is where the store keeps the whole head that a pointer names.
-func wholeKey(p head.Pointer) string {
+// wholeHeadKey returns the store key of the whole head that a pointer references.
+func wholeHeadKey(p head.Pointer) string {
 	return fmt.Sprintf("%s%d/%s", headPrefix, p.Revision, p.Hash)
 }
 
@@ -52,40 +54,40 @@
 	return err
 }
 
-// Refresh reads the head, and the parts that changed, and gives the snapshot that is current then. The
-// snapshot is confirmed as of the moment the read began. An error leaves the current one as it was;
-// it is ErrWentBack when the store's head is older than the current one.
+// Refresh reads the head, and the parts that changed, and returns the snapshot that is then current. The
+// snapshot is confirmed as of the start of the read. On an error the current snapshot is unchanged; the
+// error is ErrWentBack when the store's head is older than the current one.
 func (r *Repository) Refresh(ctx context.Context) (snapshot Snapshot, err error) {
 	known := r.Current().Head
-	began := time.Now()
-	entry, err := r.readHead(ctx)
+	startedAt := time.Now()
+	entry, err := r.readPointer(ctx)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	return r.take(ctx, known, entry, began)
+	return r.installEntry(ctx, known, entry, startedAt)
 }
 
-// Await waits for a head newer than the current one, up to wait, with one call to the store. It gives
-// the snapshot that is current then, confirmed as of the moment the call began.
+// Await waits for a head newer than the current one, for at most wait, with one call to the store. It
+// returns the snapshot that is then current, confirmed as of the start of the call.
 func (r *Repository) Await(ctx context.Context, wait time.Duration) (snapshot Snapshot, err error) {
 	current := r.Current()
 	if current.storeRevision == store.Absent {
 		return r.Refresh(ctx)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	entry, err := r.Store.Watch(ctx, HeadKey, current.storeRevision, wait)
 	if errors.Is(err, store.ErrNotChanged) {
-		current.ConfirmedAt = began
-		return r.adopt(current), nil
+		current.ConfirmedAt = startedAt
+		return r.install(current), nil
 	}
 	if err != nil {
 		return Snapshot{}, err
 	}
-	return r.take(ctx, current.Head, entry, began)
+	return r.installEntry(ctx, current.Head, entry, startedAt)
 }
 
-// readHead reads the pointer's entry; before the first swap there is none, which is the empty entry.
-func (r *Repository) readHead(ctx context.Context) (entry store.Entry, err error) {
+// readPointer reads the pointer's entry; before the first swap there is none, and the entry is empty.
+func (r *Repository) readPointer(ctx context.Context) (entry store.Entry, err error) {
 	entry, err = r.Store.Get(ctx, HeadKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return store.Entry{}, nil
@@ -93,22 +95,22 @@
 	return entry, err
 }
 
-// take makes the snapshot of a head that was read from the store, and adopts it. known is the head
-// that was current before the read began.
-func (r *Repository) take(
-	ctx context.Context, known head.Head, entry store.Entry, began time.Time,
+// installEntry assembles the snapshot of a head that was read from the store, and installs it. known is
+// the head that was current before the read began.
+func (r *Repository) installEntry(
+	ctx context.Context, known head.Head, entry store.Entry, startedAt time.Time,
 ) (snapshot Snapshot, err error) {
-	for range headReads {
+	for range maxAssembleAttempts {
 		snapshot, err = r.assemble(ctx, known, entry)
 		if err == nil {
-			snapshot.ConfirmedAt = began
-			return r.adopt(snapshot), nil
+			snapshot.ConfirmedAt = startedAt
+			return r.install(snapshot), nil
 		}
 		if !errors.Is(err, ErrPartMissing) {
 			return Snapshot{}, err
 		}
-		began = time.Now()
-		entry, err = r.readHead(ctx)
+		startedAt = time.Now()
+		entry, err = r.readPointer(ctx)
 		if err != nil {
 			return Snapshot{}, err
 		}
@@ -124,13 +126,13 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	if err := notOlder(known, pointer); err != nil {
+	if err := checkNotOlder(known, pointer); err != nil {
 		return Snapshot{}, err
 	}
 	base := r.Current()
 	if pointer.Revision < base.Head.Revision {
-		// A newer head was taken up while this one was read. This read still says that at its beginning
-		// there was none beyond that one, so it confirms it.
+		// A newer head was installed during this read. The read still shows that there was no head beyond
+		// that one when the read began, so it confirms it.
 		return base, nil
 	}
 	if pointer.Revision == base.Head.Revision {
@@ -140,7 +142,7 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	parts, err := r.fetch(ctx, changedParts(base.Head, h), h)
+	parts, err := r.fetchParts(ctx, changedParts(base.Head, h), h)
 	if err != nil {
 		return Snapshot{}, err
 	}
@@ -156,16 +158,16 @@
 	return codec.DecodePointer(entry.Value)
 }
 
-// fetchHead reads the whole head that a pointer names.
+// fetchHead reads the whole head that a pointer references.
 func (r *Repository) fetchHead(ctx context.Context, p head.Pointer) (h head.Head, err error) {
 	if p.Revision == 0 {
 		return head.Head{}, nil
 	}
-	key := wholeKey(p)
-	if h, found := r.pending.getHead(key); found {
+	key := wholeHeadKey(p)
+	if h, found := r.cache.getHead(key); found {
 		return h, nil
 	}
-	content, err := r.fetchNamed(ctx, key, p.Hash)
+	content, err := r.fetchByHash(ctx, key, p.Hash)
 	if err != nil {
 		return head.Head{}, err
 	}
@@ -174,14 +176,14 @@
 		return head.Head{}, err
 	}
 	if h.Revision != p.Revision {
-		return head.Head{}, errors.Errorf("repository: %s is of revision %d", key, h.Revision)
+		return head.Head{}, errors.Errorf("repository: the head at %s has revision %d", key, h.Revision)
 	}
-	r.pending.putHead(key, h)
+	r.cache.putHead(key, h)
 	return h, nil
 }
 
-// fetchNamed reads a value that is named by its content.
-func (r *Repository) fetchNamed(ctx context.Context, key, hash string) (content []byte, err error) {
+// fetchByHash reads a value whose key contains its content hash.
+func (r *Repository) fetchByHash(ctx context.Context, key, hash string) (content []byte, err error) {
 	entry, err := r.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, errors.WithMessage(ErrPartMissing, key)
@@ -190,7 +192,7 @@
 		return nil, err
 	}
 	if codec.HashOf(entry.Value) != hash {
-		return nil, errors.Errorf("repository: %s does not have the content it is named for", key)
+		return nil, errors.Errorf("repository: the content of %s does not match the hash in its key", key)
 	}
 	return entry.Value, nil
 }
@@ -205,17 +207,17 @@
 	return changed
 }
 
-// fetch reads the parts with the given indexes.
-func (r *Repository) fetch(
+// fetchParts reads the parts with the given indexes.
+func (r *Repository) fetchParts(
 	ctx context.Context, indexes []int, h head.Head,
 ) (parts map[int][]resource.Resource, err error) {
 	wanted := make(map[string]bool, len(indexes))
 	for _, index := range indexes {
 		wanted[partKey(index, h.Part(index))] = true
 	}
-	r.pending.keepOnly(wanted)
+	r.cache.retain(wanted)
 	fetched := make([][]resource.Resource, len(indexes))
-	err = inParallel(ctx, len(indexes), func(ctx context.Context, i int) (err error) {
+	err = runParallel(ctx, len(indexes), func(ctx context.Context, i int) (err error) {
 		fetched[i], err = r.fetchPart(ctx, indexes[i], h.Part(indexes[i]))
 		return err
 	})
@@ -226,7 +228,7 @@
 	for i, index := range indexes {
 		parts[index] = fetched[i]
 	}
-	r.pending.keepOnly(nil)
+	r.cache.retain(nil)
 	return parts, nil
 }
 
@@ -237,10 +239,10 @@
 		return nil, nil
 	}
 	key := partKey(index, part)
-	if resources, found := r.pending.get(key); found {
+	if resources, found := r.cache.get(key); found {
 		return resources, nil
 	}
-	content, err := r.fetchNamed(ctx, key, part.Hash)
+	content, err := r.fetchByHash(ctx, key, part.Hash)
 	if err != nil {
 		return nil, err
 	}
@@ -248,6 +250,6 @@
 	if err != nil {
 		return nil, err
 	}
-	r.pending.put(key, resources)
+	r.cache.put(key, resources)
 	return resources, nil
 }
--- a/internal/catalog/repository/reads_test.go
+++ b/internal/catalog/repository/reads_test.go
@@ -11,9 +11,9 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// Every instance reads each change, and the readers read each second. Were a change to cost each of 330
-// instances a read of all 64 parts, it would take the store eleven seconds to serve them.
-func TestCallsOfARefresh(t *testing.T) {
+// Every instance reads each change, and the readers poll each second. If a change cost each of 330
+// instances a read of all 64 parts, the store would need eleven seconds to serve them.
+func TestStoreCallsPerRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := withTimeout(t)
--- a/internal/catalog/repository/repository.go
+++ b/internal/catalog/repository/repository.go
@@ -1,7 +1,8 @@
-// Package repository keeps the configuration in the store and gives an instance its newest Snapshot
-// of it. A change writes immutable values first, the parts and the head that names them, and then swaps
-// the pointer to the head; only the swap counts. Whoever decides when to read (the freshness of an instance) calls Refresh or Await, or lets
-// Run do it; operators and membership change the head through Commit.
+// Package repository stores the configuration and gives an instance its newest Snapshot of it. A change
+// first writes immutable values, the parts and the head that references them, and then swaps the pointer
+// to the head; only the swap makes it effective. The caller that decides when to read (for the instance's
+// freshness) calls Refresh or Await, or runs Run; operators and membership change the head through
+// Commit.
 package repository
 
 import (
@@ -16,47 +17,48 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// HeadKey is where the store keeps the pointer to the head.
+// HeadKey is the store key of the pointer to the head.
 const HeadKey = "head"
 
-// ErrWentBack tells that the store gave a head of a lower revision than one it gave before, or another one of
-// the same revision. Either the read was stale, and the next one is not, or the store has lost
-// writes, and an operator has to look. The instance keeps the head it has, unconfirmed: taking the
-// old one up would bring a withdrawn key back to life.
+// ErrWentBack says that the store returned a head of a lower revision than one it returned before, or
+// another head of the same revision. Either the read was stale, and the next one is not, or the store has
+// lost writes and an operator has to investigate. The instance keeps its head, unconfirmed, because
+// installing the old one would make a withdrawn key valid again.
 var ErrWentBack = errors.New("repository: the store's head is older than the one known")
 
-// ErrPartMissing tells that a part that the head names is not in the store, though the head was read again.
+// ErrPartMissing says that a part that the head references is not in the store, although the head was
+// read again.
 var ErrPartMissing = errors.New("repository: a part of the configuration is missing")
 
-// Snapshot is what an instance knows of the configuration. It is immutable.
+// Snapshot is an instance's immutable copy of the head and the configuration.
 type Snapshot struct {
 	Head          head.Head
 	Configuration configuration.Configuration
-	// ConfirmedAt is when the newest read began that showed this head to be the newest one. It is
-	// zero before the first read.
+	// ConfirmedAt is the start of the latest read that showed this head to be the newest one. It is zero
+	// before the first read.
 	ConfirmedAt time.Time
-	// InForceSince is when this instance took the head up.
+	// InForceSince is when this instance installed the head.
 	InForceSince time.Time
 
-	// storeRevision is the store's own revision of the head's key, for the next swap.
+	// storeRevision is the store's own revision of the head's key, which the next swap expects.
 	storeRevision int64
 }
 
-// Repository keeps the configuration. Set the exported fields before the first call; it is safe for
-// use by many goroutines.
+// Repository stores and reads the configuration. Set the exported fields before the first call; it is
+// safe for concurrent use.
 type Repository struct {
 	// Store is the platform's key-value service.
 	Store store.Store
-	// Writer begins the mark of each swap of this writer. It names the process: an instance and its
+	// Writer is the prefix of this writer's swap IDs. It identifies the process: an instance and its
 	// incarnation.
 	Writer string
-	// PollEvery is how often Run reads the head, and how long it pauses after a failed read; zero
+	// PollEvery is the interval at which Run reads the head, and its pause after a failed read; zero
 	// means DefaultPollEvery.
 	PollEvery time.Duration
-	// WatchFor makes Run watch the head, that long at a time, instead of polling it. A change is then
-	// seen at once, for the price of one call in that time.
+	// WatchFor makes Run watch the head instead of polling it, with this timeout for each watch call.
+	// Changes are then seen at once, at the cost of one call per timeout.
 	WatchFor time.Duration
-	// Log takes a line when reading begins to fail and when it works again.
+	// Log receives an event when reads begin to fail and when they succeed again.
 	Log zerolog.Logger
 
 	mutex       sync.Mutex
@@ -64,11 +66,11 @@
 	advanced    chan struct{}
 	subscribers map[*subscriber]struct{}
 	history     history
-	committing  semaphore
-	pending     pendingParts
+	commitLock  semaphore
+	cache       fetchCache
 }
 
-// Current gives the newest snapshot without reading the store. It is cheap: the path of each request
+// Current returns the newest snapshot without reading the store. It is cheap, because every request
 // begins with it.
 func (r *Repository) Current() Snapshot {
 	r.mutex.Lock()
@@ -76,12 +78,12 @@
 	return r.current
 }
 
-// adopt makes the snapshot the current one, unless a newer one was taken up meanwhile; if both have
-// one head, only the later confirmation is taken over. It gives what is current then.
-func (r *Repository) adopt(next Snapshot) (current Snapshot) {
-	// After a large change the comparison takes long: it is not made with the mutex held, on which
-	// every request waits for a moment.
-	changes := stepBetween(r.Current(), next)
+// install makes the snapshot the current one, unless a newer one was installed in the meantime. If both
+// have the same head, only the later confirmation is kept. It returns the snapshot that is then current.
+func (r *Repository) install(next Snapshot) (current Snapshot) {
+	// The comparison takes long after a large change. It is made without the mutex, which every request
+	// acquires briefly.
+	changes := diffSnapshots(r.Current(), next)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	loaded := !r.current.InForceSince.IsZero()
@@ -92,18 +94,18 @@
 		return r.current
 	}
 	if changes.from != r.current.Head.Revision {
-		changes = stepBetween(r.current, next)
+		changes = diffSnapshots(r.current, next)
 	}
 	if loaded {
 		r.history.record(changes)
 	}
 	next.InForceSince = time.Now()
 	r.current = next
-	r.tell()
+	r.notifySubscribers()
 	return next
 }
 
-// confirmCurrent takes over what a later read of the same head says; it is called with the mutex held.
+// confirmCurrent records a later read of the same head; the mutex must be held.
 func (r *Repository) confirmCurrent(next Snapshot) {
 	if next.ConfirmedAt.After(r.current.ConfirmedAt) {
 		r.current.ConfirmedAt = next.ConfirmedAt
@@ -111,9 +113,9 @@
 	r.current.storeRevision = max(r.current.storeRevision, next.storeRevision)
 }
 
-// notOlder fails with ErrWentBack unless the pointer, which was read from the store, is to the head
-// known when the read began or to one that follows it.
-func notOlder(known head.Head, p head.Pointer) error {
+// checkNotOlder returns ErrWentBack unless the pointer, which was read from the store, references the head
+// known when the read began or a later one.
+func checkNotOlder(known head.Head, p head.Pointer) error {
 	if p.Revision < known.Revision {
 		return errors.WithMessagef(ErrWentBack, "revision %d after %d", p.Revision, known.Revision)
 	}
@@ -125,13 +127,14 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// subscriber is a ring of one: a slow reader misses snapshots in between but always finds the newest.
+// subscriber is a channel of capacity one: a slow reader misses intermediate snapshots but always
+// receives the newest.
 type subscriber struct {
 	snapshots chan Snapshot
 }
 
-// Subscribe gives a channel on which each new snapshot is told, the current one first. Only the newest
-// is kept for a reader that is behind. Confirmations alone are not told. stop ends it.
+// Subscribe returns a channel that receives each new snapshot, starting with the current one. A slow
+// reader receives only the newest. Confirmations alone are not sent. stop ends the subscription.
 func (r *Repository) Subscribe() (snapshots <-chan Snapshot, stop func()) {
 	s := &subscriber{snapshots: make(chan Snapshot, 1)}
 	r.mutex.Lock()
@@ -152,8 +155,9 @@
 	delete(r.subscribers, s)
 }
 
-// tell is called with the mutex held, so that nobody else puts into the rings.
-func (r *Repository) tell() {
+// notifySubscribers sends the current snapshot to the subscribers. The mutex must be held, so that
+// nothing else sends to the channels.
+func (r *Repository) notifySubscribers() {
 	for s := range r.subscribers {
 		select {
 		case <-s.snapshots:
@@ -167,8 +171,8 @@
 	}
 }
 
-// currentAndAdvanced gives the current snapshot and a channel that is closed when there is a newer one.
-func (r *Repository) currentAndAdvanced() (current Snapshot, advanced <-chan struct{}) {
+// currentAndNext returns the current snapshot and a channel that is closed when there is a newer one.
+func (r *Repository) currentAndNext() (current Snapshot, advanced <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.advanced == nil {
--- a/internal/catalog/repository/repository_history_test.go
+++ b/internal/catalog/repository/repository_history_test.go
@@ -22,15 +22,16 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// Everything that goes wrong with the store comes in any order, at several instances: outages, lost
-// answers, lost and late writes, stale reads, sweeps, instances that join late. A user notices an error
-// here as a change that was told to be accepted and is gone, or one told to have failed and is there.
+// Applies store faults in any order at several instances: outages, lost responses, lost and late writes,
+// stale reads, sweeps, and instances that join late. A user would notice a bug here as a change that was
+// reported as accepted and is missing, or one reported as failed that took effect.
 //
 // The oracle is the list of accepted configurations. A change that was accepted is the next one in it;
-// one that was refused is not in it; one whose outcome was unknown may be, as the store itself shows.
+// one that was refused is not in it; one whose outcome was unknown may be, as determined by reading the
+// store.
 func TestRepositoryAgainstOracle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubble{t}, func(t *rapid.T) {
+		rapid.Check(withoutDeadline{t}, func(t *rapid.T) {
 			m := &machine{kv: &store.Memory{}, accepted: []map[string]float64{{}}}
 			m.join(t)
 			t.Repeat(map[string]func(*rapid.T){
@@ -42,9 +43,9 @@
 				"sweep":   m.sweep,
 				"join":    m.join,
 				"fault":   m.fault,
-				"mend":    m.mend,
+				"mend":    m.clearFaults,
 			})
-			m.mend(t)
+			m.clearFaults(t)
 			m.kv.StaleReads(0)
 			for _, r := range m.instances {
 				m.read(t, r)
@@ -53,22 +54,22 @@
 	})
 }
 
-// bubble hides the test's deadline, which rapid would ask for and synctest does not allow.
-type bubble struct{ rapid.TB }
+// withoutDeadline hides the test's deadline, which rapid would query and synctest does not allow.
+type withoutDeadline struct{ rapid.TB }
 
 type machine struct {
 	kv        *store.Memory
 	instances []*repository.Repository
 	seen      []int64
-	// accepted holds the rates by workspace as of each revision.
+	// accepted holds the rates by workspace at each revision.
 	accepted []map[string]float64
 }
 
-func (m *machine) any(t *rapid.T) *repository.Repository {
+func (m *machine) anyInstance(t *rapid.T) *repository.Repository {
 	return m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")]
 }
 
-func (m *machine) name(t *rapid.T) string {
+func (m *machine) anyWorkspace(t *rapid.T) string {
 	return rapid.SampledFrom([]string{"v", "w", "x"}).Draw(t, "workspace")
 }
 
@@ -82,7 +83,7 @@
 func (m *machine) newest() map[string]float64 { return m.accepted[len(m.accepted)-1] }
 
 func (m *machine) declare(t *rapid.T) {
-	r, name, rate := m.any(t), m.name(t), float64(rapid.IntRange(1, 5).Draw(t, "rate"))
+	r, name, rate := m.anyInstance(t), m.anyWorkspace(t), float64(rapid.IntRange(1, 5).Draw(t, "rate"))
 	expected := configuration.AnyVersion
 	if rapid.Bool().Draw(t, "stated") {
 		if w, found := r.Current().Configuration.Workspace(name); found {
@@ -94,11 +95,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	revision, err := declare(ctx, r, workspace(name, rate), expected)
-	m.outcome(t, r, revision, err, next)
+	m.recordOutcome(t, r, revision, err, next)
 }
 
 func (m *machine) remove(t *rapid.T) {
-	r, name := m.any(t), m.name(t)
+	r, name := m.anyInstance(t), m.anyWorkspace(t)
 	next := maps.Clone(m.newest())
 	delete(next, name)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -107,36 +108,36 @@
 		id := resource.ID{Kind: resource.KindWorkspace, Name: name}
 		return configuration.Change{configuration.Remove{ID: id, Expected: configuration.AnyVersion}}, nil
 	})
-	m.outcome(t, r, revision, err, next)
+	m.recordOutcome(t, r, revision, err, next)
 }
 
 func (m *machine) member(t *rapid.T) {
-	r := m.any(t)
+	r := m.anyInstance(t)
 	incarnation := fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	revision, err := r.CommitHead(ctx, func(h head.Head) (head.Head, error) {
 		return h.WithMember(head.Member{Name: "member", Incarnation: incarnation}), nil
 	})
-	m.outcome(t, r, revision, err, m.newest())
+	m.recordOutcome(t, r, revision, err, m.newest())
 }
 
-// outcome takes down what a change was told to have done. Only one change runs at a time, so the next
+// recordOutcome records the reported outcome of a change. Only one change runs at a time, so the next
 // revision can only be its own.
-func (m *machine) outcome(
+func (m *machine) recordOutcome(
 	t *rapid.T, r *repository.Repository, revision int64, err error, next map[string]float64,
 ) {
 	before := int64(len(m.accepted) - 1)
 	var conflicts configuration.Conflicts
 	switch {
-	case err == nil && revision == before: // it changed nothing
+	case err == nil && revision == before: // a no-op
 	case err == nil && revision == before+1:
 		m.accepted = append(m.accepted, next)
 	case err == nil:
 		t.Fatalf("accepted as revision %d after %d", revision, before)
 	case errors.As(err, &conflicts):
 	case errors.Is(err, store.ErrUnknown):
-		m.settle(next)
+		m.resolveUnknown(next)
 	case !errors.Is(err, store.ErrUnavailable):
 		t.Fatalf("unexpected error: %v", err)
 	}
@@ -145,9 +146,9 @@
 	}
 }
 
-// settle looks into the store, past all faults, after an unknown outcome. Late writes have arrived
-// by then or never take effect.
-func (m *machine) settle(next map[string]float64) {
+// resolveUnknown clears all faults and reads the store after an unknown outcome. By then late writes have
+// arrived or never take effect.
+func (m *machine) resolveUnknown(next map[string]float64) {
 	m.kv.SetOutage(false)
 	m.kv.StaleReads(0)
 	m.kv.LateWrites(0, 0)
@@ -161,16 +162,16 @@
 }
 
 func (m *machine) refresh(t *rapid.T) {
-	r := m.any(t)
-	began := time.Now()
+	r := m.anyInstance(t)
+	startedAt := time.Now()
 	snapshot, err := r.Refresh(context.Background())
-	if err == nil && snapshot.ConfirmedAt.After(began.Add(time.Millisecond)) {
-		t.Fatal("confirmed as of a moment after the read began")
+	if err == nil && snapshot.ConfirmedAt.After(startedAt.Add(time.Millisecond)) {
+		t.Fatal("the snapshot is confirmed as of a time after the read began")
 	}
 }
 
 func (m *machine) sweep(t *rapid.T) {
-	s := &repository.Sweeper{Repository: m.any(t), Grace: time.Second}
+	s := &repository.Sweeper{Repository: m.anyInstance(t), Grace: time.Second}
 	for range 2 {
 		for index := range repository.SweepIndexes {
 			_, _ = s.Sweep(context.Background(), index)
@@ -195,15 +196,15 @@
 	}
 }
 
-func (m *machine) mend(*rapid.T) {
+func (m *machine) clearFaults(*rapid.T) {
 	m.kv.SetOutage(false)
 	m.kv.LoseAnswers(0)
 	m.kv.LoseRequests(0)
 	m.kv.LateWrites(0, 0)
 }
 
-// check holds every instance to the oracle: its revision never falls, and what it has in force is
-// what was accepted as that revision.
+// check compares every instance with the oracle: its revision never falls, and its configuration is the
+// one that was accepted as that revision.
 func (m *machine) check(t *rapid.T) {
 	for i, r := range m.instances {
 		current := r.Current()
@@ -216,50 +217,50 @@
 			t.Fatalf("instance %d has revision %d, which was not accepted", i, revision)
 		}
 		if found := rates(current.Configuration); !maps.Equal(found, m.accepted[revision]) {
-			t.Fatalf("instance %d has %v as revision %d, accepted was %v", i, found, revision, m.accepted[revision])
+			t.Fatalf("instance %d has %v as revision %d, but %v was accepted", i, found, revision, m.accepted[revision])
 		}
 	}
 }
 
 func (m *machine) read(t *rapid.T, r *repository.Repository) {
 	if _, err := r.Refresh(context.Background()); err != nil {
-		t.Fatalf("the store works, but it cannot be read: %v", err)
+		t.Fatalf("the store is available, but a read fails: %v", err)
 	}
 	if r.Current().Head.Revision != int64(len(m.accepted)-1) {
-		t.Fatalf("revision %d after a read, accepted was %d", r.Current().Head.Revision, len(m.accepted)-1)
+		t.Fatalf("revision %d after a read, but the accepted one is %d", r.Current().Head.Revision, len(m.accepted)-1)
 	}
 	m.check(t)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// slow takes a random time before and after each call, so that calls of several writers overlap.
-type slow struct {
+// slowStore delays each call by a random time before and after, so that calls of several writers overlap.
+type slowStore struct {
 	store.Store
 	random *rand.Rand
 	mutex  sync.Mutex
 }
 
-func (s *slow) pause() {
+func (s *slowStore) delay() {
 	s.mutex.Lock()
 	pause := time.Duration(s.random.IntN(5)) * time.Millisecond
 	s.mutex.Unlock()
 	time.Sleep(pause)
 }
 
-func (s *slow) Get(ctx context.Context, key string) (store.Entry, error) {
-	s.pause()
-	defer s.pause()
+func (s *slowStore) Get(ctx context.Context, key string) (store.Entry, error) {
+	s.delay()
+	defer s.delay()
 	return s.Store.Get(ctx, key)
 }
 
-func (s *slow) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte) (store.Entry, error) {
-	s.pause()
-	defer s.pause()
+func (s *slowStore) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte) (store.Entry, error) {
+	s.delay()
+	defer s.delay()
 	return s.Store.CompareAndSwap(ctx, key, expected, value)
 }
 
-// change and look are the operations of the history; outcome is the revision, or unknown.
+// operation is a change or a read in the history; outcome is its revision, or unknown.
 type operation struct{ change bool }
 
 type outcome struct {
@@ -267,7 +268,7 @@
 	unknown  bool
 }
 
-// headModel is a counter: each change makes the next revision, and a look gives the current one.
+// headModel is a counter: each change makes the next revision, and a read returns the current one.
 var headModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
@@ -285,9 +286,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// Many instances change the configuration at the same time while answers are lost. The history of
-// changes and reads must be one that a single instance could have shown; otherwise an operator who was
-// told that a change is accepted could read the configuration without it at the next instance.
+// Many instances change the configuration concurrently while responses are lost. The history of changes
+// and reads must be linearizable. Otherwise an operator whose change was reported as accepted could read
+// a configuration without it at the next instance.
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -300,17 +301,17 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(seed, 0))
 	kv := &store.Memory{}
-	shared := &slow{Store: kv, random: random}
-	began := time.Now()
+	shared := &slowStore{Store: kv, random: random}
+	startedAt := time.Now()
 	var mutex sync.Mutex
 	var history []porcupine.Operation
 	changed := map[string]bool{}
-	note := func(client int, in operation, call time.Duration, out outcome) {
+	record := func(client int, in operation, call time.Duration, out outcome) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		end := int64(time.Since(began))
+		end := int64(time.Since(startedAt))
 		if out.unknown {
-			end = int64(time.Hour) // it may take effect at any time after
+			end = int64(time.Hour) // it may take effect at any later time
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: client, Input: in, Call: int64(call), Output: out, Return: end,
@@ -322,20 +323,20 @@
 		group.Go(func() {
 			for i := range 6 {
 				name := fmt.Sprintf("w-%d-%d", client, i)
-				call := time.Since(began)
+				call := time.Since(startedAt)
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				revision, err := declare(ctx, r, workspace(name, 1), configuration.MustBeNew)
 				cancel()
 				unknown := errors.Is(err, store.ErrUnknown)
 				if err == nil || unknown {
-					note(client, operation{change: true}, call, outcome{revision: revision, unknown: unknown})
+					record(client, operation{change: true}, call, outcome{revision: revision, unknown: unknown})
 				}
 				mutex.Lock()
 				changed[name] = err == nil
 				mutex.Unlock()
-				call = time.Since(began)
+				call = time.Since(startedAt)
 				if snapshot, err := r.Refresh(context.Background()); err == nil {
-					note(client, operation{}, call, outcome{revision: snapshot.Head.Revision})
+					record(client, operation{}, call, outcome{revision: snapshot.Head.Revision})
 				}
 			}
 		})
--- a/internal/catalog/repository/repository_test.go
+++ b/internal/catalog/repository/repository_test.go
@@ -17,13 +17,13 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// hooked calls before ahead of each swap.
-type hooked struct {
+// hookedStore calls before ahead of each compare-and-swap.
+type hookedStore struct {
 	store.Store
 	before func(key string)
 }
 
-func (h *hooked) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte) (store.Entry, error) {
+func (h *hookedStore) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte) (store.Entry, error) {
 	if h.before != nil {
 		h.before(key)
 	}
@@ -34,7 +34,7 @@
 	return resource.Workspace{Meta: resource.Meta{Name: name}, Rate: rate, Burst: 1, Weight: 1}
 }
 
-// declare accepts one workspace, made on the expected version.
+// declare commits one workspace, based on the expected version.
 func declare(ctx context.Context, r *repository.Repository, w resource.Workspace, expected int64) (int64, error) {
 	return r.Apply(ctx, func(configuration.Configuration) (configuration.Change, error) {
 		return configuration.Change{configuration.Declare{Resource: w, Expected: expected}}, nil
@@ -51,7 +51,7 @@
 	return found
 }
 
-// withTimeout bounds a call on the paused clock.
+// withTimeout bounds a call on the fake clock.
 func withTimeout(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -59,20 +59,21 @@
 	return ctx
 }
 
-// The store takes a write and its answer is lost, or the write itself is, or it arrives after the
-// writer has given up waiting. Whatever happens, the operator must be told what became of the change:
-// a user would otherwise see a key that was "not withdrawn" refused, or make a change twice.
-func TestLostAnswersAreSettled(t *testing.T) {
+// A write takes effect but its response is lost, or the request is lost, or it arrives after the writer's
+// timeout. The operator must always get the true outcome of the change. Otherwise a user would see a key
+// refused that was reported as "not withdrawn", or a change would be made twice.
+func TestLostResponsesAreResolved(t *testing.T) {
 	cases := []struct {
 		name string
-		// head: the swap of the head is hit; otherwise the write of a part.
+		// head says that the fault hits the swap of the head; otherwise it hits the write of a part or a
+		// whole head.
 		head  bool
 		fault func(kv *store.Memory)
 	}{
-		{"part: answers lost", false, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"part: responses lost", false, func(kv *store.Memory) { kv.LoseAnswers(4) }},
 		{"part: requests lost", false, func(kv *store.Memory) { kv.LoseRequests(4) }},
 		{"part: requests late", false, func(kv *store.Memory) { kv.LateWrites(4, 3) }},
-		{"answers lost", true, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"responses lost", true, func(kv *store.Memory) { kv.LoseAnswers(4) }},
 		{"requests lost", true, func(kv *store.Memory) { kv.LoseRequests(4) }},
 		{"requests late by one call", true, func(kv *store.Memory) { kv.LateWrites(2, 1) }},
 		{"requests late by two calls", true, func(kv *store.Memory) { kv.LateWrites(2, 2) }},
@@ -82,7 +83,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is, ctx, kv := is.New(t), withTimeout(t), &store.Memory{}
-				h := &hooked{Store: kv}
+				h := &hookedStore{Store: kv}
 				r := &repository.Repository{Store: h, Writer: "a"}
 				_, err := declare(ctx, r, workspace("w", 1), configuration.MustBeNew)
 				is.NoErr(err)
@@ -95,7 +96,7 @@
 				revision, err := declare(ctx, r, workspace("w", 2), 1)
 				is.NoErr(err)
 				is.Equal(revision, int64(2))
-				for range 6 { // whatever is still late arrives now
+				for range 6 { // delayed writes arrive now
 					_, err = r.Refresh(ctx)
 					is.NoErr(err)
 				}
@@ -106,12 +107,12 @@
 	}
 }
 
-// The store goes down after a swap was sent and stays down: the outcome is not known and must be told
-// so, never as a failure that changed nothing.
-func TestOutageAfterALostAnswerIsUnknown(t *testing.T) {
+// The store fails after a swap was sent and stays down. The outcome is unknown and must be reported so,
+// never as a failure that changed nothing.
+func TestOutageAfterALostResponseIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, kv := is.New(t), &store.Memory{}
-		h := &hooked{Store: kv}
+		h := &hookedStore{Store: kv}
 		r := &repository.Repository{Store: h, Writer: "a"}
 		h.before = func(key string) {
 			if key == repository.HeadKey {
@@ -129,9 +130,9 @@
 	})
 }
 
-// A reconnect brings an instance to a copy of the store that lags. Were the old head taken up, a
-// withdrawn key would work again until the next read.
-func TestStaleReadsAreNotTakenUp(t *testing.T) {
+// A reconnect leads an instance to a lagging replica of the store. If the instance installed the old
+// head, a withdrawn key would be valid again until the next read.
+func TestStaleReadsAreNotInstalled(t *testing.T) {
 	is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 	r := &repository.Repository{Store: kv, Writer: "a"}
 	_, err := declare(ctx, r, workspace("w", 1), configuration.MustBeNew)
@@ -143,23 +144,23 @@
 	_, err = r.Refresh(ctx)
 	is.True(errors.Is(err, repository.ErrWentBack))
 	is.Equal(r.Current().Head.Revision, int64(2))
-	is.Equal(r.Current().ConfirmedAt, confirmed) // and it confirms nothing
+	is.Equal(r.Current().ConfirmedAt, confirmed) // the stale read confirms nothing
 	kv.StaleReads(2)
-	_, err = declare(ctx, r, workspace("w", 3), 2) // nor does a change build on it
+	_, err = declare(ctx, r, workspace("w", 3), 2) // nor is a change based on it
 	is.NoErr(err)
 }
 
-// Two operators at two instances change the same workspace on the same version.
-func TestRacingOperators(t *testing.T) {
+// Two operators at two instances change the same version of the same workspace.
+func TestConcurrentChangesConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx, kv := is.New(t), withTimeout(t), &store.Memory{}
 		first := &repository.Repository{Store: kv, Writer: "a"}
 		_, err := declare(ctx, first, workspace("w", 1), configuration.MustBeNew)
 		is.NoErr(err)
-		h := &hooked{Store: kv}
+		h := &hookedStore{Store: kv}
 		second := &repository.Repository{Store: h, Writer: "b"}
 		h.before = func(key string) {
-			if key == repository.HeadKey { // the first one swaps just before the second one does
+			if key == repository.HeadKey { // the first operator's swap comes just before the second one's
 				h.before = nil
 				_, err := declare(ctx, first, workspace("w", 2), 1)
 				is.NoErr(err)
@@ -171,7 +172,7 @@
 		var conflicts configuration.Conflicts
 		is.True(errors.As(err, &conflicts))
 		revision, err := declare(ctx, second, workspace("third", 3), configuration.MustBeNew)
-		is.NoErr(err) // one that does not touch the same resource goes through
+		is.NoErr(err) // a change of another resource is accepted
 		is.Equal(revision, int64(4))
 		is.Equal(rates(second.Current().Configuration), map[string]float64{"w": 2, "other": 7, "third": 3})
 	})
@@ -197,7 +198,7 @@
 	is.Equal(r.Current().Head.Epoch, int64(0))
 	is.Equal(apply(upstream), r.Current().Head.Epoch)
 	before := r.Current().Head.Epoch
-	is.Equal(apply(upstream), before) // nothing changed, nothing is written
+	is.Equal(apply(upstream), before) // an unchanged declaration makes no new revision
 	apply(upstream.WithLeaving(true))
 	is.Equal(r.Current().Head.Epoch, before)
 	revision, err := r.CommitHead(ctx, func(h head.Head) (head.Head, error) {
@@ -230,11 +231,11 @@
 	is.True(complete)
 	is.Equal(len(changed), 2)
 	_, _, complete = reader.ChangesAfter(ctx, 0)
-	is.True(!complete) // it was not there yet
+	is.True(!complete) // the reader loaded revision 1, so it has no changes since revision 0
 }
 
-// An instance reads by watch alone while another changes the configuration: it learns of each change
-// at once, and its confirmations go on while nothing changes, for one call in each wait.
+// An instance that only watches must see another instance's changes at once, and must keep confirming its
+// snapshot while nothing changes, with one call per watch timeout.
 func TestRunByWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, kv := is.New(t), &store.Memory{}
@@ -259,11 +260,11 @@
 	})
 }
 
-// A new instance's first read shows an old head, in which a workspace has the rate that the operator
-// asks for; a later change, which the read does not show, has given it another. Told that nothing need
-// be changed, she would believe a rate to be in force that is not. The oracle test found this once, as
-// "accepted as revision 1 after 2".
-func TestUnchangedOnAStaleReadIsLookedAtAgain(t *testing.T) {
+// A new instance's first read is stale: it shows a head in which a workspace has the rate that the
+// operator requests, while a later change has given it another rate. If the instance reported that
+// nothing has to be changed, the operator would believe that a rate is in force that is not. The oracle
+// test found this once, as "accepted as revision 1 after 2".
+func TestNoOpChangeOnAStaleReadIsRetried(t *testing.T) {
 	is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 	first := &repository.Repository{Store: kv, Writer: "a"}
 	for i, rate := range []float64{1, 2} {
--- a/internal/catalog/repository/run.go
+++ b/internal/catalog/repository/run.go
@@ -1,4 +1,4 @@
-// Reading on and on, for whoever does not decide itself when to read.
+// Continuous reads, for callers that do not decide themselves when to read.
 
 package repository
 
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// Run reads the head again and again, by watch if WatchFor is set and by poll if not, until the
-// context ends. A failed read is tried again after PollEvery.
+// Run reads the head repeatedly, by watch if WatchFor is set and by polling otherwise, until the context
+// ends. A failed read is retried after PollEvery.
 func (r *Repository) Run(ctx context.Context) error {
 	failing := false
 	for ctx.Err() == nil {
-		err := r.step(ctx)
+		err := r.readOnce(ctx)
 		if (err != nil) != failing && ctx.Err() == nil {
 			failing = err != nil
-			r.logTurn(err)
+			r.logReadState(err)
 		}
 	}
 	return nil
 }
 
-// step reads once and pauses where the read itself did not wait.
-func (r *Repository) step(ctx context.Context) error {
+// readOnce reads once and pauses if the read itself did not wait.
+func (r *Repository) readOnce(ctx context.Context) error {
 	if r.WatchFor > 0 && r.Current().Head.Revision > 0 {
 		_, err := r.Await(ctx, r.WatchFor)
 		if err == nil {
 			return nil
 		}
-		_ = sleep(ctx, r.pollEvery())
+		_ = sleepWithJitter(ctx, r.pollInterval())
 		return err
 	}
 	_, err := r.Refresh(ctx)
-	_ = sleep(ctx, r.pollEvery())
+	_ = sleepWithJitter(ctx, r.pollInterval())
 	return err
 }
 
-// logTurn writes a line when reading begins to fail or works again, not for each read.
-func (r *Repository) logTurn(err error) {
+// logReadState logs when reads begin to fail or succeed again, not each read.
+func (r *Repository) logReadState(err error) {
 	if err != nil {
 		r.Log.Warn().Err(err).Msg("ConfigurationUnreadable")
 		return
@@ -45,7 +45,7 @@
 	r.Log.Info().Int64("Revision", r.Current().Head.Revision).Msg("ConfigurationReadable")
 }
 
-func (r *Repository) pollEvery() time.Duration {
+func (r *Repository) pollInterval() time.Duration {
 	if r.PollEvery > 0 {
 		return r.PollEvery
 	}
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -1,4 +1,4 @@
-// Deleting parts that no head names any more.
+// Garbage collection of parts and heads that are no longer referenced.
 
 package repository
 
@@ -14,35 +14,36 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// DefaultGrace is how long a part stays after it was first seen to be named by no head. It is for
-// readers that have read the old head and are fetching its parts. One that is slower finds a part
-// missing and reads the head again, so the time only spares them that.
+// DefaultGrace is how long a part is kept after it was first seen to be unreferenced. It is for readers
+// that have read the old head and are fetching its parts. A reader that takes longer finds a part missing
+// and reads the head again, so the grace period only avoids that extra read.
 const DefaultGrace = 10 * time.Minute
 
-// DefaultSweepEvery is how often Run looks at the parts of one index. All of them take an hour then, in
-// which some 40 changes leave as many parts behind at 1,000 changes a day, and a sweep reads the 300 kB
-// of one index a minute.
+// DefaultSweepEvery is the interval at which Run sweeps the parts of one index. Sweeping all of them
+// takes an hour. At 1,000 changes a day about 40 changes leave as many unreferenced parts behind in that
+// time. A sweep reads the 300 kB of one index a minute.
 const DefaultSweepEvery = time.Minute
 
-// SweepIndexes is how many indexes there are to sweep: one for each part, and the last one for heads.
+// SweepIndexes is the number of indexes to sweep: one for each part, and the last one for heads.
 const SweepIndexes = head.PartCount + 1
 
-// Sweeper deletes parts that no head names any more, and heads that were replaced. Several at a time do no harm. Set the exported
-// fields before the first call.
+// Sweeper deletes parts that are no longer referenced by the head, and heads that were replaced. Several
+// sweepers at a time do no harm. Set the exported fields before the first call.
 type Sweeper struct {
 	Repository *Repository
-	// Grace is how long a part is left after it was first seen to be unnamed; zero means DefaultGrace.
+	// Grace is how long a part is kept after it was first seen to be unreferenced; zero means
+	// DefaultGrace.
 	Grace time.Duration
-	// Every is how often Run sweeps an index; zero means DefaultSweepEvery.
+	// Every is the interval at which Run sweeps an index; zero means DefaultSweepEvery.
 	Every time.Duration
-	// Chosen tells whether this instance is the one to sweep now; nil means always.
+	// Chosen reports whether this instance has the duty to sweep now; nil means always.
 	Chosen func() bool
 
-	unnamedSince map[string]time.Time
+	unreferencedSince map[string]time.Time
 }
 
-// Run sweeps one index after the other until the context ends. What cannot be swept now, because the
-// store is down, comes round again.
+// Run sweeps one index after the other until the context ends. An index that cannot be swept because the
+// store is unavailable is swept again in the next round.
 func (s *Sweeper) Run(ctx context.Context) error {
 	every := s.Every
 	if every <= 0 {
@@ -75,67 +76,68 @@
 	}
 }
 
-// Sweep looks at the parts, or heads, of one index, lists them with one call, and deletes those that have been
-// unnamed for Grace. A part written for a revision above the head's is left alone: its writer may be
-// about to swap the head. At or below it, no swap that names the part can succeed any more, so it is
-// deleted safely however long its writer was paused.
+// Sweep lists the parts, or heads, of one index with one call and deletes those that have been
+// unreferenced for the grace period. A part written for a revision above the head's is kept, because its
+// writer may be about to swap the head. At or below the head's revision, no swap to a head that
+// references the part can succeed any more, so it is safe to delete however long its writer was paused.
 func (s *Sweeper) Sweep(ctx context.Context, index int) (deleted int, err error) {
 	defer func() { err = errors.WithMessage(err, "sweep parts") }()
 	snapshot, err := s.Repository.Refresh(ctx)
 	if err != nil {
 		return 0, err
 	}
-	named, err := namedKey(index, snapshot.Head)
+	referenced, err := referencedKey(index, snapshot.Head)
 	if err != nil {
 		return 0, err
 	}
-	entries, err := s.Repository.Store.List(ctx, sweepPrefix(index))
+	entries, err := s.Repository.Store.List(ctx, indexPrefix(index))
 	if err != nil {
 		return 0, err
 	}
 	for _, entry := range entries {
-		if entry.Key == named || !s.due(entry.Key, sweepPrefix(index), snapshot.Head.Revision) {
+		if entry.Key == referenced || !s.isDue(entry.Key, indexPrefix(index), snapshot.Head.Revision) {
 			continue
 		}
 		err := s.Repository.Store.Delete(ctx, entry.Key, entry.Revision)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return deleted, err
 		}
-		delete(s.unnamedSince, entry.Key)
+		delete(s.unreferencedSince, entry.Key)
 		deleted++
 	}
 	return deleted, nil
 }
 
-// sweepPrefix begins the keys of one index.
-func sweepPrefix(index int) string {
+// indexPrefix returns the prefix of the keys of one index.
+func indexPrefix(index int) string {
 	if index < head.PartCount {
 		return partPrefix(index)
 	}
 	return headPrefix
 }
 
-// namedKey is the key of an index that is in use.
-func namedKey(index int, h head.Head) (key string, err error) {
+// referencedKey returns the key of an index that is referenced.
+func referencedKey(index int, h head.Head) (key string, err error) {
 	if index < head.PartCount {
 		return partKey(index, h.Part(index)), nil
 	}
-	_, pointer, err := encoded(h)
-	return wholeKey(pointer), err
+	_, pointer, err := encodeHead(h)
+	return wholeHeadKey(pointer), err
 }
 
-// due tells whether a value that is not in use has been so for long enough, and notes since when it is.
-func (s *Sweeper) due(key, prefix string, current int64) bool {
+// isDue reports whether an unreferenced value has been so for the grace period, and records when it was
+// first seen to be unreferenced.
+func (s *Sweeper) isDue(key, prefix string, current int64) bool {
 	revision, valid := revisionOf(key, prefix)
 	if !valid || revision > current {
 		return false
 	}
-	if s.unnamedSince == nil {
-		s.unnamedSince = map[string]time.Time{}
+	if s.unreferencedSince == nil {
+		s.unreferencedSince = map[string]time.Time{}
 	}
-	since, known := s.unnamedSince[key]
+	since, known := s.unreferencedSince[key]
 	if !known {
-		s.unnamedSince[key] = time.Now()
+		s.unreferencedSince[key] = time.Now()
 		return false
 	}
 	return time.Since(since) >= s.grace()
@@ -148,7 +150,7 @@
 	return DefaultGrace
 }
 
-// revisionOf reads the revision that a value was written for out of its key.
+// revisionOf extracts the revision that a value was written for from its key.
 func revisionOf(key, prefix string) (revision int64, valid bool) {
 	rest, found := strings.CutPrefix(key, prefix)
 	if !found {
