--- a/internal/catalog/head/head.go
+++ b/internal/catalog/head/head.go
@@ -11,10 +11,10 @@
 // megabyte per value, and the head that references the parts stays at a few kilobytes.
 const PartCount = 64
 
-// MaxChanges is the number of recent swaps that the head records. A writer that did not receive the
+// MaxRecentSwaps is the number of recent swaps that the head records. A writer that did not receive the
 // response to its swap looks for its swap ID here. It cannot learn the outcome if more swaps than this
 // were made in the meantime. At 1,000 changes a day the record spans more than an hour.
-const MaxChanges = 64
+const MaxRecentSwaps = 64
 
 // Part references one immutable part. Revision is the head revision that the part was written for. Hash
 // is the SHA-256 of its content in lower-case hex, empty for a part without resources. A part whose
@@ -37,9 +37,9 @@
 	Since       int64
 }
 
-// Change records one swap: its ID, which is unique to the writer's attempt, and the revision it made.
-type Change struct {
-	Mark     string
+// SwapRecord records one swap: its ID, which is unique to the writer's attempt, and the revision it made.
+type SwapRecord struct {
+	SwapID   string
 	Revision int64
 }
 
@@ -48,11 +48,11 @@
 // members or of the upstreams' names, addresses and data centres; it is the fencing token of orders to
 // engines. Parts has PartCount entries or, before the first swap, none.
 type Head struct {
-	Revision int64
-	Epoch    int64
-	Parts    []Part
-	Members  []Member
-	Changes  []Change
+	Revision    int64
+	Epoch       int64
+	Parts       []Part
+	Members     []Member
+	RecentSwaps []SwapRecord
 }
 
 // Pointer is the value that is swapped. It references the whole head, which is stored separately like the
@@ -65,12 +65,12 @@
 	Hash     string
 }
 
-// LastMark returns the ID of the swap that made this head, or "" before the first.
-func (h Head) LastMark() string {
-	if len(h.Changes) == 0 {
+// LastSwapID returns the ID of the swap that made this head, or "" before the first.
+func (h Head) LastSwapID() string {
+	if len(h.RecentSwaps) == 0 {
 		return ""
 	}
-	return h.Changes[len(h.Changes)-1].Mark
+	return h.RecentSwaps[len(h.RecentSwaps)-1].SwapID
 }
 
 // Part returns the reference to a part, the empty Part if there is none.
@@ -91,11 +91,11 @@
 	return Member{}, false
 }
 
-// Marked returns the revision that the swap with the given ID made, if the swap is among the recorded
+// FindSwap returns the revision that the swap with the given ID made, if the swap is among the recorded
 // ones.
-func (h Head) Marked(mark string) (revision int64, found bool) {
-	for _, c := range h.Changes {
-		if c.Mark == mark {
+func (h Head) FindSwap(mark string) (revision int64, found bool) {
+	for _, c := range h.RecentSwaps {
+		if c.SwapID == mark {
 			return c.Revision, true
 		}
 	}
@@ -155,11 +155,11 @@
 // WithSwap completes the next head: it raises the revision by one and records the swap's ID.
 func (h Head) WithSwap(mark string) Head {
 	h.Revision++
-	changes := append(slices.Clone(h.Changes), Change{Mark: mark, Revision: h.Revision})
-	if len(changes) > MaxChanges {
-		changes = changes[len(changes)-MaxChanges:]
+	changes := append(slices.Clone(h.RecentSwaps), SwapRecord{SwapID: mark, Revision: h.Revision})
+	if len(changes) > MaxRecentSwaps {
+		changes = changes[len(changes)-MaxRecentSwaps:]
 	}
-	h.Changes = changes
+	h.RecentSwaps = changes
 	return h
 }
 
@@ -167,7 +167,7 @@
 func (h Head) Equal(other Head) bool {
 	return h.Revision == other.Revision && h.Epoch == other.Epoch &&
 		slices.Equal(h.Parts, other.Parts) && slices.Equal(h.Members, other.Members) &&
-		slices.Equal(h.Changes, other.Changes)
+		slices.Equal(h.RecentSwaps, other.RecentSwaps)
 }
 
 func (h Head) withoutMember(name string) Head {
--- a/internal/catalog/repository/commit.go
+++ b/internal/catalog/repository/commit.go
@@ -80,7 +80,7 @@
 	defer r.commitLock.release()
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		base, err := r.Refresh(ctx)
-		if err != nil && !errors.Is(err, ErrWentBack) {
+		if err != nil && !errors.Is(err, ErrRevisionRegressed) {
 			return 0, err
 		}
 		if err == nil {
@@ -130,7 +130,7 @@
 		return nil, head.Pointer{}, nil
 	}
 	encodedHead, err = codec.EncodeHead(h)
-	return encodedHead, head.Pointer{Revision: h.Revision, Mark: h.LastMark(), Hash: codec.HashOf(encodedHead)}, err
+	return encodedHead, head.Pointer{Revision: h.Revision, Mark: h.LastSwapID(), Hash: codec.HashOf(encodedHead)}, err
 }
 
 // confirmHead replaces the head with itself. The read that a commit began with may have been stale if the
@@ -274,11 +274,11 @@
 		startedAt := time.Now()
 		entry, h, err := r.readPointerAndHead(ctx)
 		if err == nil {
-			if _, found := h.Marked(swapID); found {
+			if _, found := h.FindSwap(swapID); found {
 				_, _ = r.installEntry(ctx, base.Head, entry, startedAt) // if it cannot be installed now, a later read does
 				return nil
 			}
-			if h.Revision > base.Head.Revision+head.MaxChanges {
+			if h.Revision > base.Head.Revision+head.MaxRecentSwaps {
 				return errors.WithMessage(store.ErrUnknown, "more swaps were made since than the head records")
 			}
 			if h.Revision > base.Head.Revision {
--- a/internal/catalog/repository/history.go
+++ b/internal/catalog/repository/history.go
@@ -13,8 +13,8 @@
 // further behind is notified and has to read everything again.
 const maxHistoryResources = 100_000
 
-// Changed is one resource that was declared, with its resource version, or removed.
-type Changed struct {
+// ResourceChange is one resource that was declared, with its resource version, or removed.
+type ResourceChange struct {
 	ID      resource.ID
 	Version int64
 	Removed bool
@@ -24,7 +24,7 @@
 type snapshotDiff struct {
 	from    int64
 	to      int64
-	changed []Changed
+	changed []ResourceChange
 }
 
 // history is a buffer of the newest diffs, bounded by the number of resources in them.
@@ -40,7 +40,7 @@
 		return diff
 	}
 	for _, d := range after.Configuration.DifferencesFrom(before.Configuration) {
-		changed := Changed{ID: d.ID, Removed: d.After == nil}
+		changed := ResourceChange{ID: d.ID, Removed: d.After == nil}
 		if d.After != nil {
 			changed.Version = d.After.ResourceVersion()
 		}
@@ -61,7 +61,7 @@
 
 // changesSince returns what changed after a revision. complete is false if the recorded diffs do not
 // reach back that far.
-func (h *history) changesSince(revision, current int64) (changed []Changed, complete bool) {
+func (h *history) changesSince(revision, current int64) (changed []ResourceChange, complete bool) {
 	if revision >= current {
 		return nil, true
 	}
@@ -85,7 +85,7 @@
 // read everything again. A resource that changed several times may be listed several times.
 func (r *Repository) ChangesAfter(
 	ctx context.Context, after int64,
-) (current Snapshot, changed []Changed, complete bool) {
+) (current Snapshot, changed []ResourceChange, complete bool) {
 	for {
 		current, advanced := r.currentAndNext()
 		if current.Head.Revision > after || ctx.Err() != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (r *Repository) changesSince(revision int64) (current Snapshot, changed []Changed, complete bool) {
+func (r *Repository) changesSince(revision int64) (current Snapshot, changed []ResourceChange, complete bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	changed, complete = r.history.changesSince(revision, r.current.Head.Revision)
--- a/internal/catalog/repository/read.go
+++ b/internal/catalog/repository/read.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// DefaultPollEvery is the interval at which Run reads the head when PollEvery is not set.
-	DefaultPollEvery = time.Second
+	// DefaultPollInterval is the interval at which Run reads the head when PollEvery is not set.
+	DefaultPollInterval = time.Second
 	// maxParallelCalls is how many parts are fetched or written concurrently. It bounds the load of one
 	// instance on the store.
 	maxParallelCalls = 8
--- a/internal/catalog/repository/repository.go
+++ b/internal/catalog/repository/repository.go
@@ -20,11 +20,11 @@
 // HeadKey is the store key of the pointer to the head.
 const HeadKey = "head"
 
-// ErrWentBack says that the store returned a head of a lower revision than one it returned before, or
+// ErrRevisionRegressed says that the store returned a head of a lower revision than one it returned before, or
 // another head of the same revision. Either the read was stale, and the next one is not, or the store has
 // lost writes and an operator has to investigate. The instance keeps its head, unconfirmed, because
 // installing the old one would make a withdrawn key valid again.
-var ErrWentBack = errors.New("repository: the store's head is older than the one known")
+var ErrRevisionRegressed = errors.New("repository: the store's head is older than the one known")
 
 // ErrPartMissing says that a part that the head references is not in the store, although the head was
 // read again.
@@ -52,12 +52,12 @@
 	// Writer is the prefix of this writer's swap IDs. It identifies the process: an instance and its
 	// incarnation.
 	Writer string
-	// PollEvery is the interval at which Run reads the head, and its pause after a failed read; zero
+	// PollInterval is the interval at which Run reads the head, and its pause after a failed read; zero
 	// means DefaultPollEvery.
-	PollEvery time.Duration
-	// WatchFor makes Run watch the head instead of polling it, with this timeout for each watch call.
+	PollInterval time.Duration
+	// WatchTimeout makes Run watch the head instead of polling it, with this timeout for each watch call.
 	// Changes are then seen at once, at the cost of one call per timeout.
-	WatchFor time.Duration
+	WatchTimeout time.Duration
 	// Log receives an event when reads begin to fail and when they succeed again.
 	Log zerolog.Logger
 
@@ -117,10 +117,10 @@
 // known when the read began or a later one.
 func checkNotOlder(known head.Head, p head.Pointer) error {
 	if p.Revision < known.Revision {
-		return errors.WithMessagef(ErrWentBack, "revision %d after %d", p.Revision, known.Revision)
+		return errors.WithMessagef(ErrRevisionRegressed, "revision %d after %d", p.Revision, known.Revision)
 	}
-	if p.Revision == known.Revision && p.Mark != known.LastMark() {
-		return errors.WithMessagef(ErrWentBack, "another head of revision %d", p.Revision)
+	if p.Revision == known.Revision && p.Mark != known.LastSwapID() {
+		return errors.WithMessagef(ErrRevisionRegressed, "another head of revision %d", p.Revision)
 	}
 	return nil
 }
--- a/internal/catalog/repository/repository_history_test.go
+++ b/internal/catalog/repository/repository_history_test.go
@@ -171,7 +171,7 @@
 }
 
 func (m *machine) sweep(t *rapid.T) {
-	s := &repository.Sweeper{Repository: m.anyInstance(t), Grace: time.Second}
+	s := &repository.Sweeper{Repository: m.anyInstance(t), GracePeriod: time.Second}
 	for range 2 {
 		for index := range repository.SweepIndexes {
 			_, _ = s.Sweep(context.Background(), index)
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -14,15 +14,15 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// DefaultGrace is how long a part is kept after it was first seen to be unreferenced. It is for readers
+// DefaultGracePeriod is how long a part is kept after it was first seen to be unreferenced. It is for readers
 // that have read the old head and are fetching its parts. A reader that takes longer finds a part missing
 // and reads the head again, so the grace period only avoids that extra read.
-const DefaultGrace = 10 * time.Minute
+const DefaultGracePeriod = 10 * time.Minute
 
-// DefaultSweepEvery is the interval at which Run sweeps the parts of one index. Sweeping all of them
+// DefaultSweepInterval is the interval at which Run sweeps the parts of one index. Sweeping all of them
 // takes an hour. At 1,000 changes a day about 40 changes leave as many unreferenced parts behind in that
 // time. A sweep reads the 300 kB of one index a minute.
-const DefaultSweepEvery = time.Minute
+const DefaultSweepInterval = time.Minute
 
 // SweepIndexes is the number of indexes to sweep: one for each part, and the last one for heads.
 const SweepIndexes = head.PartCount + 1
@@ -31,13 +31,13 @@
 // sweepers at a time do no harm. Set the exported fields before the first call.
 type Sweeper struct {
 	Repository *Repository
-	// Grace is how long a part is kept after it was first seen to be unreferenced; zero means
+	// GracePeriod is how long a part is kept after it was first seen to be unreferenced; zero means
 	// DefaultGrace.
-	Grace time.Duration
-	// Every is the interval at which Run sweeps an index; zero means DefaultSweepEvery.
-	Every time.Duration
-	// Chosen reports whether this instance has the duty to sweep now; nil means always.
-	Chosen func() bool
+	GracePeriod time.Duration
+	// SweepInterval is the interval at which Run sweeps an index; zero means DefaultSweepEvery.
+	SweepInterval time.Duration
+	// HasDuty reports whether this instance has the duty to sweep now; nil means always.
+	HasDuty func() bool
 
 	unreferencedSince map[string]time.Time
 }
@@ -45,9 +45,9 @@
 // Run sweeps one index after the other until the context ends. An index that cannot be swept because the
 // store is unavailable is swept again in the next round.
 func (s *Sweeper) Run(ctx context.Context) error {
-	every := s.Every
+	every := s.SweepInterval
 	if every <= 0 {
-		every = DefaultSweepEvery
+		every = DefaultSweepInterval
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -57,7 +57,7 @@
 			return nil
 		case <-ticker.C:
 		}
-		if s.Chosen != nil && !s.Chosen() {
+		if s.HasDuty != nil && !s.HasDuty() {
 			continue
 		}
 		s.sweepAndLog(ctx, index)
@@ -144,10 +144,10 @@
 }
 
 func (s *Sweeper) grace() time.Duration {
-	if s.Grace > 0 {
-		return s.Grace
+	if s.GracePeriod > 0 {
+		return s.GracePeriod
 	}
-	return DefaultGrace
+	return DefaultGracePeriod
 }
 
 // revisionOf extracts the revision that a value was written for from its key.
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -75,7 +75,7 @@
 		Writer: d.self.Name + "/" + d.self.Incarnation,
 		Log:    d.Log,
 	}
-	d.sweeper = &repository.Sweeper{Repository: d.repository, Chosen: d.isBroker}
+	d.sweeper = &repository.Sweeper{Repository: d.repository, HasDuty: d.isBroker}
 	d.listing = &listing.Client{Address: platform.ListAddress}
 	d.tracker = &freshness.Tracker{Self: trackerMember(d.self), Bound: d.Settings.Freshness.Bound}
 	d.ledger = &rate.Ledger{Self: d.identity(), Freshness: d.tracker}
