--- a/internal/catalog/codec/head_codec.go
+++ b/internal/catalog/codec/head_codec.go
@@ -35,7 +35,7 @@
 	}
 	wirePointer struct {
 		Revision int64
-		Mark     string
+		SwapID   string `json:"Mark"`
 		Hash     string
 	}
 )
--- a/internal/catalog/head/head.go
+++ b/internal/catalog/head/head.go
@@ -57,11 +57,11 @@
 
 // Pointer is the value that is swapped. It references the whole head, which is stored separately like the
 // parts. Readers fetch the pointer every second; at 330 members the whole head would be about 50 kB each
-// time, the pointer is 200 bytes. Mark is the ID of the swap that made the revision, and Hash the SHA-256
+// time, the pointer is 200 bytes. SwapID is the ID of the swap that made the revision, and Hash the SHA-256
 // of the encoded head. The zero Pointer stands for the head before the first swap.
 type Pointer struct {
 	Revision int64
-	Mark     string
+	SwapID   string
 	Hash     string
 }
 
@@ -93,10 +93,10 @@
 
 // FindSwap returns the revision that the swap with the given ID made, if the swap is among the recorded
 // ones.
-func (h Head) FindSwap(mark string) (revision int64, found bool) {
-	for _, c := range h.RecentSwaps {
-		if c.SwapID == mark {
-			return c.Revision, true
+func (h Head) FindSwap(swapID string) (revision int64, found bool) {
+	for _, s := range h.RecentSwaps {
+		if s.SwapID == swapID {
+			return s.Revision, true
 		}
 	}
 	return 0, false
@@ -153,13 +153,13 @@
 }
 
 // WithSwap completes the next head: it raises the revision by one and records the swap's ID.
-func (h Head) WithSwap(mark string) Head {
+func (h Head) WithSwap(swapID string) Head {
 	h.Revision++
-	changes := append(slices.Clone(h.RecentSwaps), SwapRecord{SwapID: mark, Revision: h.Revision})
-	if len(changes) > MaxRecentSwaps {
-		changes = changes[len(changes)-MaxRecentSwaps:]
+	swaps := append(slices.Clone(h.RecentSwaps), SwapRecord{SwapID: swapID, Revision: h.Revision})
+	if len(swaps) > MaxRecentSwaps {
+		swaps = swaps[len(swaps)-MaxRecentSwaps:]
 	}
-	h.RecentSwaps = changes
+	h.RecentSwaps = swaps
 	return h
 }
 
--- a/internal/catalog/repository/commit.go
+++ b/internal/catalog/repository/commit.go
@@ -130,7 +130,7 @@
 		return nil, head.Pointer{}, nil
 	}
 	encodedHead, err = codec.EncodeHead(h)
-	return encodedHead, head.Pointer{Revision: h.Revision, Mark: h.LastSwapID(), Hash: codec.HashOf(encodedHead)}, err
+	return encodedHead, head.Pointer{Revision: h.Revision, SwapID: h.LastSwapID(), Hash: codec.HashOf(encodedHead)}, err
 }
 
 // confirmHead replaces the head with itself. The read that a commit began with may have been stale if the
@@ -252,7 +252,7 @@
 			r.install(next)
 			return nil
 		case errors.Is(err, store.ErrConflict) && outcomeUnknown:
-			return r.resolveSwap(ctx, base, pointer.Mark)
+			return r.resolveSwap(ctx, base, pointer.SwapID)
 		case errors.Is(err, store.ErrUnknown):
 			outcomeUnknown = true
 		case errors.Is(err, store.ErrUnavailable) && outcomeUnknown:
--- a/internal/catalog/repository/read.go
+++ b/internal/catalog/repository/read.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// DefaultPollInterval is the interval at which Run reads the head when PollEvery is not set.
+	// DefaultPollInterval is the interval at which Run reads the head when PollInterval is not set.
 	DefaultPollInterval = time.Second
 	// maxParallelCalls is how many parts are fetched or written concurrently. It bounds the load of one
 	// instance on the store.
@@ -56,7 +56,7 @@
 
 // Refresh reads the head, and the parts that changed, and returns the snapshot that is then current. The
 // snapshot is confirmed as of the start of the read. On an error the current snapshot is unchanged; the
-// error is ErrWentBack when the store's head is older than the current one.
+// error is ErrRevisionRegressed when the store's head is older than the current one.
 func (r *Repository) Refresh(ctx context.Context) (snapshot Snapshot, err error) {
 	known := r.Current().Head
 	startedAt := time.Now()
--- a/internal/catalog/repository/repository.go
+++ b/internal/catalog/repository/repository.go
@@ -20,10 +20,10 @@
 // HeadKey is the store key of the pointer to the head.
 const HeadKey = "head"
 
-// ErrRevisionRegressed says that the store returned a head of a lower revision than one it returned before, or
-// another head of the same revision. Either the read was stale, and the next one is not, or the store has
-// lost writes and an operator has to investigate. The instance keeps its head, unconfirmed, because
-// installing the old one would make a withdrawn key valid again.
+// ErrRevisionRegressed says that the store returned a head of a lower revision than one it returned
+// before, or another head of the same revision. Either the read was stale, and the next one is not, or
+// the store has lost writes and an operator has to investigate. The instance keeps its head, unconfirmed,
+// because installing the old one would make a withdrawn key valid again.
 var ErrRevisionRegressed = errors.New("repository: the store's head is older than the one known")
 
 // ErrPartMissing says that a part that the head references is not in the store, although the head was
@@ -53,7 +53,7 @@
 	// incarnation.
 	Writer string
 	// PollInterval is the interval at which Run reads the head, and its pause after a failed read; zero
-	// means DefaultPollEvery.
+	// means DefaultPollInterval.
 	PollInterval time.Duration
 	// WatchTimeout makes Run watch the head instead of polling it, with this timeout for each watch call.
 	// Changes are then seen at once, at the cost of one call per timeout.
@@ -113,13 +113,13 @@
 	r.current.storeRevision = max(r.current.storeRevision, next.storeRevision)
 }
 
-// checkNotOlder returns ErrWentBack unless the pointer, which was read from the store, references the head
-// known when the read began or a later one.
+// checkNotOlder returns ErrRevisionRegressed unless the pointer, which was read from the store,
+// references the head known when the read began or a later one.
 func checkNotOlder(known head.Head, p head.Pointer) error {
 	if p.Revision < known.Revision {
 		return errors.WithMessagef(ErrRevisionRegressed, "revision %d after %d", p.Revision, known.Revision)
 	}
-	if p.Revision == known.Revision && p.Mark != known.LastSwapID() {
+	if p.Revision == known.Revision && p.SwapID != known.LastSwapID() {
 		return errors.WithMessagef(ErrRevisionRegressed, "another head of revision %d", p.Revision)
 	}
 	return nil
--- a/internal/catalog/repository/run.go
+++ b/internal/catalog/repository/run.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Run reads the head repeatedly, by watch if WatchFor is set and by polling otherwise, until the context
-// ends. A failed read is retried after PollEvery.
+// Run reads the head repeatedly, by watch if WatchTimeout is set and by polling otherwise, until the
+// context ends. A failed read is retried after PollInterval.
 func (r *Repository) Run(ctx context.Context) error {
 	failing := false
 	for ctx.Err() == nil {
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -14,9 +14,9 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// DefaultGracePeriod is how long a part is kept after it was first seen to be unreferenced. It is for readers
-// that have read the old head and are fetching its parts. A reader that takes longer finds a part missing
-// and reads the head again, so the grace period only avoids that extra read.
+// DefaultGracePeriod is how long a part is kept after it was first seen to be unreferenced. It is for
+// readers that have read the old head and are fetching its parts. A reader that takes longer finds a part
+// missing and reads the head again, so the grace period only avoids that extra read.
 const DefaultGracePeriod = 10 * time.Minute
 
 // DefaultSweepInterval is the interval at which Run sweeps the parts of one index. Sweeping all of them
@@ -32,9 +32,9 @@
 type Sweeper struct {
 	Repository *Repository
 	// GracePeriod is how long a part is kept after it was first seen to be unreferenced; zero means
-	// DefaultGrace.
+	// DefaultGracePeriod.
 	GracePeriod time.Duration
-	// SweepInterval is the interval at which Run sweeps an index; zero means DefaultSweepEvery.
+	// SweepInterval is the interval at which Run sweeps an index; zero means DefaultSweepInterval.
 	SweepInterval time.Duration
 	// HasDuty reports whether this instance has the duty to sweep now; nil means always.
 	HasDuty func() bool
