--- a/internal/entry/daemon/configuration.go
+++ b/internal/entry/daemon/configuration.go
@@ -87,9 +87,9 @@
 // that the head is in force here, and the other members rely on this instance acting on no older one.
 func (d *Daemon) install(ctx context.Context, previous, current repository.Snapshot) {
 	d.ledger.Install(ledgerHead(d.self, current))
-	d.pipeline.Running.EndWithdrawn(current.Configuration)
+	d.pipeline.RunningRequests.CancelWithdrawn(current.Configuration)
 	d.pipeline.Pins.Install(current.Head)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
 	d.holding.SetTenure(ctx, d.tenure(previous, current))
@@ -191,7 +191,7 @@
 		d.settlement.record(d.identity(), d.settlement.oldestToReport(d.ledger.OldestRevision()))
 		d.ledger.MarkSettled(d.settlement.settledRevision())
 		if d.staleDuration() > d.Settings.Limits.StaleStream {
-			d.pipeline.Running.EndAll()
+			d.pipeline.RunningRequests.CancelAll()
 		}
 	}
 	return nil
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -136,7 +136,7 @@
 		d.leaving.set(heartbeat.Instance, heartbeat.Leaving)
 	}
 	now := time.Now()
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range heartbeat.Upstreams {
 			a.Router.UpdateSummary(now, routeSummary(summary, sampledAt))
 		}
@@ -148,7 +148,7 @@
 func (d *Daemon) updateOwnSummaries(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range summaries {
 			a.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
@@ -185,7 +185,7 @@
 	if reportedRevision, bitmap := d.tracker.ReportBitmap(); reportedRevision == revision {
 		heartbeat.Told = bitmap
 	}
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		heartbeat.Suspects = a.Suspects.LocalCounts(time.Now())
 	})
 	return heartbeat
