--- a/internal/entry/inifile/inifile.go
+++ b/internal/entry/inifile/inifile.go
@@ -1,6 +1,6 @@
-// Package inifile reads settings from INI files by a list of their fields. Everything that can be wrong
-// is found before anything starts, and is reported together, each problem with file, section and name: an
-// operator who mends one name at a time restarts the instance once for each.
+// Package inifile reads settings from INI files according to a list of fields. It validates the whole file
+// and reports all problems at once, each with file, section and name. If only the first problem were
+// reported, an operator would have to restart the instance once per mistake.
 package inifile
 
 import (
@@ -11,7 +11,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Field is one setting of S. An empty Default with Required unset means empty is allowed.
+// Field describes one setting of S. A field without Default and Required may be left out.
 type Field[S any] struct {
 	Section  string
 	Name     string
@@ -21,14 +21,14 @@
 	Set      func(s *S, value string) error
 }
 
-// Format is all settings of S, in the order of the help text. Contradictions, if set, finds settings that
-// are well formed but do not go together.
+// Format describes all settings of S, in the order of the help text. Contradictions, if set, reports
+// settings that are valid one by one but conflict with each other.
 type Format[S any] struct {
 	Fields         []Field[S]
 	Contradictions func(file string, settings S) Problems
 }
 
-// Load reads and checks a settings file. The error is a Problems with everything that is wrong.
+// Load reads and validates a settings file. The error is a Problems that lists everything wrong with it.
 func (f Format[S]) Load(file string) (S, error) {
 	var empty S
 	content, err := os.ReadFile(file)
@@ -38,7 +38,7 @@
 	return f.Parse(file, content)
 }
 
-// Parse checks the content of a settings file; file is its name in problems.
+// Parse validates the content of a settings file. The reported problems name it as file.
 func (f Format[S]) Parse(file string, content []byte) (S, error) {
 	var empty S
 	parsed, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, content)
@@ -46,8 +46,8 @@
 		return empty, Problems{{File: file, Text: "is not INI: " + err.Error()}}
 	}
 	problems := f.unknownNames(file, parsed)
-	settings, wrong := f.readFields(file, parsed)
-	problems = append(problems, wrong...)
+	settings, fieldProblems := f.parseFields(file, parsed)
+	problems = append(problems, fieldProblems...)
 	if f.Contradictions != nil {
 		problems = append(problems, f.Contradictions(file, settings)...)
 	}
@@ -57,13 +57,13 @@
 	return settings, nil
 }
 
-// unknownNames finds names that no setting has: a misspelt name would otherwise leave the default
-// in force without anybody noticing.
+// unknownNames reports sections and names that no field declares. Otherwise a misspelt name would silently
+// leave the default in force.
 func (f Format[S]) unknownNames(file string, parsed *ini.File) Problems {
 	known := map[string]bool{}
-	for _, one := range f.Fields {
-		known[one.Section] = true
-		known[one.Section+"."+one.Name] = true
+	for _, field := range f.Fields {
+		known[field.Section] = true
+		known[field.Section+"."+field.Name] = true
 	}
 	var problems Problems
 	for _, section := range parsed.Sections() {
@@ -86,28 +86,28 @@
 	return problems
 }
 
-func (f Format[S]) readFields(file string, parsed *ini.File) (S, Problems) {
+func (f Format[S]) parseFields(file string, parsed *ini.File) (S, Problems) {
 	var settings S
 	var problems Problems
-	for _, one := range f.Fields {
-		value, stated, text := one.stated(parsed)
-		if text == "" && !stated && one.Required {
-			text = "is missing"
+	for _, field := range f.Fields {
+		value, isSet, problem := field.lookup(parsed)
+		if problem == "" && !isSet && field.Required {
+			problem = "is missing"
 		}
-		if text == "" && value != "" {
-			if err := one.Set(&settings, value); err != nil {
-				text = err.Error()
+		if problem == "" && value != "" {
+			if err := field.Set(&settings, value); err != nil {
+				problem = err.Error()
 			}
 		}
-		if text != "" {
-			problems = append(problems, Problem{File: file, Section: one.Section, Name: one.Name, Text: text})
+		if problem != "" {
+			problems = append(problems, Problem{File: file, Section: field.Section, Name: field.Name, Text: problem})
 		}
 	}
 	return settings, problems
 }
 
-// stated gives the value of a setting, whether the file states it, and what is wrong with that.
-func (f Field[S]) stated(parsed *ini.File) (value string, isStated bool, problem string) {
+// lookup returns the field's value or default, whether the file sets it, and the problem with it, if any.
+func (f Field[S]) lookup(parsed *ini.File) (value string, isSet bool, problem string) {
 	section, err := parsed.GetSection(f.Section)
 	if err != nil || !section.HasKey(f.Name) {
 		return f.Default, false, ""
@@ -123,16 +123,16 @@
 	return value, true, ""
 }
 
-// Help lists every setting with its default, for the programs' help text and the operators' page.
+// Help lists every setting with its default, for the help text of the programs and the operators' page.
 func (f Format[S]) Help() string {
 	var out strings.Builder
 	section := ""
-	for _, one := range f.Fields {
-		if one.Section != section {
-			section = one.Section
+	for _, field := range f.Fields {
+		if field.Section != section {
+			section = field.Section
 			fmt.Fprintf(&out, "[%s]\n", section)
 		}
-		fmt.Fprintf(&out, "  %-16s %s%s\n", one.Name, one.Help, one.defaultText())
+		fmt.Fprintf(&out, "  %-16s %s%s\n", field.Name, field.Help, field.defaultText())
 	}
 	return out.String()
 }
--- a/internal/entry/inifile/problem.go
+++ b/internal/entry/inifile/problem.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// problem.go is what Parse reports.
+// problem.go defines the errors that Parse reports.
 
-// Problem is one thing wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File    string
 	Section string
@@ -12,7 +12,7 @@
 	Text    string
 }
 
-// String gives the form shown to operators.
+// String formats the problem for operators.
 func (p Problem) String() string {
 	if p.Section == "" {
 		return p.File + ": " + p.Text
@@ -23,10 +23,10 @@
 	return p.File + ": [" + p.Section + "] " + p.Name + ": " + p.Text
 }
 
-// Problems is every problem of a file; it is the error that Load returns.
+// Problems lists every problem of a file. Load returns it as its error.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/entry/inifile/values.go
+++ b/internal/entry/inifile/values.go
@@ -9,9 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// values.go has the kinds of values: each gives a Field's Set, which checks a value and stores it.
+// values.go defines the types of values. Each function returns a Field's Set, which validates and stores
+// a value.
 
-// Word takes any text.
+// Word accepts any text.
 func Word[S any](target func(*S) *string) func(*S, string) error {
 	return func(s *S, value string) error {
 		*target(s) = value
@@ -19,7 +20,7 @@
 	}
 }
 
-// Address takes an IP and port.
+// Address accepts an IP and port.
 func Address[S any](target func(*S) *string) func(*S, string) error {
 	return func(s *S, value string) error {
 		if _, err := netip.ParseAddrPort(value); err != nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// Duration takes a duration between two bounds.
+// Duration accepts a duration from low to high.
 func Duration[S any](low, high time.Duration, target func(*S) *time.Duration) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := time.ParseDuration(value)
@@ -45,7 +46,7 @@
 	}
 }
 
-// Whole takes a whole number between two bounds.
+// Whole accepts an integer from low to high.
 func Whole[S any](low, high int64, target func(*S) *int64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseInt(value, 10, 64)
@@ -60,11 +61,11 @@
 	}
 }
 
-// OneOf takes one of the allowed words.
+// OneOf accepts one of the allowed values.
 func OneOf[S any](target func(*S) *string, allowed ...string) func(*S, string) error {
 	return func(s *S, value string) error {
-		for _, one := range allowed {
-			if value == one {
+		for _, choice := range allowed {
+			if value == choice {
 				*target(s) = value
 				return nil
 			}
@@ -73,7 +74,7 @@
 	}
 }
 
-// Number takes a number between two bounds.
+// Number accepts a number from low to high.
 func Number[S any](low, high float64, target func(*S) *float64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseFloat(value, 64)
@@ -88,7 +89,7 @@
 	}
 }
 
-// Switch takes true or false.
+// Switch accepts true or false.
 func Switch[S any](target func(*S) *bool) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseBool(value)
