--- a/internal/entry/settings/settings.go
+++ b/internal/entry/settings/settings.go
@@ -1,11 +1,11 @@
-// Package settings reads an instance's settings from its INI file. Everything that can be wrong is
-// found before anything starts, and is reported together, each problem with file, section and name:
-// an operator who mends one name at a time restarts the instance once for each.
+// Package settings reads an instance's settings from its INI file. It validates the whole file before the
+// instance starts and reports all problems at once, each with file, section and name. If only the first
+// problem were reported, an operator would have to restart the instance once per mistake.
 package settings
 
 import "time"
 
-// Settings is all that an instance is told when it starts. Addresses are IP and port.
+// Settings holds the whole startup configuration of an instance. Addresses are IP and port.
 type Settings struct {
 	Instance  Instance
 	Platform  Platform
@@ -17,8 +17,8 @@
 	Log       Log
 }
 
-// Instance says who the instance is and where it listens. A port of 0 takes any free one; the event
-// "listening" then tells which.
+// Instance identifies the instance and sets its listen addresses. Port 0 selects a free port; the log event
+// "listening" reports which one.
 type Instance struct {
 	Name            string
 	DataCentre      string
@@ -27,32 +27,32 @@
 	PeerAddress     string
 }
 
-// Platform says where the platform's services are.
+// Platform sets the addresses of the platform's services and the time-out of calls to the store.
 type Platform struct {
 	StoreAddress string
 	ListAddress  string
 	StoreTimeout time.Duration
 }
 
-// Operators lists the SHA-256 of each operator's token, in hex.
+// Operators lists the SHA-256 hash of each operator's token, in hex.
 type Operators struct {
 	TokenHashes []string
 }
 
-// Peers names the files with which instances prove to each other who they are. All three or none:
-// with none, instances talk in the clear.
+// Peers names the files for mutual TLS between instances. Either all three are set or none; with none,
+// instances communicate unencrypted.
 type Peers struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Freshness bounds how long an instance may act on what it last confirmed.
+// Freshness bounds how long an instance may act on its last confirmed configuration.
 type Freshness struct {
 	Bound time.Duration
 }
 
-// Limits bounds what one request may take.
+// Limits bounds the size, the waiting times and the running time of one request.
 type Limits struct {
 	BodyBytes     int64
 	Patience      time.Duration
@@ -62,12 +62,12 @@
 	StaleStream   time.Duration
 }
 
-// Policy weighs the placement of requests. See docs/OPERATORS.md for what each buys and costs.
+// Policy selects the placement policy. docs/OPERATORS.md describes the trade-offs of each preset.
 type Policy struct {
 	Preset string
 }
 
-// Log says how much is logged.
+// Log sets the log level.
 type Log struct {
 	Level string
 }
--- a/internal/entry/settings/settings_fields.go
+++ b/internal/entry/settings/settings_fields.go
@@ -10,8 +10,8 @@
 	"lacewingrock.example/lacewingrock/internal/entry/inifile"
 )
 
-// Every setting stands once in this file: its section and name, its default, the bounds it must keep
-// and where it goes. Reading, checking and the table in the help text all come from this list.
+// This file declares every setting once: section, name, default, bounds and target field. Parsing,
+// validation and the help text all use this list.
 
 // fields lists every setting in the order of the help text.
 func fields() []inifile.Field[Settings] {
@@ -60,7 +60,7 @@
 		{
 			Section: "Operators", Name: "TokenHashes", Required: true,
 			Help: "SHA-256 of each operator's token in hex, separated by commas",
-			Set:  hashes(func(s *Settings) *[]string { return &s.Operators.TokenHashes }),
+			Set:  tokenHashes(func(s *Settings) *[]string { return &s.Operators.TokenHashes }),
 		},
 		{
 			Section: "Peers", Name: "Certificate",
@@ -131,24 +131,24 @@
 	}
 }
 
-// The presets of [Policy].
+// Values of [Policy] Preset.
 const (
 	PresetLatency    = "Latency"
 	PresetEfficiency = "Efficiency"
 )
 
-// sha256HexLength is the length of a SHA-256 in hex.
+// sha256HexLength is the length of a SHA-256 hash in hex.
 const sha256HexLength = 64
 
-func hashes(target func(*Settings) *[]string) func(*Settings, string) error {
+func tokenHashes(target func(*Settings) *[]string) func(*Settings, string) error {
 	return func(s *Settings, value string) error {
 		var parsed []string
-		for _, one := range strings.Split(value, ",") {
-			one = strings.ToLower(strings.TrimSpace(one))
-			if _, err := hex.DecodeString(one); err != nil || len(one) != sha256HexLength {
-				return errors.New("each must be a SHA-256 in hex: 64 digits") // the value is not repeated: it may be a token put there by mistake
+		for _, hash := range strings.Split(value, ",") {
+			hash = strings.ToLower(strings.TrimSpace(hash))
+			if _, err := hex.DecodeString(hash); err != nil || len(hash) != sha256HexLength {
+				return errors.New("each must be a SHA-256 in hex: 64 digits") // the value is left out, as it may be a token pasted by mistake
 			}
-			parsed = append(parsed, one)
+			parsed = append(parsed, hash)
 		}
 		*target(s) = parsed
 		return nil
--- a/internal/entry/settings/settings_load.go
+++ b/internal/entry/settings/settings_load.go
@@ -4,27 +4,27 @@
 	"lacewingrock.example/lacewingrock/internal/entry/inifile"
 )
 
-// Problem and Problems are what Load reports.
+// Problem and Problems are the errors that Load reports.
 type (
 	Problem  = inifile.Problem
 	Problems = inifile.Problems
 )
 
 func format() inifile.Format[Settings] {
-	return inifile.Format[Settings]{Fields: fields(), Contradictions: contradictions}
+	return inifile.Format[Settings]{Fields: fields(), Contradictions: conflicts}
 }
 
-// Load reads and checks a settings file. The error is a Problems with everything that is wrong.
+// Load reads and validates a settings file. The error is a Problems that lists everything wrong with it.
 func Load(file string) (Settings, error) { return format().Load(file) }
 
-// Parse checks the content of a settings file; file is its name in problems.
+// Parse validates the content of a settings file. The reported problems name it as file.
 func Parse(file string, content []byte) (Settings, error) { return format().Parse(file, content) }
 
-// Help lists every setting with its default, for the programs' help text and the operators' page.
+// Help lists every setting with its default, for the help text of the programs and the operators' page.
 func Help() string { return format().Help() }
 
-// contradictions finds settings that are well formed but do not go together.
-func contradictions(file string, s Settings) Problems {
+// conflicts reports settings that are valid one by one but conflict with each other.
+func conflicts(file string, s Settings) Problems {
 	var problems Problems
 	p := s.Peers
 	if some, all := p.Certificate+p.Key+p.Authority != "", p.Certificate != "" && p.Key != "" && p.Authority != ""; some && !all {
