--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -19,9 +19,9 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// completion.go takes one completion through all stages.
+// completion.go runs one completion through all stages.
 
-// completionRun is one request on its way.
+// completionRun is the state of one completion request.
 type completionRun struct {
 	identity    api.Identity
 	request     completion.Request
@@ -30,39 +30,39 @@
 	weight      float64
 	cost        float64
 	fingerprint suspect.Fingerprint
-	alone       bool
-	apart       bool
-	began       time.Time
+	runAlone    bool
+	runApart    bool
+	startedAt   time.Time
 	deadline    time.Time
 
-	// What happened so far.
+	// State of the attempts so far.
 	mayHaveRun  bool
-	tries       int
-	asked       time.Time
-	exclude     []string
-	refused     *peer.Refused
+	attempts    int
+	requestedAt time.Time
+	excluded    []string
+	lastRefusal *peer.Refused
 	waitedLoad  time.Duration
 	waitedQueue time.Duration
 	meter       *meter
 	upstream    string
 }
 
-// dispatchID differs between two tries of one request, as engines keep streams by it.
+// dispatchID returns an ID that is unique to each attempt, because engines identify streams by it.
 func (run *completionRun) dispatchID() string {
-	return fmt.Sprintf("%s-%d", run.request.ID, run.tries)
+	return fmt.Sprintf("%s-%d", run.request.ID, run.attempts)
 }
 
-// Complete runs a completion and returns nil once the sink has the whole stream.
+// Complete runs a completion. It returns nil once the sink has received the whole stream.
 func (p *Pipeline) Complete(
 	ctx context.Context, identity api.Identity, request completion.Request, sink api.Sink,
 ) (err error) {
-	run, err := p.begin(identity, request)
+	run, err := p.prepare(identity, request)
 	if err != nil {
 		return err
 	}
-	defer func() { p.finished(run, err) }()
-	ctx, leave := p.Running.enter(ctx, identity)
-	defer leave()
+	defer func() { p.reportCompletion(run, err) }()
+	ctx, done := p.Running.add(ctx, identity)
+	defer done()
 	reservation, err := p.reserve(ctx, identity.Workspace, float64(request.MostTokens()))
 	if err != nil {
 		return err
@@ -71,17 +71,17 @@
 		sink:         sink,
 		reservation:  reservation,
 		promptTokens: request.PromptTokens,
-		mostTokens:   request.MaxTokens,
+		maxTokens:    request.MaxTokens,
 	}
 	defer func() { reservation.Settle(run.meter.used()) }()
-	ctx, cancel := withinReservation(ctx, reservation.Deadline())
+	ctx, cancel := withReservationDeadline(ctx, reservation.Deadline())
 	defer cancel()
-	return p.runTries(ctx, run)
+	return p.runAttempts(ctx, run)
 }
 
-// begin decides what the request asks for and whether it may run at all.
-func (p *Pipeline) begin(identity api.Identity, request completion.Request) (*completionRun, error) {
-	current, err := p.stillServed(identity)
+// prepare resolves the requested model and checks whether the request may run.
+func (p *Pipeline) prepare(identity api.Identity, request completion.Request) (*completionRun, error) {
+	current, err := p.checkIdentity(identity)
 	if err != nil {
 		return nil, err
 	}
@@ -91,57 +91,59 @@
 		request:     request,
 		cost:        float64(request.PromptTokens + request.MaxTokens),
 		fingerprint: suspect.Fingerprint(request.Fingerprint(identity.Workspace)),
-		began:       now,
+		startedAt:   now,
 		deadline:    now.Add(p.Patience),
 	}
 	if workspace, found := current.Workspace(identity.Workspace); found {
-		run.weight = p.weight(now, workspace)
+		run.weight = p.effectiveWeight(now, workspace)
 	}
-	run.model, run.baseModel, err = resolve(current, identity, request)
+	run.model, run.baseModel, err = resolveModel(current, identity, request)
 	if err != nil {
 		return nil, err
 	}
 	p.Advice.With(func(a *Advice) {
 		a.Retries.First()
 	})
-	return run, p.judge(run)
+	return run, p.checkSuspect(run)
 }
 
-// weight is the workspace's weight now: raised while it gets less for its weight than others do.
-func (p *Pipeline) weight(now time.Time, workspace resource.Workspace) (weight float64) {
+// effectiveWeight returns the workspace's current weight, which is raised while the workspace is served less
+// in proportion to its weight than others.
+func (p *Pipeline) effectiveWeight(now time.Time, workspace resource.Workspace) (weight float64) {
 	p.Advice.With(func(a *Advice) {
 		weight = a.Shares.Weight(now, workspace.Meta.Name, workspace.Weight)
 	})
 	return weight
 }
 
-// resolve finds the adapter version that the request names, or its adapter's current one.
-func resolve(
+// resolveModel returns the adapter version that the request names, or else the adapter's current version.
+func resolveModel(
 	current configuration.Configuration, identity api.Identity, request completion.Request,
 ) (ref model.Reference, baseModel string, err error) {
-	missing := refusal.New(refusal.ModelNotFound, "there is no model "+request.Model()).WithParam("model")
+	notFound := refusal.New(refusal.ModelNotFound, "there is no model "+request.Model()).WithParam("model")
 	adapter, found := current.Adapter(request.Adapter)
-	if !found || !allowed(adapter.Workspaces, identity.Workspace) {
-		return ref, "", missing
+	if !found || !workspaceAllowed(adapter.Workspaces, identity.Workspace) {
+		return ref, "", notFound
 	}
 	version := request.Version
 	if version == "" {
 		version = adapter.Current
 	}
 	if _, found := current.AdapterVersion(request.Adapter, version); !found {
-		return ref, "", missing
+		return ref, "", notFound
 	}
 	return model.Reference{Adapter: request.Adapter, Version: version}, adapter.BaseModel, nil
 }
 
-// judge refuses a request that has crashed upstreams, or has it run apart from other suspects or alone.
-func (p *Pipeline) judge(run *completionRun) error {
+// checkSuspect refuses a request that has crashed upstreams repeatedly. It marks a less certain suspect to run
+// apart from other suspects, or alone.
+func (p *Pipeline) checkSuspect(run *completionRun) error {
 	verdict, retryAfter := suspect.Free, time.Duration(0)
 	p.Advice.With(func(a *Advice) {
 		verdict, retryAfter = a.Suspects.Judge(time.Now(), run.fingerprint)
 	})
-	run.alone = verdict == suspect.Alone
-	run.apart = verdict == suspect.Apart
+	run.runAlone = verdict == suspect.Alone
+	run.runApart = verdict == suspect.Apart
 	if verdict == suspect.Refused {
 		return refusal.New(refusal.SuspectRefused, "upstreams crashed each time this request ran").
 			WithRetryAfter(retryAfter)
@@ -151,32 +153,32 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// runTries places and dispatches until the request is answered or can't be any more.
-func (p *Pipeline) runTries(ctx context.Context, run *completionRun) (err error) {
-	defer func() { err = run.truthful(err) }()
+// runAttempts acquires a slot and dispatches the request, until it is answered or no attempt is left.
+func (p *Pipeline) runAttempts(ctx context.Context, run *completionRun) (err error) {
+	defer func() { err = run.correctRunState(err) }()
 	for {
-		found, err := p.findPlace(ctx, run)
+		grant, err := p.acquireSlot(ctx, run)
 		if err != nil {
 			return err
 		}
-		outcome, err := p.dispatch(ctx, run, found)
-		if errors.Is(err, errPlaceAlone) {
+		outcome, err := p.dispatch(ctx, run, grant)
+		if errors.Is(err, errMustRunAlone) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		again, err := p.judgeOutcome(ctx, run, found, outcome)
-		if !again {
+		retry, err := p.handleOutcome(ctx, run, grant, outcome)
+		if !retry {
 			return err
 		}
 	}
 }
 
-// truthful takes "not run" out of the refusal of a request that an earlier try may have run. Whoever
-// decides on the last try knows nothing of the ones before; a caller that believed it would have the
-// request run, and pay for it, twice.
-func (run *completionRun) truthful(err error) error {
+// correctRunState replaces "not run" by "unknown" in a refusal if an earlier attempt may have run the request.
+// The code that refuses the last attempt does not see the earlier ones. A caller that relied on "not run"
+// would repeat the request, which would then run, and be paid for, twice.
+func (run *completionRun) correctRunState(err error) error {
 	if err == nil || !run.mayHaveRun {
 		return err
 	}
@@ -186,39 +188,40 @@
 	return err
 }
 
-// errPlaceAlone means that the request became a suspect while it waited: it needs a place for itself.
-var errPlaceAlone = errors.New("pipeline: the request has to run alone")
+// errMustRunAlone means that the request became a suspect while it waited, and needs a slot on an upstream
+// where no other request runs.
+var errMustRunAlone = errors.New("pipeline: the request became a suspect while queued and must run alone")
 
-// judgeAgain judges a request that has waited. Its caller may have sent it many times at once, and the
-// first of them may have crashed upstreams since: judged only when they came, each of those that were
-// queued by then would crash one more.
-func (p *Pipeline) judgeAgain(run *completionRun) error {
-	before := run.alone
-	if err := p.judge(run); err != nil {
+// recheckSuspect repeats checkSuspect after the request has waited. A caller may send the same request many
+// times at once, and the first copy may have crashed upstreams since. If requests were checked only on
+// arrival, each copy queued by then would crash another upstream.
+func (p *Pipeline) recheckSuspect(run *completionRun) error {
+	wasAlone := run.runAlone
+	if err := p.checkSuspect(run); err != nil {
 		return err
 	}
-	if run.alone && !before {
-		return errPlaceAlone
+	if run.runAlone && !wasAlone {
+		return errMustRunAlone
 	}
 	return nil
 }
 
-// dispatch sends the request to its place. What must hold is checked right before, after everything
-// that may have waited; an error means that nothing was sent.
-func (p *Pipeline) dispatch(ctx context.Context, run *completionRun, found *place) (engine.Outcome, error) {
-	current, err := p.stillServed(run.identity)
+// dispatch sends the request to the granted slot. It checks the key, the model and the suspects immediately
+// before, after all steps that may wait. An error means that nothing was sent.
+func (p *Pipeline) dispatch(ctx context.Context, run *completionRun, grant *slotGrant) (engine.Outcome, error) {
+	current, err := p.checkIdentity(run.identity)
 	if err == nil {
-		_, _, err = resolve(current, run.identity, run.request.WithVersion(run.model.Version))
+		_, _, err = resolveModel(current, run.identity, run.request.WithVersion(run.model.Version))
 	}
 	if err == nil {
-		err = p.judgeAgain(run)
+		err = p.recheckSuspect(run)
 	}
 	if err != nil {
-		p.release(found, holder.Released{})
+		p.release(grant, holder.Released{})
 		return nil, err
 	}
-	run.upstream = found.upstream.Meta.Name
-	outcome := p.Engine(found.upstream.Address).Complete(ctx, engine.Dispatch{
+	run.upstream = grant.upstream.Meta.Name
+	outcome := p.Engine(grant.upstream.Address).Complete(ctx, engine.Dispatch{
 		ID:       run.dispatchID(),
 		API:      run.request.API,
 		Model:    run.model.String(),
--- a/internal/entry/pipeline/completion_end.go
+++ b/internal/entry/pipeline/completion_end.go
@@ -10,14 +10,15 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// completion_end.go is the end of a completion: why its context ended, and what is counted and logged.
+// This file ends a completion: it translates the cause that ended its context, and logs and counts the result.
 
-// ended tells why a request's context ended. Run is what is known of the request then.
-func ended(ctx context.Context, run refusal.Run) error {
+// contextRefusal returns the refusal for the cause that ended a request's context. Run states whether the
+// request may have run.
+func contextRefusal(ctx context.Context, run refusal.Run) error {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, ErrWithdrawn):
-		return withdrawn().WithRun(run)
+		return keyWithdrawn().WithRun(run)
 	case errors.Is(cause, ErrStale):
 		return refusal.New(refusal.NotFresh, "this instance cannot confirm the key any more").
 			WithRun(run).WithRetryAfter(time.Second)
@@ -27,34 +28,34 @@
 	return refusal.New(refusal.Cancelled, "the caller went away").WithRun(run)
 }
 
-// finished counts how the request ended for the burn report, and logs it.
-func (p *Pipeline) finished(run *completionRun, err error) {
+// reportCompletion logs how the request ended and counts it for the burn report.
+func (p *Pipeline) reportCompletion(run *completionRun, err error) {
 	event := p.Log.Info()
 	refused := refusal.From(err)
 	if err != nil {
 		event = p.Log.Warn().Str("Code", string(refused.Code())).Str("Run", string(refused.Run()))
 	}
 	event.Str("RequestId", run.request.ID).Str("Workspace", run.identity.Workspace).
-		Str("Upstream", run.upstream).Str("Model", run.model.String()).Int("Tries", run.tries).
+		Str("Upstream", run.upstream).Str("Model", run.model.String()).Int("Tries", run.attempts).
 		Dur("WaitedLoad", run.waitedLoad).Dur("WaitedQueue", run.waitedQueue).
-		Dur("Took", time.Since(run.began)).Msg("Completion")
+		Dur("Took", time.Since(run.startedAt)).Msg("Completion")
 	p.Scope.Counter("completions").Inc(1)
 	if run.waitedLoad > 0 {
 		p.Scope.Counter("load_stalls").Inc(1)
 		p.Scope.Timer("load_stall").Record(run.waitedLoad)
 	}
-	if err != nil && !isFault(refused.Code()) {
+	if err != nil && !violatesObjective(refused.Code()) {
 		return
 	}
 	p.Burn.Record(run.identity.Workspace, burn.Answered, err == nil)
 	if err == nil {
-		p.Burn.Record(run.identity.Workspace, burn.FirstToken, p.firstTokenInTime(run))
+		p.Burn.Record(run.identity.Workspace, burn.FirstToken, p.firstTokenOnTime(run))
 	}
 }
 
-// isFault tells the refusals that break the promise to answer from those that are the caller's own
-// doing or its workspace's rate.
-func isFault(code refusal.Code) bool {
+// violatesObjective reports whether a refusal counts against the service level objective. Refusals caused by
+// the caller or by its workspace's rate limit do not.
+func violatesObjective(code refusal.Code) bool {
 	switch code {
 	case refusal.RateLimited, refusal.RequestExceedsBurst, refusal.KeyWithdrawn, refusal.BadRequest,
 		refusal.ModelNotFound, refusal.Cancelled, refusal.SuspectRefused:
@@ -63,10 +64,10 @@
 	return true
 }
 
-func (p *Pipeline) firstTokenInTime(run *completionRun) bool {
+func (p *Pipeline) firstTokenOnTime(run *completionRun) bool {
 	workspace, found := p.Current().Configuration.Workspace(run.identity.Workspace)
 	if !found || workspace.Objectives.FirstTokenWithin <= 0 {
 		return true
 	}
-	return run.meter.firstToken.Sub(run.began) <= workspace.Objectives.FirstTokenWithin
+	return run.meter.firstToken.Sub(run.startedAt) <= workspace.Objectives.FirstTokenWithin
 }
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -23,49 +23,48 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// inBubble runs a test on the paused clock with one instance of a fleet of so many.
-func inBubble(t *testing.T, members int, test func(f *fixture)) {
+// runInBubble runs a test with one instance of a fleet of the given size, in a synctest bubble with its fake clock.
+func runInBubble(t *testing.T, members int, test func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		test(newFixture(t, &store.Memory{}, members))
 	})
 }
 
-// whileQueued grants a place only after something has happened, as a queue does.
-func (f *fixture) whileQueued(happens func()) {
+// grantAfter delays the grant of a slot until event has returned, as a queue does.
+func (f *fixture) grantAfter(event func()) {
 	f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
-		began := time.Now()
-		happens()
+		startedAt := time.Now()
+		event()
 		placement, err := f.grant(ctx, member, request)
 		granted, _ := placement.(peer.Granted)
-		granted.WaitedQueue = time.Since(began)
+		granted.WaitedQueue = time.Since(startedAt)
 		return granted, err
 	}
 }
 
-// An operator withdraws a key while one of its requests waits for a place. The request would run up to
-// half a minute later; its caller has to be refused at once instead, with nothing run.
+// An operator withdraws a key while one of its requests waits for a slot. Without a check the request would run up
+// to half a minute later; it must be refused immediately and not run.
 func TestKeyWithdrawnWhileQueued(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.place = func(ctx context.Context, _ head.Member, _ peer.PlaceRequest) (peer.Placement, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		time.AfterFunc(time.Second, f.withdraw)
-		refused(t, f.ask("bids", 10), refusal.KeyWithdrawn, refusal.NotRun)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.KeyWithdrawn, refusal.NotRun)
 		is := is.New(t)
-		is.Equal(time.Since(began), time.Second)
-		is.Equal(len(f.dispatched()), 0)
+		is.Equal(time.Since(startedAt), time.Second)
+		is.Equal(len(f.dispatchedUpstreams()), 0)
 	})
 }
 
-// The same, but the grant overtakes the withdrawal: it is there just when the key is withdrawn. Only the
-// check right before the dispatch is left to notice it.
+// The grant arrives just as the key is withdrawn. Only the check immediately before the dispatch can detect it.
 func TestKeyWithdrawnBetweenGrantAndDispatch(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
-			// The repository has the withdrawal already, the other parts do not have it yet.
+			// The repository already has the withdrawal; the other components do not have it yet.
 			key, _ := f.repository.Current().Configuration.Key(caller.Key)
 			key.Withdrawn = true
 			change := configuration.Change{configuration.Declare{Resource: key, Expected: configuration.AnyVersion}}
@@ -75,94 +74,93 @@
 			f.must(err)
 			return f.grant(ctx, member, request)
 		}
-		refused(t, f.ask("bids", 10), refusal.KeyWithdrawn, refusal.NotRun)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.KeyWithdrawn, refusal.NotRun)
 		synctest.Wait()
 		is := is.New(t)
-		is.Equal(len(f.dispatched()), 0)
-		is.Equal(len(f.given()), 1)
+		is.Equal(len(f.dispatchedUpstreams()), 0)
+		is.Equal(len(f.releasedPins()), 1)
 	})
 }
 
-// A key is withdrawn while its request streams. Its holder would read on for as long as the stream lasts;
-// the stream has to be cut, and the caller must not be told that nothing ran.
+// A key is withdrawn while its request streams. Without a check the caller would receive the whole stream. The
+// stream must be cut, and the refusal must not state "not run".
 func TestKeyWithdrawnWhileStreaming(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.complete = func(ctx context.Context, sink engine.Sink) engine.Outcome {
-			f.must(begin(sink))
+			f.must(startStream(sink))
 			<-ctx.Done()
 			return engine.Cancelled{Tokens: 1, Err: context.Cause(ctx), Stopped: true}
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		time.AfterFunc(time.Second, f.withdraw)
-		refused(t, f.ask("bids", 10), refusal.KeyWithdrawn, refusal.Unknown)
-		is.New(t).Equal(time.Since(began), time.Second)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.KeyWithdrawn, refusal.Unknown)
+		is.New(t).Equal(time.Since(startedAt), time.Second)
 	})
 }
 
-// The process is paused after its request was granted a place, and wakes when its configuration may have
-// changed and its pin may have been given up. A request sent now could run for a withdrawn key, or on
-// an adapter version that is just being evicted.
+// The process is paused after its request was granted a slot. When it resumes, the configuration may have changed
+// and the holder may have dropped the pin. A request sent then could run for a withdrawn key, or on an adapter
+// version that is being evicted.
 func TestPausedBetweenGrantAndDispatch(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
-		f.whileQueued(f.pause)
-		refused(t, f.ask("bids", 10), refusal.NotFresh, refusal.NotRun)
+	runInBubble(t, 2, func(f *fixture) {
+		f.grantAfter(f.pause)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.NotFresh, refusal.NotRun)
 		synctest.Wait()
 		is := is.New(t)
-		is.Equal(len(f.dispatched()), 0)
-		is.Equal(len(f.given()), 1)
+		is.Equal(len(f.dispatchedUpstreams()), 0)
+		is.Equal(len(f.releasedPins()), 1)
 	})
 }
 
-// An operator removes an adapter version while a request for it waits. It must not be answered by a
-// version that is no longer offered, nor by another one.
+// An operator removes an adapter version while a request for it waits. The request must be served neither by the
+// removed version nor by another one.
 func TestVersionRemovedWhileQueued(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
-		f.whileQueued(func() {
+	runInBubble(t, 2, func(f *fixture) {
+		f.grantAfter(func() {
 			f.change(configuration.Change{configuration.Remove{
 				ID: adapterVersion("2").ID(), Expected: configuration.AnyVersion,
 			}})
 		})
-		refused(t, f.ask("bids@2", 10), refusal.ModelNotFound, refusal.NotRun)
-		is.New(t).Equal(len(f.dispatched()), 0)
+		checkRefused(t, f.requestCompletion("bids@2", 10), refusal.ModelNotFound, refusal.NotRun)
+		is.New(t).Equal(len(f.dispatchedUpstreams()), 0)
 	})
 }
 
-// An upstream is lost while it runs a request. Before the first token the request runs again elsewhere and
-// its caller notices nothing; after it the caller has part of one answer, and the rest of another would
-// not go on from there.
+// An upstream is lost while it runs a request. Before the first token the request is retried at another upstream
+// and succeeds. After it the request must not be retried: the caller has part of one response, and the tokens of
+// another would not continue it.
 func TestUpstreamLost(t *testing.T) {
 	for _, afterFirstToken := range []bool{false, true} {
-		inBubble(t, 2, func(f *fixture) {
+		runInBubble(t, 2, func(f *fixture) {
 			is := is.New(t)
 			f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
-				if len(f.dispatched()) > 1 {
-					return answer(sink)
+				if len(f.dispatchedUpstreams()) > 1 {
+					return completeStream(sink)
 				}
 				if !afterFirstToken {
 					return engine.Unknown{Lost: true}
 				}
-				f.must(begin(sink))
+				f.must(startStream(sink))
 				return engine.Failed{Tokens: 1, Lost: true}
 			}
-			err := f.ask("bids", 10)
+			err := f.requestCompletion("bids", 10)
 			if afterFirstToken {
-				refused(t, err, refusal.UpstreamFailed, refusal.Unknown)
-				is.Equal(len(f.dispatched()), 1)
+				checkRefused(t, err, refusal.UpstreamFailed, refusal.Unknown)
+				is.Equal(len(f.dispatchedUpstreams()), 1)
 				return
 			}
 			is.NoErr(err)
-			sent := f.dispatched()
+			sent := f.dispatchedUpstreams()
 			is.Equal(len(sent), 2)
 			is.True(sent[0] != sent[1])
 		})
 	}
 }
 
-// A request was lost at an upstream, and then no place is found for its second try. The first try may
-// have run to its end unseen: a caller told "not run" would send it again believing that it is the only
-// one.
-func TestRefusedAfterATryThatMayHaveRun(t *testing.T) {
-	second := map[string]func(f *fixture){
+// The first attempt of a request ends without a known outcome, and the second is refused. The first attempt may have
+// run to completion. A caller that got "not run" would repeat the request, and it could run twice.
+func TestRefusalAfterAttemptThatMayHaveRun(t *testing.T) {
+	refusals := map[string]func(f *fixture){
 		"busy": func(f *fixture) {
 			f.place = func(context.Context, head.Member, peer.PlaceRequest) (peer.Placement, error) {
 				return peer.Refused{Reason: holder.ReasonBusy}, nil
@@ -171,17 +169,17 @@
 		"withdrawn": func(f *fixture) { f.withdraw() },
 		"full":      func(f *fixture) {},
 	}
-	for name, happens := range second {
+	for name, event := range refusals {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, 2, func(f *fixture) {
+			runInBubble(t, 2, func(f *fixture) {
 				f.complete = func(context.Context, engine.Sink) engine.Outcome {
-					if len(f.dispatched()) > 1 {
+					if len(f.dispatchedUpstreams()) > 1 {
 						return engine.Full{}
 					}
-					happens(f)
+					event(f)
 					return engine.Unknown{Stopped: true}
 				}
-				err := f.ask("bids", 10)
+				err := f.requestCompletion("bids", 10)
 				is := is.New(t)
 				is.True(err != nil)
 				is.Equal(refusal.From(err).Run(), refusal.Unknown)
@@ -190,206 +188,204 @@
 	}
 }
 
-// All upstreams fail. Retries then come on top of the whole load, just when there is no capacity; they
-// have to stay within a tenth of the requests.
+// All upstreams fail. Retries add load when there is no capacity, and must not exceed a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMost)
 		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{Stopped: true} }
 		for range 100 {
-			refused(t, f.ask("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
+			checkRefused(t, f.requestCompletion("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
 		}
 		is := is.New(t)
-		is.True(len(f.dispatched()) > 100)
-		is.True(len(f.dispatched()) <= 110)
+		is.True(len(f.dispatchedUpstreams()) > 100)
+		is.True(len(f.dispatchedUpstreams()) <= 110)
 	})
 }
 
-// One request crashes each upstream that runs it, and its caller sends it again and again. The engine may
-// be back within a moment, and then says truly that it runs nothing. Each crash takes a whole batch of
-// others along.
-func TestRequestThatCrashesUpstreams(t *testing.T) {
-	crashes := map[string]engine.Outcome{
-		"stays away":      engine.Unknown{Lost: true},
-		"is back at once": engine.Unknown{Lost: true, Stopped: true},
+// A request crashes each upstream that runs it, and its caller keeps repeating it. The engine may restart immediately
+// and then correctly confirms that it does not run the request. Each crash also fails all other requests of the batch.
+func TestCrashingRequestIsRefused(t *testing.T) {
+	outcomes := map[string]engine.Outcome{
+		"engine stays down":           engine.Unknown{Lost: true},
+		"engine restarts immediately": engine.Unknown{Lost: true, Stopped: true},
 	}
-	for name, crash := range crashes {
+	for name, crash := range outcomes {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, 2, func(f *fixture) {
+			runInBubble(t, 2, func(f *fixture) {
 				f.complete = func(context.Context, engine.Sink) engine.Outcome { return crash }
 				var err error
 				for range 10 {
-					err = f.ask("bids", 10)
+					err = f.requestCompletion("bids", 10)
 					time.Sleep(time.Second)
 				}
-				refused(t, err, refusal.SuspectRefused, refusal.NotRun)
+				checkRefused(t, err, refusal.SuspectRefused, refusal.NotRun)
 				is := is.New(t)
-				is.Equal(len(f.dispatched()), 3)
-				is.True(f.placed[2].Request.Alone)
-				is.Equal(f.told.Load(), int32(3)) // each crash, so that no other instance tries it anew
+				is.Equal(len(f.dispatchedUpstreams()), 3)
+				is.True(f.placeRequests[2].Request.Alone)
+				is.Equal(f.crashNotices.Load(), int32(3)) // each crash is reported, so that no other instance runs the request
 			})
 		})
 	}
 }
 
-// The same request comes ten times at once, and all ten wait while the first crashes an upstream. Judged
-// only when they came, the nine others would each crash one more.
-func TestCrashingRequestSentManyTimesAtOnce(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+// Ten copies of a request arrive at the same time, and nine of them are queued while the first crashes an upstream.
+// If requests were checked only on arrival, each of the nine would crash another upstream.
+func TestConcurrentCopiesOfCrashingRequest(t *testing.T) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.complete = func(context.Context, engine.Sink) engine.Outcome {
 			time.Sleep(time.Second)
 			return engine.Unknown{Lost: true, Stopped: true}
 		}
-		turn := make(chan struct{}, 1)
+		slot := make(chan struct{}, 1)
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
-			turn <- struct{}{}
-			time.AfterFunc(1100*time.Millisecond, func() { <-turn })
+			slot <- struct{}{}
+			time.AfterFunc(1100*time.Millisecond, func() { <-slot })
 			granted, err := f.grant(ctx, member, request)
 			placement, _ := granted.(peer.Granted)
-			placement.WaitedQueue = time.Since(request.Request.Deadline.Add(-longPatience))
+			placement.WaitedQueue = time.Since(request.Request.Deadline.Add(-dispatchTimeout))
 			return placement, err
 		}
 		var group sync.WaitGroup
 		for range 10 {
-			group.Go(func() { _ = f.ask("bids", 10) })
+			group.Go(func() { _ = f.requestCompletion("bids", 10) })
 		}
 		group.Wait()
-		is.New(t).Equal(len(f.dispatched()), 3)
+		is.New(t).Equal(len(f.dispatchedUpstreams()), 3)
 	})
 }
 
-// An engine restarted with nothing loaded, or a late report listed what is gone: it answers that the
-// version is not resident, or runs another one. Nothing of that reached the caller, so the request is
-// placed anew; the holder has to hear why, or it sends the next one there too.
+// An engine restarted without loaded adapters, or a late report listed a version that is no longer loaded: the engine
+// answers that the version is not resident, or runs another one. The caller has received nothing, so the request is
+// retried. The release must report the reason, or the holder would send the next request to the same upstream.
 func TestNotResident(t *testing.T) {
 	for _, first := range []engine.Outcome{engine.NotResident{}, engine.WrongModel{Served: "bids@2", Stopped: true}} {
-		inBubble(t, 2, func(f *fixture) {
+		runInBubble(t, 2, func(f *fixture) {
 			f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
-				if len(f.dispatched()) > 1 {
-					return answer(sink)
+				if len(f.dispatchedUpstreams()) > 1 {
+					return completeStream(sink)
 				}
 				return first
 			}
 			is := is.New(t)
-			is.NoErr(f.ask("bids", 10))
+			is.NoErr(f.requestCompletion("bids", 10))
 			synctest.Wait()
-			told := 0
-			for _, request := range f.given() {
+			notResident := 0
+			for _, request := range f.releasedPins() {
 				if request.Released.NotResident {
-					told++
+					notResident++
 				}
 			}
-			is.Equal(told, 1)
-			is.Equal(len(f.given()), 2)
+			is.Equal(notResident, 1)
+			is.Equal(len(f.releasedPins()), 2)
 		})
 	}
 }
 
-// A grant was on its way for seconds, through a process or connection that stood still. By now the holder
-// may have taken it for lost and evicted the version; the request must ask anew.
-func TestGrantThatComesTooLate(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+// A grant is delayed for seconds by a paused process or a stalled connection. The holder may have considered it lost
+// and evicted the version, so the request must acquire a new slot.
+func TestLateGrantIsReleased(t *testing.T) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
-			if len(f.placed) == 1 {
+			if len(f.placeRequests) == 1 {
 				time.Sleep(2500 * time.Millisecond)
 			}
 			return f.grant(ctx, member, request)
 		}
 		f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
-			is.New(t).Equal(len(f.given()), 1)
-			return answer(sink)
+			is.New(t).Equal(len(f.releasedPins()), 1)
+			return completeStream(sink)
 		}
 		is := is.New(t)
-		is.NoErr(f.ask("bids", 10))
-		is.Equal(len(f.placed), 2)
-		is.Equal(len(f.dispatched()), 1)
+		is.NoErr(f.requestCompletion("bids", 10))
+		is.Equal(len(f.placeRequests), 2)
+		is.Equal(len(f.dispatchedUpstreams()), 1)
 	})
 }
 
-// The holder of an upstream changes while its grant is on the way. The new holder has this instance's
-// list of pins already, without this one, and may evict the version.
-func TestGrantFromAnOldHolder(t *testing.T) {
-	inBubble(t, 3, func(f *fixture) {
+// The holder of an upstream changes while its grant is in transit. The new holder already has this instance's list of
+// pins, which lacks this one, and may evict the version.
+func TestGrantOfFormerHolderIsReleased(t *testing.T) {
+	runInBubble(t, 3, func(f *fixture) {
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
 			placement, err := f.grant(ctx, member, request)
-			if len(f.placed) == 1 {
-				f.leaveFleet(member.Name)
+			if len(f.placeRequests) == 1 {
+				f.removeMember(member.Name)
 			}
 			return placement, err
 		}
 		is := is.New(t)
-		is.NoErr(f.ask("bids", 10))
-		is.Equal(len(f.placed), 2)
-		is.Equal(len(f.dispatched()), 1)
+		is.NoErr(f.requestCompletion("bids", 10))
+		is.Equal(len(f.placeRequests), 2)
+		is.Equal(len(f.dispatchedUpstreams()), 1)
 		synctest.Wait()
-		is.Equal(len(f.given()), 2)
+		is.Equal(len(f.releasedPins()), 2)
 	})
 }
 
-// The way to an engine is cut, so that it cannot be told to stop: it generates on. Were the pin given back
-// now, the adapter version could be evicted while it is served.
-func TestPinIsKeptWhileTheEngineMayRunOn(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
-		var cut atomic.Bool
-		cut.Store(true)
+// The connection to an engine is cut, so the request cannot be cancelled and the engine keeps generating. If the pin
+// were released immediately, the adapter version could be evicted while it is in use.
+func TestPinIsKeptWhileEngineMayStillRun(t *testing.T) {
+	runInBubble(t, 2, func(f *fixture) {
+		var connectionCut atomic.Bool
+		connectionCut.Store(true)
 		f.cancel = func() error {
-			if cut.Load() {
-				return errors.New("cut")
+			if connectionCut.Load() {
+				return errors.New("connection to the engine is cut")
 			}
 			return nil
 		}
 		f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
-			f.must(begin(sink))
+			f.must(startStream(sink))
 			return engine.Failed{Tokens: 1}
 		}
-		refused(t, f.ask("bids", 10), refusal.UpstreamFailed, refusal.Unknown)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.UpstreamFailed, refusal.Unknown)
 		time.Sleep(10 * time.Second)
 		is := is.New(t)
-		is.Equal(len(f.given()), 0)
-		pins, _ := f.pipeline.Pins.On(f.dispatched()[0], 0)
+		is.Equal(len(f.releasedPins()), 0)
+		pins, _ := f.pipeline.Pins.On(f.dispatchedUpstreams()[0], 0)
 		is.Equal(len(pins), 1)
-		cut.Store(false)
+		connectionCut.Store(false)
 		time.Sleep(time.Second)
-		is.Equal(len(f.given()), 1)
+		is.Equal(len(f.releasedPins()), 1)
 	})
 }
 
-// An engine ignores how many tokens it was asked for. The workspace would get tokens that were never
-// counted against its rate.
-func TestEngineThatGeneratesTooMuch(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
-		most := 0
+// An engine generates more tokens than requested. The workspace would get tokens that were not counted against its
+// rate.
+func TestEngineGeneratesTooManyTokens(t *testing.T) {
+	runInBubble(t, 2, func(f *fixture) {
+		generated := 0
 		f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
 			f.must(sink.Begin("bids@1"))
-			for ; most < 100; most++ {
-				if err := sink.Event(stream.Event{Data: []byte("{}")}, most+1); err != nil {
-					return engine.Cancelled{Tokens: most, Err: err, Stopped: true}
+			for ; generated < 100; generated++ {
+				if err := sink.Event(stream.Event{Data: []byte("{}")}, generated+1); err != nil {
+					return engine.Cancelled{Tokens: generated, Err: err, Stopped: true}
 				}
 			}
-			return engine.Completed{Tokens: most}
+			return engine.Completed{Tokens: generated}
 		}
-		refused(t, f.ask("bids", 10), refusal.UpstreamFailed, refusal.Unknown)
-		is.New(t).Equal(most, 10)
+		checkRefused(t, f.requestCompletion("bids", 10), refusal.UpstreamFailed, refusal.Unknown)
+		is.New(t).Equal(generated, 10)
 	})
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// The balancer sends a workspace's requests all to one instance, which has only its share of the burst.
-// A caller within the workspace's rate must not be refused while the tokens lie on another instance.
-func TestShortShareBorrows(t *testing.T) {
-	inBubble(t, 2, func(f *fixture) {
+// The load balancer sends all requests of a workspace to one instance, which has only its share of the burst. A caller
+// within the workspace's rate must not be refused while another instance has the tokens.
+func TestInsufficientShareBorrowsFromPeers(t *testing.T) {
+	runInBubble(t, 2, func(f *fixture) {
 		f.lend = func(_ context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
 			lender := rate.Identity{Name: member.Name, Incarnation: member.Incarnation}
 			return rate.Loan{ID: "1", Lender: lender, Tokens: request.Tokens}, nil
 		}
-		is.New(t).NoErr(f.ask("bids", burst/2+100))
+		is.New(t).NoErr(f.requestCompletion("bids", burst/2+100))
 	})
 }
 
-// The peers that have the tokens are cut off and answer nothing. A caller must be refused at once with one
-// such peer, and within about a second however many there are.
-func TestPeersThatDoNotLend(t *testing.T) {
+// The peers that have the tokens do not respond. The caller must be refused within 150 ms with one such peer, and
+// within about a second with any number of them.
+func TestUnresponsivePeersDelayRefusalBriefly(t *testing.T) {
 	cases := []struct {
 		members int
 		within  time.Duration
@@ -398,16 +394,16 @@
 		{330, time.Second},
 	}
 	for _, c := range cases {
-		inBubble(t, c.members, func(f *fixture) {
+		runInBubble(t, c.members, func(f *fixture) {
 			f.lend = func(ctx context.Context, _ head.Member, _ peer.TokenRequest) (rate.Loan, error) {
 				<-ctx.Done()
 				return rate.Loan{}, ctx.Err()
 			}
-			began := time.Now()
-			refused(t, f.ask("bids", burst/2+100), refusal.RateLimited, refusal.NotRun)
+			startedAt := time.Now()
+			checkRefused(t, f.requestCompletion("bids", burst/2+100), refusal.RateLimited, refusal.NotRun)
 			is := is.New(t)
-			is.True(time.Since(began) <= c.within)
-			is.Equal(len(f.dispatched()), 0)
+			is.True(time.Since(startedAt) <= c.within)
+			is.Equal(len(f.dispatchedUpstreams()), 0)
 		})
 	}
 }
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -13,63 +13,63 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// completion_outcome.go takes in how a try at an upstream ended: the place is given back, the route and the
-// suspects learn from it, and it is decided whether to try again.
+// completion_outcome.go processes the outcome of an attempt: it releases the slot, updates the router and the
+// suspects, and decides whether to retry.
 
-// judgeOutcome gives the place back, learns from the outcome and decides whether to try again. A
-// request of which the caller has seen something is never run again: its tokens would not go on from
-// where they stopped.
-func (p *Pipeline) judgeOutcome(
-	ctx context.Context, run *completionRun, found *place, outcome engine.Outcome,
-) (again bool, err error) {
-	released := releasedBy(outcome, run.meter)
-	p.learn(run, found, outcome, released)
-	if mayRunOn(outcome) {
-		go p.runStop(run.dispatchID(), found, released)
+// handleOutcome releases the slot, records the outcome and decides whether to retry. A request whose caller has
+// already received part of the response is never retried, because the tokens of a new attempt would not continue
+// that part.
+func (p *Pipeline) handleOutcome(
+	ctx context.Context, run *completionRun, grant *slotGrant, outcome engine.Outcome,
+) (retry bool, err error) {
+	released := releaseReport(outcome, run.meter)
+	p.recordOutcome(run, grant, outcome, released)
+	if mayStillRun(outcome) {
+		go p.cancelAndRelease(run.dispatchID(), grant, released)
 	} else {
-		p.release(found, released)
+		p.release(grant, released)
 	}
 	switch o := outcome.(type) {
 	case engine.Completed:
 		run.meter.usage = o.Usage
 		return false, nil
 	case engine.Cancelled:
-		if errors.Is(o.Err, errOverspent) {
+		if errors.Is(o.Err, errTooManyTokens) {
 			return false, refusal.New(refusal.UpstreamFailed, "the upstream generated more than was asked for")
 		}
-		return false, ended(ctx, refusal.Unknown)
+		return false, contextRefusal(ctx, refusal.Unknown)
 	case engine.Rejected:
 		return false, refusal.New(refusal.BadRequest, "the upstream refused the request: "+o.Message)
 	case engine.NotResident, engine.Full, engine.NotRun:
-		run.exclude = append(run.exclude, found.upstream.Meta.Name)
+		run.excluded = append(run.excluded, grant.upstream.Meta.Name)
 		busy := refusal.New(refusal.Busy, "the upstream did not take the request").WithRetryAfter(time.Second)
-		return time.Now().Before(run.deadline) && p.mayRetry(), busy
+		return time.Now().Before(run.deadline) && p.allowRetry(), busy
 	}
 	run.mayHaveRun = true
 	failed := refusal.New(refusal.UpstreamFailed, "the upstream failed while the request ran")
-	if run.meter.began || ctx.Err() != nil {
+	if run.meter.started || ctx.Err() != nil {
 		return false, failed
 	}
-	run.exclude = append(run.exclude, found.upstream.Meta.Name)
-	if verdict := p.judge(run); verdict != nil {
+	run.excluded = append(run.excluded, grant.upstream.Meta.Name)
+	if verdict := p.checkSuspect(run); verdict != nil {
 		return false, refusal.From(verdict).WithRun(refusal.Unknown)
 	}
-	return time.Now().Before(run.deadline) && p.mayRetry(), failed
+	return time.Now().Before(run.deadline) && p.allowRetry(), failed
 }
 
-func releasedBy(outcome engine.Outcome, m *meter) holder.Released {
+func releaseReport(outcome engine.Outcome, m *meter) holder.Released {
 	released := holder.Released{Tokens: float64(m.tokens)}
 	switch outcome.(type) {
 	case engine.NotResident, engine.WrongModel:
-		released.NotResident = true // either way the holder's belief about the version is wrong
+		released.NotResident = true // in both cases the holder's record of the loaded version is wrong
 	case engine.Failed, engine.Unknown:
 		released.UpstreamFailed = true
 	}
 	return released
 }
 
-// mayRetry asks the budget of retries, so that a failing fleet is not sent its whole load twice.
-func (p *Pipeline) mayRetry() (allowed bool) {
+// allowRetry takes a retry from the retry budget, which keeps retries from doubling the load on a failing fleet.
+func (p *Pipeline) allowRetry() (allowed bool) {
 	p.Advice.With(func(a *Advice) {
 		allowed = a.Retries.Allow()
 	})
@@ -79,14 +79,15 @@
 	return allowed
 }
 
-// learn tells the route how the upstream did, and the suspects whether the request survived it.
-func (p *Pipeline) learn(run *completionRun, found *place, outcome engine.Outcome, released holder.Released) {
+// recordOutcome records the upstream's performance with the router, and with the suspects whether the request
+// completed or crashed the upstream.
+func (p *Pipeline) recordOutcome(run *completionRun, grant *slotGrant, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
 	p.Advice.With(func(a *Advice) {
 		a.Router.Ended(now, route.Outcome{
-			Upstream: found.upstream.Meta.Name,
+			Upstream: grant.upstream.Meta.Name,
 			Tokens:   released.Tokens,
-			Took:     now.Sub(found.granted),
+			Took:     now.Sub(grant.grantedAt),
 			Failed:   released.UpstreamFailed,
 		})
 		switch outcome.(type) {
@@ -100,20 +101,20 @@
 			}
 		}
 	})
-	p.tellCrash(outcome)
+	p.notifyCrash(outcome)
 }
 
-// tellCrash has the other instances told of a crash at once. Told with the next heartbeat only, a caller
-// that sends its request again to another instance crashes one engine more there.
-func (p *Pipeline) tellCrash(outcome engine.Outcome) {
+// notifyCrash has the other instances notified of a crash immediately. If they learned of it only with the next
+// heartbeat, a caller that repeats its request at another instance would crash another engine.
+func (p *Pipeline) notifyCrash(outcome engine.Outcome) {
 	if isCrash(outcome) && p.Crashed != nil {
 		p.Crashed()
 	}
 }
 
-// isCrash tells whether the upstream itself went away under the request. A connection that went silent
-// is no crash: counted as one, requests behind a broken way would be refused as suspects. An engine that
-// is back before the stream is asked for again is one, although it confirms that it runs nothing.
+// isCrash reports whether the upstream itself was lost while it ran the request. A silent connection is not a
+// crash: if it counted, requests behind a broken network path would be refused as suspects. An engine that
+// restarted before the stream was resumed did crash, although it confirms that it does not run the request.
 func isCrash(outcome engine.Outcome) bool {
 	switch o := outcome.(type) {
 	case engine.Failed:
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -37,24 +37,24 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// This file puts a pipeline together from the real deciding parts and fakes at its interfaces. The
-// fakes keep a plain record of what left the instance.
+// This file assembles a pipeline from the real components, with fakes at its interfaces. The fakes record the calls
+// that the pipeline makes.
 
 const (
-	burst        = 1000
-	longPatience = 20 * time.Second
-	serviceAt    = "10.0.0.9:1"
+	burst           = 1000
+	dispatchTimeout = 20 * time.Second
+	serviceAddress  = "10.0.0.9:1"
 
-	otherServiceAt = "10.0.0.8:1"
+	otherServiceAddress = "10.0.0.8:1"
 )
 
 var (
-	self     = rate.Identity{Name: "i1", Incarnation: "a"}
-	caller   = api.Identity{Workspace: "blue", Key: "blue-key"}
-	upstream = map[string]string{"10.0.0.1:1": "u1", "10.0.0.2:1": "u2"}
+	self              = rate.Identity{Name: "i1", Incarnation: "a"}
+	caller            = api.Identity{Workspace: "blue", Key: "blue-key"}
+	upstreamByAddress = map[string]string{"10.0.0.1:1": "u1", "10.0.0.2:1": "u2"}
 )
 
-// fixture is one instance. Replace its functions to bring a failure about.
+// fixture is one instance. Tests replace its functions to cause failures.
 type fixture struct {
 	*testing.T
 	context    context.Context
@@ -69,19 +69,19 @@
 	cancel   func() error
 	do       func(ctx context.Context, call service.Call) service.Outcome
 
-	leaving  map[string]bool
-	paused   atomic.Bool
-	mutex    sync.Mutex
-	pins     int
-	placed   []peer.PlaceRequest
-	sent     []string
-	calls    int
-	told     atomic.Int32
-	called   []string
-	released []peer.ReleaseRequest
+	leavingAddresses map[string]bool
+	paused           atomic.Bool
+	mutex            sync.Mutex
+	pins             int
+	placeRequests    []peer.PlaceRequest
+	dispatches       []string
+	calls            int
+	crashNotices     atomic.Int32
+	calledAddresses  []string
+	released         []peer.ReleaseRequest
 }
 
-// newFixture makes an instance that is one of the given number of members, on the given store.
+// newFixture creates an instance in a fleet of the given size, on the given store.
 func newFixture(t *testing.T, kv store.Store, members int) *fixture {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,7 +94,7 @@
 	}
 	f.ledger = &rate.Ledger{Self: self, Knowledge: f.tracker}
 	f.place = f.grant
-	f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome { return answer(sink) }
+	f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome { return completeStream(sink) }
 	f.cancel = func() error { return nil }
 	f.do = func(context.Context, service.Call) service.Outcome {
 		return service.Ran{Answer: service.Answer{Status: 201, Body: []byte("booked")}}
@@ -102,34 +102,34 @@
 	claims := &claim.Registry{Store: kv}
 	f.pipeline = &pipeline.Pipeline{
 		Self: self, Current: f.repository.Current, Tracker: f.tracker, Ledger: f.ledger, Claims: claims,
-		Fleet: f, Engine: func(address string) pipeline.Engine { return engineAt{f, upstream[address]} },
-		Services: f, Leaving: func(address string) bool { return f.leaving[address] },
-		Crashed: func() { f.told.Add(1) }, Pins: &pipeline.Pins{}, Running: &pipeline.Running{}, Burn: &burn.Recorder{},
+		Fleet: f, Engine: func(address string) pipeline.Engine { return fakeEngine{f, upstreamByAddress[address]} },
+		Services: f, Leaving: func(address string) bool { return f.leavingAddresses[address] },
+		Crashed: func() { f.crashNotices.Add(1) }, Pins: &pipeline.Pins{}, Running: &pipeline.Running{}, Burn: &burn.Recorder{},
 		Advice: &pipeline.Advice{
 			Router:   &route.Router{Settings: route.DefaultSettings()},
 			Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
 			Retries:  retry.New(1, 10),
 			Shares:   &share.Tracker{},
 		},
-		Patience: longPatience, Log: zerolog.Nop(), Scope: tally.NoopScope,
+		Patience: dispatchTimeout, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}
-	f.declare(members)
+	f.declareFleet(members)
 	go func() { _ = claims.Run(ctx) }()
-	go f.loop()
+	go f.confirmPeriodically()
 	return f
 }
 
-func named(name string) resource.Meta { return resource.Meta{Name: name} }
+func meta(name string) resource.Meta { return resource.Meta{Name: name} }
 
 func adapterVersion(version string) resource.AdapterVersion {
 	return resource.AdapterVersion{
-		Meta: named("bids@" + version), Adapter: "bids", Version: version, Source: "weights/bids/" + version,
+		Meta: meta("bids@" + version), Adapter: "bids", Version: version, Source: "weights/bids/" + version,
 	}
 }
 
-// declare makes the members first, so that the workspace appears while the instance runs and starts with
-// its burst.
-func (f *fixture) declare(members int) {
+// declareFleet adds the members before the resources, so that the workspace is declared while the instance runs and starts
+// with its full burst.
+func (f *fixture) declareFleet(members int) {
 	f.Helper()
 	_, err := f.repository.CommitHead(f.context, func(h head.Head) (head.Head, error) {
 		for i := range members {
@@ -141,15 +141,15 @@
 	f.must(err)
 	f.install()
 	sum := sha256.Sum256([]byte("secret"))
-	f.accept(
-		resource.BaseModel{Meta: named("base")},
-		resource.Workspace{Meta: named("blue"), Rate: 1, Burst: burst, Weight: 1},
-		resource.Key{Meta: named(caller.Key), Workspace: "blue", Hash: hex.EncodeToString(sum[:])},
-		resource.Adapter{Meta: named("bids"), BaseModel: "base", Current: "1"},
+	f.declare(
+		resource.BaseModel{Meta: meta("base")},
+		resource.Workspace{Meta: meta("blue"), Rate: 1, Burst: burst, Weight: 1},
+		resource.Key{Meta: meta(caller.Key), Workspace: "blue", Hash: hex.EncodeToString(sum[:])},
+		resource.Adapter{Meta: meta("bids"), BaseModel: "base", Current: "1"},
 		adapterVersion("1"), adapterVersion("2"),
-		resource.Upstream{Meta: named("u1"), Address: "10.0.0.1:1", DataCentre: "south", BaseModel: "base", Slots: 4, Batch: 4},
-		resource.Upstream{Meta: named("u2"), Address: "10.0.0.2:1", DataCentre: "south", BaseModel: "base", Slots: 4, Batch: 4},
-		resource.Service{Meta: named("paint"), Addresses: []string{serviceAt, otherServiceAt}, Repeatable: []string{"GET"}},
+		resource.Upstream{Meta: meta("u1"), Address: "10.0.0.1:1", DataCentre: "south", BaseModel: "base", Slots: 4, Batch: 4},
+		resource.Upstream{Meta: meta("u2"), Address: "10.0.0.2:1", DataCentre: "south", BaseModel: "base", Slots: 4, Batch: 4},
+		resource.Service{Meta: meta("paint"), Addresses: []string{serviceAddress, otherServiceAddress}, Repeatable: []string{"GET"}},
 	)
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// accept declares resources and installs the head.
-func (f *fixture) accept(resources ...resource.Resource) {
+// declare declares resources and installs the new head.
+func (f *fixture) declare(resources ...resource.Resource) {
 	f.Helper()
 	var change configuration.Change
 	for _, r := range resources {
@@ -179,15 +179,15 @@
 	f.install()
 }
 
-// withdraw withdraws the caller's key, as seen by this instance.
+// withdraw withdraws the caller's key and installs the change at this instance.
 func (f *fixture) withdraw() {
 	key, _ := f.repository.Current().Configuration.Key(caller.Key)
 	key.Withdrawn = true
-	f.accept(key)
+	f.declare(key)
 }
 
-// leaveFleet takes a member out, as seen by this instance.
-func (f *fixture) leaveFleet(name string) {
+// removeMember removes a member and installs the change at this instance.
+func (f *fixture) removeMember(name string) {
 	_, err := f.repository.CommitHead(f.context, func(h head.Head) (head.Head, error) {
 		return h.WithoutMember(name), nil
 	})
@@ -195,7 +195,7 @@
 	f.install()
 }
 
-// install brings the current head to the parts, as the daemon does.
+// install installs the current head in all components, as the daemon does.
 func (f *fixture) install() {
 	current := f.repository.Current()
 	ledgerHead := rate.Head{Revision: current.Head.Revision}
@@ -218,18 +218,18 @@
 	f.confirm()
 }
 
-// confirm is what a read of the store brings, and what heartbeats tell of the upstreams.
+// confirm simulates a successful read of the store, and heartbeats that report the upstreams.
 func (f *fixture) confirm() {
 	now := time.Now()
 	f.tracker.ReadConfirmed(now, f.repository.Current().Head.Revision)
 	f.pipeline.Advice.With(func(a *pipeline.Advice) {
-		for _, name := range upstream {
+		for _, name := range upstreamByAddress {
 			a.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
 		}
 	})
 }
 
-func (f *fixture) loop() {
+func (f *fixture) confirmPeriodically() {
 	for f.context.Err() == nil {
 		if !f.paused.Load() {
 			f.confirm()
@@ -241,23 +241,23 @@
 	}
 }
 
-// pause stops the instance for longer than its knowledge may be used. It runs on before it reads again.
+// pause simulates a pause of the process that exceeds the freshness bound. It returns before the next read of the store.
 func (f *fixture) pause() {
 	f.paused.Store(true)
 	time.Sleep(freshness.Bound + time.Second)
 }
 
 // ---------------------------------------------------------------------------------------------
-// The fakes.
+// Fakes.
 
 func (f *fixture) Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
 	f.mutex.Lock()
-	f.placed = append(f.placed, request)
+	f.placeRequests = append(f.placeRequests, request)
 	f.mutex.Unlock()
 	return f.place(ctx, member, request)
 }
 
-// grant gives every request a pin at once.
+// grant grants a pin to every request immediately.
 func (f *fixture) grant(_ context.Context, _ head.Member, request peer.PlaceRequest) (peer.Placement, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -279,66 +279,66 @@
 func (f *fixture) Do(ctx context.Context, address string, call service.Call) service.Outcome {
 	f.mutex.Lock()
 	f.calls++
-	f.called = append(f.called, address)
+	f.calledAddresses = append(f.calledAddresses, address)
 	f.mutex.Unlock()
 	return f.do(ctx, call)
 }
 
-// engineAt is one upstream of the fixture.
-type engineAt struct {
+// fakeEngine is one upstream of the fixture.
+type fakeEngine struct {
 	*fixture
 	name string
 }
 
-func (e engineAt) Complete(ctx context.Context, _ engine.Dispatch, sink engine.Sink) engine.Outcome {
+func (e fakeEngine) Complete(ctx context.Context, _ engine.Dispatch, sink engine.Sink) engine.Outcome {
 	e.mutex.Lock()
-	e.sent = append(e.sent, e.name)
+	e.dispatches = append(e.dispatches, e.name)
 	e.mutex.Unlock()
 	return e.complete(ctx, sink)
 }
 
-func (e engineAt) Cancel(context.Context, string) error { return e.cancel() }
+func (e fakeEngine) Cancel(context.Context, string) error { return e.cancel() }
 
-// answer sends a whole stream of one token.
-func answer(sink engine.Sink) engine.Outcome {
-	if begin(sink) != nil {
+// completeStream sends a complete stream of one token.
+func completeStream(sink engine.Sink) engine.Outcome {
+	if startStream(sink) != nil {
 		return engine.Cancelled{Stopped: true}
 	}
 	return engine.Completed{Tokens: 1}
 }
 
-func begin(sink engine.Sink) error {
+func startStream(sink engine.Sink) error {
 	if err := sink.Begin("bids@1"); err != nil {
 		return err
 	}
 	return sink.Event(stream.Event{Data: []byte("{}")}, 1)
 }
 
-// nobody is a caller that takes everything and looks at nothing.
-type nobody struct{}
+// discardSink is a caller that discards the stream.
+type discardSink struct{}
 
-func (nobody) Begin(api.Served) error        { return nil }
-func (nobody) Event(stream.Event, int) error { return nil }
+func (discardSink) Begin(api.Served) error        { return nil }
+func (discardSink) Event(stream.Event, int) error { return nil }
 
 // ---------------------------------------------------------------------------------------------
-// What is asked and looked at.
+// Requests and checks.
 
-// ask runs a completion that may generate as many tokens.
-func (f *fixture) ask(model string, tokens int) error {
+// requestCompletion runs a completion with the given limit of generated tokens.
+func (f *fixture) requestCompletion(model string, tokens int) error {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a","max_tokens":%d}`, model, tokens)
 	request, err := completion.Parse(completion.Text, []byte(body), completion.DefaultLimits())
 	f.must(err)
-	return f.pipeline.Complete(f.context, caller, request.WithID("r"), nobody{})
+	return f.pipeline.Complete(f.context, caller, request.WithID("r"), discardSink{})
 }
 
-// callService calls the plain service.
+// callService calls the plain service with an idempotency key.
 func (f *fixture) callService(ctx context.Context, method, key string) (service.Answer, error) {
 	call := service.Call{ID: "r", Method: method, Path: "/orders", IdempotencyKey: key}
 	return f.pipeline.Call(ctx, caller, api.ServiceCall{Service: "paint", Call: call})
 }
 
-// refused checks the code and the run state that a caller is told.
-func refused(t *testing.T, err error, code refusal.Code, run refusal.Run) {
+// checkRefused checks the code and the run state of a refusal.
+func checkRefused(t *testing.T, err error, code refusal.Code, run refusal.Run) {
 	t.Helper()
 	is := is.New(t)
 	is.True(err != nil)
@@ -347,15 +347,15 @@
 	is.Equal(got.Run(), run)
 }
 
-// dispatched lists the upstreams that were sent a request.
-func (f *fixture) dispatched() []string {
+// dispatchedUpstreams lists the upstreams to which requests were sent, in order.
+func (f *fixture) dispatchedUpstreams() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]string(nil), f.sent...)
+	return append([]string(nil), f.dispatches...)
 }
 
-// given lists the pins given back, once for each pin.
-func (f *fixture) given() map[string]peer.ReleaseRequest {
+// releasedPins returns the released pins, each with its last release request.
+func (f *fixture) releasedPins() map[string]peer.ReleaseRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	pins := map[string]peer.ReleaseRequest{}
--- a/internal/entry/pipeline/meter.go
+++ b/internal/entry/pipeline/meter.go
@@ -10,64 +10,65 @@
 	"lacewingrock.example/lacewingrock/internal/caller/stream"
 )
 
-// toldTogether is how many tokens go by before the reservation is told of them. Made for long streams in
-// a large fleet: each telling brings the bucket up to date under the ledger's lock, and looks at every
-// member while a new head is not in force everywhere. What is not told yet stays reserved, so the
-// workspace can't spend it again; its room in the bucket comes up to sixteen tokens late, which at 30 ms
-// a token is half a second. The number was not tuned: the cost falls by about as much as it says.
-const toldTogether = 16
+// spendBatch is the number of streamed tokens that are spent from the reservation together. Each call of Spend
+// updates the bucket under the ledger's lock, and iterates over all members while a new head is not in force
+// everywhere, which is costly for long streams in a large fleet; batching divides that cost by about 16. Tokens
+// not spent yet stay reserved, so the workspace cannot spend them twice. The bucket refills up to sixteen tokens
+// late, which is half a second at 30 ms per token.
+const spendBatch = 16
 
-// meter stands between the engine's stream and the caller: it counts the tokens that go by and spends
-// them from the request's reservation. It belongs to one goroutine.
+// meter forwards the engine's stream to the caller, counts its tokens and spends them from the request's
+// reservation. It is not safe for concurrent use.
 type meter struct {
 	sink        api.Sink
 	reservation *rate.Reservation
-	// promptTokens is the prompt's estimate, mostTokens the most that may be generated; the reservation
-	// holds at least both.
+	// promptTokens is the estimated length of the prompt, and maxTokens limits the generated tokens; the
+	// reservation covers at least their sum.
 	promptTokens int
-	mostTokens   int
+	maxTokens    int
 
-	began      bool
+	started    bool
 	firstToken time.Time
 	tokens     int
-	// untold is how many tokens the reservation has not been told of.
-	untold int
-	usage  stream.Usage
+	// pendingSpend is the number of streamed tokens that have not been spent from the reservation yet.
+	pendingSpend int
+	usage        stream.Usage
 }
 
-// errOverspent ends a stream whose engine generates more than it was asked for. What it generates
-// beyond that was never admitted: the workspace would get more than its rate.
-var errOverspent = errors.New("pipeline: more tokens than were reserved")
+// errTooManyTokens ends a stream whose engine generates more tokens than requested. The excess was never
+// admitted, so the workspace would exceed its rate.
+var errTooManyTokens = errors.New("pipeline: the engine generated more tokens than were reserved")
 
-// Begin passes on what serves the request.
+// Begin forwards the name of the model that serves the request.
 func (m *meter) Begin(served string) error {
-	m.began = true
+	m.started = true
 	return m.sink.Begin(api.Served{Model: served})
 }
 
-// Event passes on one event and spends its tokens. An event beyond what was asked for is not passed on
-// and ends the stream: its tokens were not reserved, and would be more than the workspace bought. The prompt's tokens
-// are not spent until the engine has counted them: what is spent is not given back, and the estimate is
-// several times the count of a short prompt.
+// Event forwards one event and spends its tokens. An event that exceeds the requested number of tokens is not
+// forwarded and ends the stream: its tokens were not reserved, and would exceed the workspace's rate. The tokens
+// of the prompt are spent only once the engine has counted them, because spent tokens cannot be refunded, and the
+// estimate for a short prompt is several times its real count.
 func (m *meter) Event(event stream.Event, tokens int) error {
-	if tokens > m.mostTokens {
-		return errOverspent
+	if tokens > m.maxTokens {
+		return errTooManyTokens
 	}
 	if m.firstToken.IsZero() && tokens > 0 {
 		m.firstToken = time.Now()
 	}
 	if tokens > m.tokens {
-		m.untold += tokens - m.tokens
+		m.pendingSpend += tokens - m.tokens
 		m.tokens = tokens
 	}
-	if m.untold >= toldTogether {
-		m.reservation.Spend(float64(m.untold))
-		m.untold = 0
+	if m.pendingSpend >= spendBatch {
+		m.reservation.Spend(float64(m.pendingSpend))
+		m.pendingSpend = 0
 	}
 	return m.sink.Event(event, tokens)
 }
 
-// used is what the request cost: the engine's own count if it gave one, else what went by.
+// used returns the request's cost in tokens: the engine's own count if it reported one, else the estimated prompt
+// and the streamed tokens.
 func (m *meter) used() float64 {
 	if m.usage.Total() > 0 {
 		return float64(m.usage.Total())
--- a/internal/entry/pipeline/meter_charge_test.go
+++ b/internal/entry/pipeline/meter_charge_test.go
@@ -13,14 +13,14 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/freshness"
 )
 
-type silentSink struct{}
+type discardSink struct{}
 
-func (silentSink) Begin(api.Served) error        { return nil }
-func (silentSink) Event(stream.Event, int) error { return nil }
+func (discardSink) Begin(api.Served) error        { return nil }
+func (discardSink) Event(stream.Event, int) error { return nil }
 
-// A short prompt is estimated at many more tokens than the engine counts. Were the estimate charged, a
-// workspace with short prompts would be refused at less than half of the rate it bought.
-func TestPromptIsChargedAsTheEngineCountsIt(t *testing.T) {
+// The estimate for a short prompt is several times the engine's count. If the estimate were charged, a workspace with
+// short prompts would be refused at less than half of its rate.
+func TestPromptIsChargedByTheEnginesCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		self := freshness.Member{Name: "i", Incarnation: "1", Since: 1}
@@ -37,7 +37,7 @@
 		install(rate.Head{Revision: 2, Since: 1, Members: members, Limits: []rate.Limit{{Workspace: "w", Burst: 100}}})
 		reservation, err := ledger.Reserve("w", 60)
 		is.NoErr(err)
-		m := &meter{sink: silentSink{}, reservation: reservation, promptTokens: 24, mostTokens: 36}
+		m := &meter{sink: discardSink{}, reservation: reservation, promptTokens: 24, maxTokens: 36}
 		for tokens := 1; tokens <= 10; tokens++ {
 			is.NoErr(m.Event(stream.Event{}, tokens))
 		}
--- a/internal/entry/pipeline/meter_test.go
+++ b/internal/entry/pipeline/meter_test.go
@@ -14,7 +14,7 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/freshness"
 )
 
-// countingSink counts what the caller would get.
+// countingSink counts the events and tokens forwarded to the caller.
 type countingSink struct {
 	events int
 	tokens int
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// reservationOf reserves tokens at an instance of a fleet of so many members. Unless settled, a
-// newer head was installed since, which none of the others has told yet.
-func reservationOf(t testing.TB, tokens float64, members int, settled bool) *rate.Reservation {
+// newReservation reserves tokens at an instance of a fleet of the given size. Unless settled, it then installs a
+// newer head that no other member has reported yet.
+func newReservation(t testing.TB, tokens float64, members int, settled bool) *rate.Reservation {
 	t.Helper()
 	tracker := &freshness.Tracker{Self: freshness.Member{Name: "i0", Incarnation: "1", Since: 1}, Bound: time.Hour}
 	ledger := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Knowledge: tracker}
@@ -46,7 +46,7 @@
 	for _, member := range heads.Members {
 		tracker.Replied(freshness.Reply{Member: member, Asked: time.Now(), Revision: 1, ConfirmedAge: -1})
 	}
-	// The bucket of a workspace that is declared while the process runs starts full.
+	// The bucket of a workspace starts full if the workspace is declared while the process runs.
 	ledger.Install(rate.Head{Revision: 1, Since: 1, Members: limits.Members})
 	tracker.Install(freshness.Head{Revision: 2, Epoch: 1, Members: heads.Members})
 	tracker.ReadConfirmed(time.Now(), 2)
@@ -67,30 +67,29 @@
 	return reservation
 }
 
-// An engine generates more tokens than it was asked for, in single tokens or several to an event. The
-// workspace would get more than it bought. Everything that was reserved must still arrive, and nothing
-// beyond it.
-func TestOverspendingEndsTheStream(t *testing.T) {
+// An engine generates more tokens than requested, one or several per event, so the workspace would exceed its rate.
+// Events within the reservation must be forwarded, and none beyond it.
+func TestExcessTokensEndTheStream(t *testing.T) {
 	cases := []struct {
 		name               string
 		step               int
 		prompt             int
 		reserved, received int
 	}{
-		{"one by one", 1, 10, 110, 100},
-		{"fewer than are told at once", 1, 10, 13, 3},
-		{"as many as are told at once", 1, 0, toldTogether, toldTogether},
-		{"three to an event", 3, 10, 110, 99},
-		{"many to an event", 64, 0, 128, 128},
-		{"too many in the first event", 64, 10, 60, 0},
+		{"one token per event", 1, 10, 110, 100},
+		{"fewer than one batch", 1, 10, 13, 3},
+		{"exactly one batch", 1, 0, spendBatch, spendBatch},
+		{"three tokens per event", 3, 10, 110, 99},
+		{"more than one batch per event", 64, 0, 128, 128},
+		{"first event exceeds the reservation", 64, 10, 60, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			sink := &countingSink{}
 			m := &meter{
-				sink: sink, promptTokens: c.prompt, mostTokens: c.reserved - c.prompt,
-				reservation: reservationOf(t, float64(c.reserved), 1, true),
+				sink: sink, promptTokens: c.prompt, maxTokens: c.reserved - c.prompt,
+				reservation: newReservation(t, float64(c.reserved), 1, true),
 			}
 			var err error
 			tokens := 0
@@ -98,20 +97,20 @@
 				tokens += c.step
 				err = m.Event(stream.Event{}, tokens)
 			}
-			is.True(errors.Is(err, errOverspent))
+			is.True(errors.Is(err, errTooManyTokens))
 			is.Equal(sink.tokens, c.received)
 			is.Equal(sink.events, c.received/c.step)
 		})
 	}
 }
 
-// BenchmarkMeter is what the meter costs for each token of one stream, by the size of the fleet and
-// whether its newest head is in force.
+// BenchmarkMeter measures the meter's cost per token of one stream, by the size of the fleet and by whether its
+// newest head is in force.
 func BenchmarkMeter(b *testing.B) {
 	for _, members := range []int{1, 8, 330} {
 		for _, settled := range []bool{true, false} {
 			b.Run(fmt.Sprintf("members=%d/settled=%v", members, settled), func(b *testing.B) {
-				m := &meter{sink: &countingSink{}, reservation: reservationOf(b, 1e6, members, settled)}
+				m := &meter{sink: &countingSink{}, reservation: newReservation(b, 1e6, members, settled)}
 				b.ResetTimer()
 				for n := range b.N {
 					if err := m.Event(stream.Event{}, n+1); err != nil {
--- a/internal/entry/pipeline/pins.go
+++ b/internal/entry/pipeline/pins.go
@@ -8,40 +8,40 @@
 	"lacewingrock.example/lacewingrock/internal/placement/holder"
 )
 
-// Pins keeps the pins of the requests that this instance runs, and tells them to new holders. A new
-// holder evicts once every member has told its pins; so no pin of an older holder may be added after
-// this instance has told its list. Both therefore happen under one lock, with the head they go by.
+// Pins records the pins of the requests that this instance runs, and lists them for new holders. A new holder
+// starts evicting once every member has reported its pins. No pin of an earlier holder may therefore be added
+// after this instance has reported its list. One lock guards both operations and the head that they check.
 type Pins struct {
 	mutex sync.Mutex
 	head  head.Head
-	pins  map[string]pinned
+	pins  map[string]upstreamPin
 }
 
-type pinned struct {
+type upstreamPin struct {
 	upstream string
 	pin      holder.Pin
 }
 
-// Install takes in a new head.
+// Install sets the current head.
 func (p *Pins) Install(h head.Head) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.head = h
 }
 
-// add notes a pin that a member granted. It fails when that member holds the upstream no longer; the
-// pin must not be used then.
-func (p *Pins) add(upstream, dataCentre string, granter head.Member, pin holder.Pin) bool {
+// add records a pin that grantor granted. It returns false if grantor no longer holds the upstream; the pin must
+// not be used then.
+func (p *Pins) add(upstream, dataCentre string, grantor head.Member, pin holder.Pin) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	now, found := membership.Holder(p.head, upstream, dataCentre)
-	if !found || now.Name != granter.Name || now.Incarnation != granter.Incarnation {
+	current, found := membership.Holder(p.head, upstream, dataCentre)
+	if !found || current.Name != grantor.Name || current.Incarnation != grantor.Incarnation {
 		return false
 	}
 	if p.pins == nil {
-		p.pins = map[string]pinned{}
+		p.pins = map[string]upstreamPin{}
 	}
-	p.pins[pin.ID] = pinned{upstream: upstream, pin: pin}
+	p.pins[pin.ID] = upstreamPin{upstream: upstream, pin: pin}
 	return true
 }
 
@@ -51,13 +51,13 @@
 	delete(p.pins, id)
 }
 
-// On lists the pins on an upstream, and tells whether a head of at least that epoch is installed.
-func (p *Pins) On(upstream string, epoch int64) (pins []holder.Pin, noted bool) {
+// On returns the pins on an upstream, and whether a head of at least the given epoch is installed.
+func (p *Pins) On(upstream string, epoch int64) (pins []holder.Pin, installed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.pins {
-		if one.upstream == upstream {
-			pins = append(pins, one.pin)
+	for _, entry := range p.pins {
+		if entry.upstream == upstream {
+			pins = append(pins, entry.pin)
 		}
 	}
 	return pins, p.head.Epoch >= epoch
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -1,6 +1,6 @@
-// Package pipeline takes a caller's request through its stages on this instance: authenticate, admit,
-// queue and place, forward, settle. The deciding packages have the rules; here they are asked in their
-// order, at the moment their answer is used, and the calls they lead to are made.
+// Package pipeline runs a caller's request through its stages on this instance: authentication, admission,
+// queueing and placement, forwarding, settlement. Other packages decide by their rules; this package calls them in
+// order, immediately before it acts on each decision, and makes the resulting calls.
 package pipeline
 
 import (
@@ -34,15 +34,15 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// Fleet is the calls to other members, this instance included.
+// Fleet calls members of the fleet, including this instance.
 type Fleet interface {
 	Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error)
 	Release(ctx context.Context, member head.Member, request peer.ReleaseRequest) error
 	AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error)
 }
 
-// Engine runs completions on one upstream. Cancel answers nil once the engine has confirmed that it does
-// not run the dispatch.
+// Engine runs completions on one upstream. Cancel returns nil once the engine has confirmed that it does not run
+// the dispatch.
 type Engine interface {
 	Complete(ctx context.Context, dispatch engine.Dispatch, sink engine.Sink) engine.Outcome
 	Cancel(ctx context.Context, id string) error
@@ -53,7 +53,7 @@
 	Do(ctx context.Context, address string, call service.Call) service.Outcome
 }
 
-// Objectives counts what went well and badly for the burn report.
+// Objectives counts good and bad events per objective for the burn report.
 type Objectives interface {
 	Record(workspace string, objective burn.Objective, good bool)
 }
@@ -68,24 +68,24 @@
 	Fleet    Fleet
 	Engine   func(address string) Engine
 	Services Services
-	// Leaving tells whether the machine at an address is said to be leaving.
+	// Leaving reports whether the machine at an address is listed as leaving, that is, being drained.
 	Leaving func(address string) bool
 	Pins    *Pins
 	Running *Running
 	Burn    Objectives
 	Advice  *Advice
-	// Patience is the longest a request may wait before it is dispatched.
+	// Patience is the maximum time that a request may wait before it is dispatched.
 	Patience time.Duration
-	// Crashed, when set, is told that a request was in flight when an upstream was lost, so that the other
-	// instances hear of it before its caller sends it to one of them.
+	// Crashed, if set, is called when an upstream was lost while it ran a request. It notifies the other
+	// instances before the caller repeats the request at one of them.
 	Crashed func()
 	Log     zerolog.Logger
 	Scope   tally.Scope
 }
 
-// Advice is what this instance has learnt about upstreams and requests: where to send the next one,
-// which requests crash upstreams, and how many retries are left. Its parts are not safe for several
-// goroutines, so all of them are used under one lock; each use takes microseconds.
+// Advice groups the state by which this instance places requests: the router, the requests suspected of crashing
+// upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one lock
+// guards all of them; each use takes microseconds.
 type Advice struct {
 	Router   *route.Router
 	Suspects *suspect.Register
@@ -95,7 +95,7 @@
 	mutex sync.Mutex
 }
 
-// With gives the parts to one function at a time.
+// With calls use while it holds the lock.
 func (a *Advice) With(use func(a *Advice)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -104,9 +104,9 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Authenticate finds whom a key speaks for, as of now.
+// Authenticate returns the identity of a key's secret in the current configuration.
 func (p *Pipeline) Authenticate(secret string) (identity api.Identity, err error) {
-	if err := p.fresh(); err != nil {
+	if err := p.checkFreshness(); err != nil {
 		return api.Identity{}, err
 	}
 	sum := sha256.Sum256([]byte(secret))
@@ -115,38 +115,38 @@
 		return api.Identity{}, refusal.New(refusal.InvalidKey, "the key is not known")
 	}
 	if key.Withdrawn {
-		return api.Identity{}, withdrawn()
+		return api.Identity{}, keyWithdrawn()
 	}
 	return api.Identity{Workspace: key.Workspace, Key: key.Meta.Name}, nil
 }
 
-// Models lists the adapters, and their versions, that a workspace may use.
+// Models lists the adapters and adapter versions that a workspace may use.
 func (p *Pipeline) Models(identity api.Identity) (models []api.Model, err error) {
-	if err := p.fresh(); err != nil {
+	if err := p.checkFreshness(); err != nil {
 		return nil, err
 	}
 	current := p.Current().Configuration
-	for _, one := range current.Resources(resource.KindAdapter) {
-		adapter, ok := one.(resource.Adapter)
-		if ok && allowed(adapter.Workspaces, identity.Workspace) {
+	for _, declared := range current.Resources(resource.KindAdapter) {
+		adapter, ok := declared.(resource.Adapter)
+		if ok && workspaceAllowed(adapter.Workspaces, identity.Workspace) {
 			models = append(models, api.Model{Name: adapter.Meta.Name, Owner: adapter.BaseModel})
 		}
 	}
-	for _, one := range current.Resources(resource.KindAdapterVersion) {
-		version, ok := one.(resource.AdapterVersion)
+	for _, declared := range current.Resources(resource.KindAdapterVersion) {
+		version, ok := declared.(resource.AdapterVersion)
 		if !ok {
 			continue
 		}
 		adapter, found := current.Adapter(version.Adapter)
-		if found && allowed(adapter.Workspaces, identity.Workspace) {
+		if found && workspaceAllowed(adapter.Workspaces, identity.Workspace) {
 			models = append(models, api.Model{Name: version.Meta.Name, Owner: adapter.BaseModel})
 		}
 	}
 	return models, nil
 }
 
-// fresh refuses while this instance can't know whether keys, rates and adapters are still in force.
-func (p *Pipeline) fresh() error {
+// checkFreshness refuses while this instance cannot confirm that keys, rates and adapters are still in force.
+func (p *Pipeline) checkFreshness() error {
 	err := p.Tracker.Fresh()
 	if err == nil {
 		return nil
@@ -156,32 +156,32 @@
 		WithRetryAfter(time.Second)
 }
 
-// stillServed checks, right before something goes out for a caller, that its key and workspace are
-// still in force. The request may have waited since it was authenticated, and the process may have
-// been paused: without this check a withdrawn key would work for as long as that took.
-func (p *Pipeline) stillServed(identity api.Identity) (current configuration.Configuration, err error) {
+// checkIdentity checks that the caller's key and workspace are still in force. It is called immediately before
+// anything is sent for the caller. The request may have waited since it was authenticated, or the process may have
+// been paused; without this check a withdrawn key would remain usable for that time.
+func (p *Pipeline) checkIdentity(identity api.Identity) (current configuration.Configuration, err error) {
 	current = p.Current().Configuration
-	if err := p.fresh(); err != nil {
+	if err := p.checkFreshness(); err != nil {
 		return current, err
 	}
 	key, found := current.Key(identity.Key)
 	if !found || key.Withdrawn || key.Workspace != identity.Workspace {
-		return current, withdrawn()
+		return current, keyWithdrawn()
 	}
 	return current, nil
 }
 
-func withdrawn() refusal.Refusal {
+func keyWithdrawn() refusal.Refusal {
 	return refusal.New(refusal.KeyWithdrawn, "the key was withdrawn")
 }
 
-// allowed tells whether a workspace is among those listed; an empty list means all.
-func allowed(workspaces []string, workspace string) bool {
+// workspaceAllowed reports whether a workspace is listed; an empty list allows all.
+func workspaceAllowed(workspaces []string, workspace string) bool {
 	return len(workspaces) == 0 || slices.Contains(workspaces, workspace)
 }
 
-// reasonRefusal turns a holder's refusal into what the caller is told.
-func reasonRefusal(refused peer.Refused) refusal.Refusal {
+// placementRefusal converts a holder's refusal into the refusal for the caller.
+func placementRefusal(refused peer.Refused) refusal.Refusal {
 	code, message := refusal.Busy, "the upstreams are busy"
 	if refused.Reason == holder.ReasonLoadFailed {
 		code, message = refusal.LoadFailed, "the adapter version could not be loaded"
--- a/internal/entry/pipeline/placing.go
+++ b/internal/entry/pipeline/placing.go
@@ -17,83 +17,84 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// placing.go finds a request its place: the route names an upstream, and the upstream's holder grants
+// This file acquires a batch slot for a request: the router chooses an upstream, and the upstream's holder grants
 // a pin on it.
 
 const (
-	// tryAgain is the pause before a place is asked for again while the holders change or nobody has
-	// told anything yet. Heartbeats bring news a few times a second.
-	tryAgain = 50 * time.Millisecond
-	// longestTransit is how much longer a grant may take than the request waited at the holder. A grant
-	// that is older was on its way through a paused process: the holder may have given up the pin.
-	longestTransit = 2 * time.Second
-	// releaseWithin bounds telling a holder that a pin has ended; the holder finds out by itself later.
-	releaseWithin = 2 * time.Second
+	// acquireInterval is the delay before the next attempt to acquire a slot while holders change or no upstream
+	// has been reported yet. Heartbeats report upstreams a few times a second.
+	acquireInterval = 50 * time.Millisecond
+	// maxTransit limits the age of a grant beyond the time that the request waited at the holder. An older grant
+	// was delayed by a paused process, and the holder may have dropped the pin since.
+	maxTransit = 2 * time.Second
+	// releaseTimeout bounds the call that releases a pin at a holder; a holder that misses the call detects the
+	// end of the pin by itself later.
+	releaseTimeout = 2 * time.Second
 )
 
-// place is a granted pin and where it is.
-type place struct {
-	upstream resource.Upstream
-	granter  head.Member
-	pin      holder.Pin
-	granted  time.Time
-	waited   time.Duration
+// slotGrant is a pin on an upstream and the member that granted it.
+type slotGrant struct {
+	upstream  resource.Upstream
+	grantor   head.Member
+	pin       holder.Pin
+	grantedAt time.Time
+	waited    time.Duration
 }
 
-// findPlace asks for a place until one is granted, or until the request's deadline.
-func (p *Pipeline) findPlace(ctx context.Context, run *completionRun) (*place, error) {
-	var last refusal.Refusal
+// acquireSlot requests a slot until one is granted or the request's deadline is reached.
+func (p *Pipeline) acquireSlot(ctx context.Context, run *completionRun) (*slotGrant, error) {
+	var lastErr refusal.Refusal
 	for {
-		found, again, err := p.tryPlace(ctx, run)
+		grant, retry, err := p.tryAcquire(ctx, run)
 		if err == nil {
-			return found, nil
+			return grant, nil
 		}
 		if ctx.Err() != nil {
-			return nil, ended(ctx, refusal.NotRun)
+			return nil, contextRefusal(ctx, refusal.NotRun)
 		}
-		last = refusal.From(err)
-		if !again || time.Until(run.deadline) < tryAgain {
-			return nil, last
+		lastErr = refusal.From(err)
+		if !retry || time.Until(run.deadline) < acquireInterval {
+			return nil, lastErr
 		}
 		select {
-		case <-time.After(tryAgain):
+		case <-time.After(acquireInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// tryPlace asks the holder of one upstream. Again tells whether it makes sense to go on.
-func (p *Pipeline) tryPlace(ctx context.Context, run *completionRun) (found *place, again bool, err error) {
-	if _, err := p.stillServed(run.identity); err != nil {
+// tryAcquire requests a slot from the holder of one upstream. It returns whether another attempt may succeed.
+func (p *Pipeline) tryAcquire(ctx context.Context, run *completionRun) (grant *slotGrant, retry bool, err error) {
+	if _, err := p.checkIdentity(run.identity); err != nil {
 		return nil, false, err
 	}
-	upstream, err := p.choose(run)
+	upstream, err := p.chooseUpstream(run)
 	if err != nil {
-		run.exclude = nil // all were tried; those that only changed their holder may take it now
-		if run.refused != nil {
-			return nil, run.refused.Reason == holder.ReasonNotHolder, reasonRefusal(*run.refused)
+		run.excluded = nil // all upstreams were tried; those whose holder changed may accept the request now
+		if run.lastRefusal != nil {
+			return nil, run.lastRefusal.Reason == holder.ReasonNotHolder, placementRefusal(*run.lastRefusal)
 		}
 		return nil, true, refusal.New(refusal.Busy, "no upstream takes work").WithRetryAfter(time.Second)
 	}
-	placement, granter, err := p.askHolder(ctx, run, upstream)
+	placement, grantor, err := p.requestSlot(ctx, run, upstream)
 	if err != nil {
-		run.exclude = append(run.exclude, upstream.Meta.Name)
+		run.excluded = append(run.excluded, upstream.Meta.Name)
 		return nil, true, refusal.New(refusal.Busy, "the upstream's holder does not answer").WithRetryAfter(time.Second)
 	}
-	switch answer := placement.(type) {
+	switch reply := placement.(type) {
 	case peer.Granted:
-		return p.take(ctx, run, upstream, granter, answer)
+		return p.acceptGrant(ctx, run, upstream, grantor, reply)
 	case peer.Refused:
-		run.refused = &answer
-		if answer.Reason != holder.ReasonNotHolder {
-			run.exclude = append(run.exclude, upstream.Meta.Name)
+		run.lastRefusal = &reply
+		if reply.Reason != holder.ReasonNotHolder {
+			run.excluded = append(run.excluded, upstream.Meta.Name)
 		}
-		return nil, true, reasonRefusal(answer)
+		return nil, true, placementRefusal(reply)
 	}
 	return nil, false, errors.New("pipeline: unknown placement")
 }
 
-func (p *Pipeline) choose(run *completionRun) (upstream resource.Upstream, err error) {
+func (p *Pipeline) chooseUpstream(run *completionRun) (upstream resource.Upstream, err error) {
 	var choice route.Choice
 	p.Advice.With(func(a *Advice) {
 		choice, err = a.Router.Choose(time.Now(), route.Query{
@@ -101,7 +102,7 @@
 			BaseModel: run.baseModel,
 			Cost:      run.cost,
 			Deadline:  run.deadline,
-			Exclude:   run.exclude,
+			Exclude:   run.excluded,
 		})
 	})
 	if err != nil {
@@ -114,20 +115,20 @@
 	return upstream, nil
 }
 
-// askHolder asks the upstream's holder for a place and waits in its queue.
-func (p *Pipeline) askHolder(
+// requestSlot requests a slot from the upstream's holder and waits in its queue.
+func (p *Pipeline) requestSlot(
 	ctx context.Context, run *completionRun, upstream resource.Upstream,
-) (placement peer.Placement, granter head.Member, err error) {
+) (placement peer.Placement, grantor head.Member, err error) {
 	current := p.Current().Head
-	granter, found := membership.Holder(current, upstream.Meta.Name, upstream.DataCentre)
+	grantor, found := membership.Holder(current, upstream.Meta.Name, upstream.DataCentre)
 	if !found {
-		return notHolder, granter, nil
+		return notHolderRefusal, grantor, nil
 	}
-	run.tries++
+	run.attempts++
 	ctx, cancel := context.WithDeadline(ctx, run.deadline)
 	defer cancel()
-	run.asked = time.Now()
-	placement, err = p.Fleet.Place(ctx, granter, peer.PlaceRequest{
+	run.requestedAt = time.Now()
+	placement, err = p.Fleet.Place(ctx, grantor, peer.PlaceRequest{
 		Upstream: upstream.Meta.Name,
 		Epoch:    current.Epoch,
 		Request: holder.Request{
@@ -139,24 +140,25 @@
 			Model:       run.model,
 			Cost:        run.cost,
 			Deadline:    run.deadline,
-			Alone:       run.alone,
-			Apart:       run.apart,
+			Alone:       run.runAlone,
+			Apart:       run.runApart,
 		},
 	})
-	return placement, granter, err
+	return placement, grantor, err
 }
 
-var notHolder = peer.Refused{Reason: holder.ReasonNotHolder, RetryAfter: time.Second}
-
-// take notes a granted pin before it is used, unless its granter holds the upstream no longer.
-func (p *Pipeline) take(
-	ctx context.Context, run *completionRun, upstream resource.Upstream, granter head.Member, granted peer.Granted,
-) (found *place, again bool, err error) {
-	found = &place{
-		upstream: upstream,
-		granter:  granter,
-		granted:  time.Now(),
-		waited:   granted.WaitedLoad + granted.WaitedQueue,
+var notHolderRefusal = peer.Refused{Reason: holder.ReasonNotHolder, RetryAfter: time.Second}
+
+// acceptGrant records a granted pin before it is used. It releases the pin instead if the grant took too long, if
+// the grantor no longer holds the upstream, or if the request's context has ended.
+func (p *Pipeline) acceptGrant(
+	ctx context.Context, run *completionRun, upstream resource.Upstream, grantor head.Member, granted peer.Granted,
+) (grant *slotGrant, retry bool, err error) {
+	grant = &slotGrant{
+		upstream:  upstream,
+		grantor:   grantor,
+		grantedAt: time.Now(),
+		waited:    granted.WaitedLoad + granted.WaitedQueue,
 		pin: holder.Pin{
 			ID:          granted.Pin,
 			RequestID:   run.dispatchID(),
@@ -166,30 +168,30 @@
 			Model:       run.model,
 		},
 	}
-	transit := time.Since(run.asked) - found.waited
-	if transit > longestTransit || !p.Pins.add(upstream.Meta.Name, upstream.DataCentre, granter, found.pin) {
-		p.release(found, holder.Released{})
-		return nil, true, reasonRefusal(notHolder)
+	transit := time.Since(run.requestedAt) - grant.waited
+	if transit > maxTransit || !p.Pins.add(upstream.Meta.Name, upstream.DataCentre, grantor, grant.pin) {
+		p.release(grant, holder.Released{})
+		return nil, true, placementRefusal(notHolderRefusal)
 	}
 	if ctx.Err() != nil {
-		p.release(found, holder.Released{})
-		return nil, false, ended(ctx, refusal.NotRun)
+		p.release(grant, holder.Released{})
+		return nil, false, contextRefusal(ctx, refusal.NotRun)
 	}
 	run.waitedLoad += granted.WaitedLoad
 	run.waitedQueue += granted.WaitedQueue
-	return found, false, nil
+	return grant, false, nil
 }
 
-// stopEvery is the time between two tries to cancel what may still run, and stopWithin how long they go
-// on. An engine that was cut off ends a stream that nobody reads by itself, some ten seconds after; past
-// stopWithin the pin is given up, so that a lost upstream does not keep its places for ever.
+// cancelInterval is the delay between two attempts to cancel a request that may still run, and cancelTimeout limits
+// the time for all of them. An engine that is cut off ends an unread stream by itself after about ten seconds.
+// After cancelTimeout the pin is released, so that a lost upstream does not occupy its batch slots for ever.
 const (
-	stopEvery  = 500 * time.Millisecond
-	stopWithin = 30 * time.Second
+	cancelInterval = 500 * time.Millisecond
+	cancelTimeout  = 30 * time.Second
 )
 
-// mayRunOn tells whether the engine may run the request although this instance has given it up.
-func mayRunOn(outcome engine.Outcome) bool {
+// mayStillRun reports whether the engine may still run the request after this instance has abandoned it.
+func mayStillRun(outcome engine.Outcome) bool {
 	switch o := outcome.(type) {
 	case engine.Failed:
 		return !o.Stopped && !o.Lost
@@ -203,48 +205,47 @@
 	return false
 }
 
-// runStop cancels a request that the engine may still run, and gives its pin back only then. Given back
-// at once, its adapter version could be evicted while it is served, and its batch place be granted to
-// another request, which the engine would refuse as full.
-func (p *Pipeline) runStop(dispatch string, found *place, released holder.Released) {
-	defer p.release(found, released)
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+// cancelAndRelease cancels a request that the engine may still run, and releases its pin only afterwards. If the
+// pin were released immediately, the adapter version could be evicted while it is in use, and the batch slot could
+// be granted to another request, which the engine would refuse as full.
+func (p *Pipeline) cancelAndRelease(dispatchID string, grant *slotGrant, released holder.Released) {
+	defer p.release(grant, released)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	for p.Engine(found.upstream.Address).Cancel(ctx, dispatch) != nil {
+	for p.Engine(grant.upstream.Address).Cancel(ctx, dispatchID) != nil {
 		select {
-		case <-time.After(stopEvery):
+		case <-time.After(cancelInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// release ends a pin, here and at the holder. Both the member that granted it and the one that holds
-// the upstream now are told: the latter may have the pin from this instance's own list. The caller does
-// not wait for that.
-func (p *Pipeline) release(found *place, released holder.Released) {
-	p.Pins.remove(found.pin.ID)
-	released.Pin = found.pin.ID
+// release removes a pin from this instance and releases it at the holder, in the background. It calls both the
+// member that granted the pin and the current holder, which may have the pin from this instance's report.
+func (p *Pipeline) release(grant *slotGrant, released holder.Released) {
+	p.Pins.remove(grant.pin.ID)
+	released.Pin = grant.pin.ID
 	request := peer.ReleaseRequest{
-		Upstream:    found.upstream.Meta.Name,
+		Upstream:    grant.upstream.Meta.Name,
 		Instance:    p.Self.Name,
 		Incarnation: p.Self.Incarnation,
 		Released:    released,
 	}
-	told := []head.Member{found.granter}
-	now, ok := membership.Holder(p.Current().Head, found.upstream.Meta.Name, found.upstream.DataCentre)
-	if ok && !slices.Contains(told, now) {
-		told = append(told, now)
+	recipients := []head.Member{grant.grantor}
+	current, found := membership.Holder(p.Current().Head, grant.upstream.Meta.Name, grant.upstream.DataCentre)
+	if found && !slices.Contains(recipients, current) {
+		recipients = append(recipients, current)
 	}
-	for _, member := range told {
-		go p.runRelease(member, request)
+	for _, member := range recipients {
+		go p.sendRelease(member, request)
 	}
 }
 
-func (p *Pipeline) runRelease(member head.Member, request peer.ReleaseRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseWithin)
+func (p *Pipeline) sendRelease(member head.Member, request peer.ReleaseRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := p.Fleet.Release(ctx, member, request); err != nil {
-		p.Log.Debug().Str("Upstream", request.Upstream).Err(err).Msg("ReleaseNotTold")
+		p.Log.Debug().Str("Upstream", request.Upstream).Err(err).Msg("ReleaseNotSent")
 	}
 }
--- a/internal/entry/pipeline/running_requests.go
+++ b/internal/entry/pipeline/running_requests.go
@@ -11,12 +11,11 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/configuration"
 )
 
-// Running keeps the requests that run on this instance, so that those of a withdrawn key can be ended.
-// A stream may run for minutes; checking the key only when it begins would let a withdrawn key go on
-// spending for that long.
+// Running tracks the requests that run on this instance, so that those of a withdrawn key can be cancelled. A stream
+// may run for minutes; if the key were checked only at its start, a withdrawn key could spend tokens for that long.
 type Running struct {
 	mutex    sync.Mutex
-	next     int64
+	nextID   int64
 	requests map[int64]runningRequest
 }
 
@@ -25,66 +24,67 @@
 	cancel   context.CancelCauseFunc
 }
 
-// Causes for which this instance ends a running request; found with context.Cause.
+// Causes for which this instance cancels a running request, as returned by context.Cause.
 var (
 	// ErrWithdrawn means that the request's key was withdrawn.
 	ErrWithdrawn = errors.New("pipeline: key withdrawn")
-	// ErrStale means that the instance could not confirm for long that the key is in force.
+	// ErrStale means that the instance could not confirm for too long that the key is in force.
 	ErrStale = errors.New("pipeline: key not confirmed")
-	// ErrTooLong means that the request ran for longer than its tokens are reserved.
+	// ErrTooLong means that the request ran longer than its tokens stay reserved.
 	ErrTooLong = errors.New("pipeline: request ran too long")
 )
 
-// enter notes a request and returns its context, and what to call when it has ended.
-func (r *Running) enter(ctx context.Context, identity api.Identity) (context.Context, func()) {
+// add registers a request. It returns the request's context, and a function that must be called when the request
+// has ended.
+func (r *Running) add(ctx context.Context, identity api.Identity) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.requests == nil {
 		r.requests = map[int64]runningRequest{}
 	}
-	r.next++
-	number := r.next
-	r.requests[number] = runningRequest{identity: identity, cancel: cancel}
+	r.nextID++
+	id := r.nextID
+	r.requests[id] = runningRequest{identity: identity, cancel: cancel}
 	return ctx, func() {
 		cancel(nil)
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		delete(r.requests, number)
+		delete(r.requests, id)
 	}
 }
 
-// EndWithdrawn ends the requests whose key the configuration does not have in force any more.
+// EndWithdrawn cancels the requests whose key is no longer in force in the configuration.
 func (r *Running) EndWithdrawn(current configuration.Configuration) {
-	r.end(ErrWithdrawn, func(identity api.Identity) bool {
+	r.cancelMatching(ErrWithdrawn, func(identity api.Identity) bool {
 		key, found := current.Key(identity.Key)
 		return !found || key.Withdrawn || key.Workspace != identity.Workspace
 	})
 }
 
-// EndAll ends every request, because the instance could not confirm any key for too long.
+// EndAll cancels every request, because the instance could not confirm any key for too long.
 func (r *Running) EndAll() {
-	r.end(ErrStale, func(api.Identity) bool { return true })
+	r.cancelMatching(ErrStale, func(api.Identity) bool { return true })
 }
 
-func (r *Running) end(cause error, concerns func(api.Identity) bool) {
+func (r *Running) cancelMatching(cause error, matches func(api.Identity) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, request := range r.requests {
-		if concerns(request.identity) {
+		if matches(request.identity) {
 			request.cancel(cause)
 		}
 	}
 }
 
-// Count is how many requests run.
+// Count returns the number of running requests.
 func (r *Running) Count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.requests)
 }
 
-// withinReservation bounds a request by the time for which its tokens are reserved.
-func withinReservation(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+// withReservationDeadline limits a request to the time for which its tokens are reserved.
+func withReservationDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadlineCause(ctx, deadline, ErrTooLong)
 }
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -14,25 +14,24 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/service"
 )
 
-// service_call.go takes one call of a plain service through its stages. A call that may not be repeated
-// is claimed first and sent at most once, whatever happens to its caller, to this instance or to the
-// answer.
+// service_call.go runs one call to a plain service through its stages. A call that may not be repeated is claimed
+// first and sent at most once, even if its caller disconnects, this instance fails or the response is lost.
 
 const (
-	// claimWithin bounds how long a claim may take. Past it the call is refused, not run: the store is
-	// down or slow, and the caller is better told at once.
-	claimWithin = 3 * time.Second
-	// recordWithin bounds how long the answer waits for its outcome to be recorded; after that it is
-	// recorded behind the caller's back.
-	recordWithin = 500 * time.Millisecond
+	// claimTimeout bounds a claim. When it expires, the store is down or slow, and the call is refused without
+	// being run, so that the caller does not wait for the store.
+	claimTimeout = 3 * time.Second
+	// recordTimeout bounds how long the response is delayed until its outcome is recorded; after that the outcome
+	// is recorded in the background.
+	recordTimeout = 500 * time.Millisecond
 )
 
 // Call calls a plain service.
 func (p *Pipeline) Call(
 	ctx context.Context, identity api.Identity, call api.ServiceCall,
 ) (answer service.Answer, err error) {
-	began := time.Now()
-	defer func() { p.finishedCall(identity, call, began, err) }()
+	startedAt := time.Now()
+	defer func() { p.reportServiceCall(identity, call, startedAt, err) }()
 	target, err := p.resolveService(identity, call.Service)
 	if err != nil {
 		return service.Answer{}, err
@@ -44,20 +43,20 @@
 }
 
 func (p *Pipeline) resolveService(identity api.Identity, name string) (resource.Service, error) {
-	current, err := p.stillServed(identity)
+	current, err := p.checkIdentity(identity)
 	if err != nil {
 		return resource.Service{}, err
 	}
-	target, err := serviceOf(current, identity, name)
+	target, err := findService(current, identity, name)
 	if err != nil {
 		return target, err
 	}
-	return p.withoutLeaving(target)
+	return p.excludeLeaving(target)
 }
 
-// withoutLeaving leaves out the addresses that are leaving. A call sent to one of them may be cut when it
-// goes, and one that may not be repeated then has an outcome that nobody knows.
-func (p *Pipeline) withoutLeaving(target resource.Service) (resource.Service, error) {
+// excludeLeaving removes the addresses that are leaving. A call to one of them may be cut when the machine stops,
+// and the outcome of a call that may not be repeated would then be unknown.
+func (p *Pipeline) excludeLeaving(target resource.Service) (resource.Service, error) {
 	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.Leaving)
 	if len(target.Addresses) == 0 {
 		return target, refusal.New(refusal.ServiceUnavailable, "all addresses of the service are leaving").
@@ -66,47 +65,47 @@
 	return target, nil
 }
 
-func serviceOf(current configuration.Configuration, identity api.Identity, name string) (resource.Service, error) {
+func findService(current configuration.Configuration, identity api.Identity, name string) (resource.Service, error) {
 	target, found := current.Service(name)
-	if !found || !allowed(target.Workspaces, identity.Workspace) {
+	if !found || !workspaceAllowed(target.Workspaces, identity.Workspace) {
 		return resource.Service{}, refusal.New(refusal.ServiceNotFound, "there is no service "+name)
 	}
 	return target, nil
 }
 
-// callRepeatable tries the service's addresses in a random order until one answers.
+// callRepeatable tries the service's addresses in random order until one answers.
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
 ) (answer service.Answer, err error) {
-	ctx, leave := p.Running.enter(ctx, identity)
-	defer leave()
+	ctx, done := p.Running.add(ctx, identity)
+	defer done()
 	p.Advice.With(func(a *Advice) {
 		a.Retries.First()
 	})
-	unanswered := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
+	noAnswer := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
 		WithRetryAfter(time.Second)
-	for i, at := range rand.Perm(len(target.Addresses)) {
-		if i > 0 && !p.mayRetry() {
+	for i, index := range rand.Perm(len(target.Addresses)) {
+		if i > 0 && !p.allowRetry() {
 			break
 		}
-		if _, err := p.stillServed(identity); err != nil {
-			return service.Answer{}, refusal.From(err).WithRun(unanswered.Run())
+		if _, err := p.checkIdentity(identity); err != nil {
+			return service.Answer{}, refusal.From(err).WithRun(noAnswer.Run())
 		}
-		outcome := p.Services.Do(ctx, target.Addresses[at], call)
+		outcome := p.Services.Do(ctx, target.Addresses[index], call)
 		if ran, ok := outcome.(service.Ran); ok {
 			return ran.Answer, nil
 		}
 		if ctx.Err() != nil {
-			return service.Answer{}, ended(ctx, refusal.Unknown)
+			return service.Answer{}, contextRefusal(ctx, refusal.Unknown)
 		}
 		if _, unknown := outcome.(service.Unknown); unknown {
-			unanswered = unanswered.WithRun(refusal.Unknown)
+			noAnswer = noAnswer.WithRun(refusal.Unknown)
 		}
 	}
-	return service.Answer{}, unanswered
+	return service.Answer{}, noAnswer
 }
 
-// callOnce claims the call's idempotency key and sends the call once.
+// callOnce claims the call's idempotency key and sends the call at most once.
 func (p *Pipeline) callOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
 ) (service.Answer, error) {
@@ -114,10 +113,10 @@
 		return service.Answer{}, refusal.New(refusal.IdempotencyKeyMissing,
 			"a call that may not be repeated needs the header Idempotency-Key")
 	}
-	claiming, cancel := context.WithTimeout(ctx, claimWithin)
+	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	body := claim.BodyHash(call.Method, target.Meta.Name+call.Path+"?"+call.RawQuery, call.Body)
-	decision, err := p.Claims.Claim(claiming, identity.Workspace, call.IdempotencyKey, body)
+	decision, err := p.Claims.Claim(claimCtx, identity.Workspace, call.IdempotencyKey, body)
 	if err != nil {
 		return service.Answer{}, storeUnavailable(time.Second)
 	}
@@ -125,7 +124,7 @@
 	case claim.Proceed:
 		return p.sendOnce(ctx, identity, target, call, d.Ticket)
 	case claim.Replay:
-		return replayed(d)
+		return replayedAnswer(d)
 	case claim.InProgress:
 		return service.Answer{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
 			WithRetryAfter(d.RetryAfter)
@@ -146,8 +145,8 @@
 		WithRetryAfter(retryAfter)
 }
 
-// replayed answers a repeated call with what the first one answered.
-func replayed(d claim.Replay) (service.Answer, error) {
+// replayedAnswer returns the recorded response of the first call to a repeated one.
+func replayedAnswer(d claim.Replay) (service.Answer, error) {
 	if !d.Kept {
 		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
 			"the call ran; its answer was too large to be kept").WithRun(refusal.Ran)
@@ -158,20 +157,20 @@
 	return answer, nil
 }
 
-// sendOnce sends a claimed call. The caller may go away meanwhile: the call is finished all the same,
-// so that its outcome is known when the caller asks again.
+// sendOnce sends a claimed call. The call is completed even if the caller disconnects, so that its outcome is known
+// when the caller repeats it.
 func (p *Pipeline) sendOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call, ticket *claim.Ticket,
 ) (service.Answer, error) {
-	target, err := p.mayDispatch(identity, target.Meta.Name, ticket)
+	target, err := p.checkDispatch(identity, target.Meta.Name, ticket)
 	if err != nil {
-		p.record(ticket.NotRun)
+		p.recordClaimOutcome(ticket.NotRun)
 		return service.Answer{}, err
 	}
 	address := target.Addresses[rand.IntN(len(target.Addresses))]
 	switch o := p.Services.Do(context.WithoutCancel(ctx), address, call).(type) {
 	case service.Ran:
-		p.record(func(ctx context.Context) error {
+		p.recordClaimOutcome(func(ctx context.Context) error {
 			return ticket.Ran(ctx, claim.Answer{
 				Status:      o.Answer.Status,
 				ContentType: o.Answer.Header.Get("Content-Type"),
@@ -180,19 +179,19 @@
 		})
 		return o.Answer, nil
 	case service.NotRun:
-		p.record(ticket.NotRun)
+		p.recordClaimOutcome(ticket.NotRun)
 		return service.Answer{}, refusal.New(refusal.ServiceUnavailable, "the service cannot be reached").
 			WithRetryAfter(time.Second)
 	default:
-		p.record(ticket.Unknown)
+		p.recordClaimOutcome(ticket.Unknown)
 		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
 			"the service did not answer; whether the call ran is not known")
 	}
 }
 
-// mayDispatch is the last check before the first byte goes out. It gives the service as it is declared
-// now, since its addresses may have changed while the call was claimed.
-func (p *Pipeline) mayDispatch(
+// checkDispatch is the last check before the first byte is sent. It returns the service as currently declared,
+// because its addresses may have changed while the call was being claimed.
+func (p *Pipeline) checkDispatch(
 	identity api.Identity, name string, ticket *claim.Ticket,
 ) (target resource.Service, err error) {
 	target, err = p.resolveService(identity, name)
@@ -205,15 +204,15 @@
 	return target, nil
 }
 
-func (p *Pipeline) record(write func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), recordWithin)
+func (p *Pipeline) recordClaimOutcome(write func(ctx context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if err := write(ctx); err != nil {
 		p.Log.Warn().Err(err).Msg("OutcomeRecordedLater")
 	}
 }
 
-func (p *Pipeline) finishedCall(identity api.Identity, call api.ServiceCall, began time.Time, err error) {
+func (p *Pipeline) reportServiceCall(identity api.Identity, call api.ServiceCall, startedAt time.Time, err error) {
 	event := p.Log.Info()
 	if err != nil {
 		refused := refusal.From(err)
@@ -221,6 +220,6 @@
 	}
 	event.Str("RequestId", call.Call.ID).Str("Workspace", identity.Workspace).
 		Str("Service", call.Service).Str("Method", call.Call.Method).
-		Dur("Took", time.Since(began)).Msg("ServiceCall")
+		Dur("Took", time.Since(startedAt)).Msg("ServiceCall")
 	p.Scope.Counter("service_calls").Inc(1)
 }
--- a/internal/entry/pipeline/tokens.go
+++ b/internal/entry/pipeline/tokens.go
@@ -13,27 +13,26 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// tokens.go reserves a request's tokens: from this instance's share, and where that is short from the
-// shares of others.
+// This file reserves a request's tokens from this instance's share of the workspace's rate, and borrows from the
+// shares of other instances if its own does not suffice.
 
-// askWithin bounds one ask for tokens. Peers answer within a millisecond or two; one that does not is
-// passed over, so that a frozen peer costs a caller little.
-const askWithin = 150 * time.Millisecond
+// borrowCallTimeout bounds one call that borrows tokens. Peers answer within 1 to 2 ms; a peer that does not is
+// skipped, so that a frozen peer hardly delays the caller.
+const borrowCallTimeout = 150 * time.Millisecond
 
-// borrowWithin bounds all asks of one request. Made for a fleet of hundreds of which many do not answer:
-// asked one after the other, 330 silent peers would have a caller wait for 50 seconds to be refused. No
-// measured reason yet for the exact figure.
-const borrowWithin = time.Second
+// borrowTimeout bounds all borrowing for one request. In a fleet of hundreds of instances many may not answer: called
+// one after the other, 330 unresponsive peers would delay a refusal by 50 seconds.
+const borrowTimeout = time.Second
 
-// reserve takes the most a request may cost, or refuses. The caller must settle the reservation.
+// reserve reserves the maximum cost of a request, or refuses it. The caller must settle the reservation.
 func (p *Pipeline) reserve(ctx context.Context, workspace string, tokens float64) (*rate.Reservation, error) {
 	reservation, err := p.Ledger.Reserve(workspace, tokens)
-	var short *rate.ShortError
-	if errors.As(err, &short) {
-		asks := p.borrow(ctx, workspace, tokens)
+	var shortage *rate.ShortError
+	if errors.As(err, &shortage) {
+		counts := p.borrow(ctx, workspace, tokens)
 		reservation, err = p.Ledger.Reserve(workspace, tokens)
-		if errors.As(err, &short) {
-			p.logShort(workspace, tokens, short, asks)
+		if errors.As(err, &shortage) {
+			p.logInsufficientTokens(workspace, tokens, shortage, counts)
 		}
 	}
 	if err != nil {
@@ -43,89 +42,90 @@
 	return reservation, nil
 }
 
-// askCounts is how the asks of one request for tokens ended.
-type askCounts struct {
-	made   int
-	failed int
+// borrowCounts counts the calls that borrowed tokens for one request.
+type borrowCounts struct {
+	calls    int
+	failures int
 }
 
-// borrow asks peers, most promising first, until the bucket has what the request needs. The ledger's
-// plan is empty when the peers together cannot have it.
-func (p *Pipeline) borrow(ctx context.Context, workspace string, tokens float64) (asks askCounts) {
-	ctx, cancel := context.WithTimeout(ctx, borrowWithin)
+// borrow borrows from peers, most promising first, until the bucket covers the request. The ledger's plan is empty
+// if all peers together cannot have enough tokens.
+func (p *Pipeline) borrow(ctx context.Context, workspace string, tokens float64) (counts borrowCounts) {
+	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	for range p.Current().Head.Members {
 		plan := p.Ledger.Plan(workspace, tokens)
 		if len(plan) == 0 || ctx.Err() != nil {
-			return asks
+			return counts
 		}
-		asks.made++
-		if !p.ask(ctx, plan[0]) {
-			asks.failed++
+		counts.calls++
+		if !p.borrowFrom(ctx, plan[0]) {
+			counts.failures++
 		}
 	}
-	return asks
+	return counts
 }
 
-func (p *Pipeline) logShort(workspace string, tokens float64, short *rate.ShortError, asks askCounts) {
-	p.Log.Info().Str("Workspace", workspace).Float64("Tokens", tokens).Float64("Missing", short.Missing).
-		Float64("Level", short.Level).Float64("Own", short.Own).Float64("Elsewhere", short.Elsewhere).
-		Int("PendingShares", short.PendingShares).Int("Members", len(p.Current().Head.Members)).
-		Int("Asks", asks.made).Int("AsksFailed", asks.failed).
-		Int64("RetryAfterMillis", short.RetryAfter.Milliseconds()).Msg("TokensShort")
+func (p *Pipeline) logInsufficientTokens(workspace string, tokens float64, shortage *rate.ShortError, counts borrowCounts) {
+	p.Log.Info().Str("Workspace", workspace).Float64("Tokens", tokens).Float64("Missing", shortage.Missing).
+		Float64("Level", shortage.Level).Float64("Own", shortage.Own).Float64("Elsewhere", shortage.Elsewhere).
+		Int("PendingShares", shortage.PendingShares).Int("Members", len(p.Current().Head.Members)).
+		Int("Asks", counts.calls).Int("AsksFailed", counts.failures).
+		Int64("RetryAfterMillis", shortage.RetryAfter.Milliseconds()).Msg("TokensShort")
 }
 
-// TopUp balances the buckets of the workspaces in use, apart from any request. The daemon calls it about
-// four times a second.
+// TopUp rebalances the buckets of active workspaces between instances, independently of requests. The daemon calls
+// it about four times a second.
 func (p *Pipeline) TopUp(ctx context.Context) {
-	for _, ask := range p.Ledger.TopUps() {
-		p.ask(ctx, ask)
+	for _, request := range p.Ledger.TopUps() {
+		p.borrowFrom(ctx, request)
 	}
 }
 
-// ask asks a peer for tokens, and reports whether it answered.
-func (p *Pipeline) ask(ctx context.Context, ask rate.Ask) (answered bool) {
-	member, found := memberOf(p.Current().Head, ask.Peer)
+// borrowFrom requests a loan of tokens from a peer, and reports whether the peer answered.
+func (p *Pipeline) borrowFrom(ctx context.Context, request rate.Ask) (answered bool) {
+	member, found := findMember(p.Current().Head, request.Peer)
 	if !found {
-		p.Ledger.Receive(ask, rate.Loan{Lender: ask.Peer})
+		p.Ledger.Receive(request, rate.Loan{Lender: request.Peer})
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, borrowCallTimeout)
 	defer cancel()
 	loan, err := p.Fleet.AskTokens(ctx, member, peer.TokenRequest{
-		Workspace: ask.Workspace,
-		Tokens:    ask.Tokens,
+		Workspace: request.Workspace,
+		Tokens:    request.Tokens,
 		Borrower:  p.Self,
-		Spare:     ask.Spare,
+		Spare:     request.Spare,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
-		// It may have lent: then its tokens are lost for a while. Receiving nothing keeps this instance
-		// from asking it again at once.
-		loan = rate.Loan{Lender: ask.Peer}
+		// The peer may have lent the tokens, which are then unavailable for a while. Recording an empty loan keeps
+		// this instance from calling the peer again immediately.
+		loan = rate.Loan{Lender: request.Peer}
 	}
-	p.Ledger.Receive(ask, loan)
+	p.Ledger.Receive(request, loan)
 	return err == nil
 }
 
-func memberOf(h head.Head, identity rate.Identity) (head.Member, bool) {
+func findMember(h head.Head, identity rate.Identity) (head.Member, bool) {
 	member, found := h.Member(identity.Name)
 	return member, found && member.Incarnation == identity.Incarnation
 }
 
-// rateRefusal turns the ledger's refusal into the caller's, and counts the wrongful ones.
+// rateRefusal converts the ledger's error into the refusal for the caller. It also counts wrongful refusals: those
+// made although the fleet has the tokens, as far as this instance knows.
 func (p *Pipeline) rateRefusal(workspace string, err error) error {
-	var short *rate.ShortError
-	var large *rate.TooLargeError
+	var shortage *rate.ShortError
+	var exceedsBurst *rate.TooLargeError
 	switch {
-	case errors.As(err, &short):
+	case errors.As(err, &shortage):
 		p.Scope.Tagged(map[string]string{"workspace": workspace}).Counter("refused_rate").Inc(1)
-		if short.WithinRate {
+		if shortage.WithinRate {
 			p.Scope.Tagged(map[string]string{"workspace": workspace}).Counter("refused_within_rate").Inc(1)
 			p.Burn.Record(workspace, burn.Admitted, false)
 		}
-		return refusal.New(refusal.RateLimited, "the workspace is over its rate").WithRetryAfter(short.RetryAfter)
-	case errors.As(err, &large):
+		return refusal.New(refusal.RateLimited, "the workspace is over its rate").WithRetryAfter(shortage.RetryAfter)
+	case errors.As(err, &exceedsBurst):
 		return refusal.New(refusal.RequestExceedsBurst, "the request may cost more than the workspace's burst")
 	}
 	return refusal.New(refusal.NotFresh, "this instance cannot confirm the workspace's rate").
