--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -109,28 +109,28 @@
 func (d *Daemon) assemblePipeline(policy deployment.Policy) {
 	d.burn = &burn.Recorder{}
 	d.pipeline = &pipeline.Pipeline{
-		Self:     d.identity(),
-		Current:  d.repository.Current,
-		Tracker:  d.tracker,
-		Ledger:   d.ledger,
-		Claims:   d.claims,
-		Fleet:    fleet{daemon: d, own: handler{daemon: d}},
-		Engine:   func(address string) pipeline.Engine { return d.engines.at(address, d.engineLimits()) },
-		Services: &service.Client{},
-		Leaving:  d.leaving.isLeaving,
-		Pins:     &pipeline.Pins{},
-		Running:  &pipeline.Running{},
-		Burn:     d.burn,
-		Advice: &pipeline.Advice{
+		Self:            d.identity(),
+		Current:         d.repository.Current,
+		Tracker:         d.tracker,
+		Ledger:          d.ledger,
+		Claims:          d.claims,
+		Fleet:           fleet{daemon: d, own: handler{daemon: d}},
+		Engine:          func(address string) pipeline.Engine { return d.engines.at(address, d.engineLimits()) },
+		Services:        &service.Client{},
+		IsLeaving:       d.leaving.isLeaving,
+		Pins:            &pipeline.Pins{},
+		RunningRequests: &pipeline.RunningRequests{},
+		Burn:            d.burn,
+		State: &pipeline.SharedState{
 			Router:   &route.Router{Settings: policy.Route},
 			Suspects: &suspect.Register{Settings: policy.Suspect},
 			Retries:  retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 			Shares:   &share.Tracker{},
 		},
-		Patience: d.Settings.Limits.Patience,
-		Crashed:  d.tellAll,
-		Log:      d.Log,
-		Scope:    d.scope,
+		DispatchTimeout: d.Settings.Limits.Patience,
+		OnUpstreamCrash: d.tellAll,
+		Log:             d.Log,
+		Scope:           d.scope,
 	}
 }
 
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -133,7 +133,7 @@
 		d.leaving.tell(beat.Instance, beat.Leaving)
 	}
 	now := time.Now()
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range beat.Upstreams {
 			a.Router.Learn(now, routeSummary(summary, at))
 		}
@@ -145,7 +145,7 @@
 func (d *Daemon) learnOwn(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range summaries {
 			a.Router.Learn(now, routeSummary(summary, now))
 		}
@@ -182,7 +182,7 @@
 	if relayed, told := d.tracker.Relay(); relayed == revision {
 		beat.Told = told
 	}
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		beat.Suspects = a.Suspects.Own(time.Now())
 	})
 	return beat
--- a/internal/entry/daemon/knowledge.go
+++ b/internal/entry/daemon/knowledge.go
@@ -87,9 +87,9 @@
 // head, others are told that this instance goes by it, and rely on nothing older being acted on here.
 func (d *Daemon) install(ctx context.Context, before, now repository.Snapshot) {
 	d.ledger.Install(ledgerHead(d.self, now))
-	d.pipeline.Running.EndWithdrawn(now.Configuration)
+	d.pipeline.RunningRequests.CancelWithdrawn(now.Configuration)
 	d.pipeline.Pins.Install(now.Head)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetUpstreams(now.Configuration.Upstreams())
 	})
 	d.holding.SetTenure(ctx, d.tenure(before, now))
@@ -188,7 +188,7 @@
 		d.settlement.tell(d.identity(), d.settlement.toTell(d.ledger.OldestRevision()))
 		d.ledger.Settled(d.settlement.revision())
 		if d.staleFor() > d.Settings.Limits.StaleStream {
-			d.pipeline.Running.EndAll()
+			d.pipeline.RunningRequests.CancelAll()
 		}
 	}
 	return nil
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -53,7 +53,7 @@
 // Pins lists this instance's pins on an upstream.
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
-	pins, noted := d.pipeline.Pins.On(upstream, epoch)
+	pins, noted := d.pipeline.Pins.ForUpstream(upstream, epoch)
 	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: noted, Pins: pins}
 }
 
--- a/internal/entry/inifile/inifile.go
+++ b/internal/entry/inifile/inifile.go
@@ -24,8 +24,8 @@
 // Format describes all settings of S, in the order of the help text. Contradictions, if set, reports
 // settings that are valid one by one but conflict with each other.
 type Format[S any] struct {
-	Fields         []Field[S]
-	Contradictions func(file string, settings S) Problems
+	Fields   []Field[S]
+	Validate func(file string, settings S) Problems
 }
 
 // Load reads and validates a settings file. The error is a Problems that lists everything wrong with it.
@@ -48,8 +48,8 @@
 	problems := f.unknownNames(file, parsed)
 	settings, fieldProblems := f.parseFields(file, parsed)
 	problems = append(problems, fieldProblems...)
-	if f.Contradictions != nil {
-		problems = append(problems, f.Contradictions(file, settings)...)
+	if f.Validate != nil {
+		problems = append(problems, f.Validate(file, settings)...)
 	}
 	if len(problems) > 0 {
 		return empty, problems
--- a/internal/entry/inifile/values.go
+++ b/internal/entry/inifile/values.go
@@ -12,8 +12,8 @@
 // values.go defines the types of values. Each function returns a Field's Set, which validates and stores
 // a value.
 
-// Word accepts any text.
-func Word[S any](target func(*S) *string) func(*S, string) error {
+// String accepts any text.
+func String[S any](target func(*S) *string) func(*S, string) error {
 	return func(s *S, value string) error {
 		*target(s) = value
 		return nil
@@ -46,8 +46,8 @@
 	}
 }
 
-// Whole accepts an integer from low to high.
-func Whole[S any](low, high int64, target func(*S) *int64) func(*S, string) error {
+// Int accepts an integer from low to high.
+func Int[S any](low, high int64, target func(*S) *int64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Number accepts a number from low to high.
-func Number[S any](low, high float64, target func(*S) *float64) func(*S, string) error {
+// Float accepts a number from low to high.
+func Float[S any](low, high float64, target func(*S) *float64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseFloat(value, 64)
 		if err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Switch accepts true or false.
-func Switch[S any](target func(*S) *bool) func(*S, string) error {
+// Bool accepts true or false.
+func Bool[S any](target func(*S) *bool) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseBool(value)
 		if err != nil {
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	defer func() { p.reportCompletion(run, err) }()
-	ctx, done := p.Running.add(ctx, identity)
+	ctx, done := p.RunningRequests.add(ctx, identity)
 	defer done()
 	reservation, err := p.reserve(ctx, identity.Workspace, float64(request.MostTokens()))
 	if err != nil {
@@ -92,7 +92,7 @@
 		cost:        float64(request.PromptTokens + request.MaxTokens),
 		fingerprint: suspect.Fingerprint(request.Fingerprint(identity.Workspace)),
 		startedAt:   now,
-		deadline:    now.Add(p.Patience),
+		deadline:    now.Add(p.DispatchTimeout),
 	}
 	if workspace, found := current.Workspace(identity.Workspace); found {
 		run.weight = p.effectiveWeight(now, workspace)
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Retries.First()
 	})
 	return run, p.checkSuspect(run)
@@ -110,7 +110,7 @@
 // effectiveWeight returns the workspace's current weight, which is raised while the workspace is served less
 // in proportion to its weight than others.
 func (p *Pipeline) effectiveWeight(now time.Time, workspace resource.Workspace) (weight float64) {
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		weight = a.Shares.Weight(now, workspace.Meta.Name, workspace.Weight)
 	})
 	return weight
@@ -139,7 +139,7 @@
 // apart from other suspects, or alone.
 func (p *Pipeline) checkSuspect(run *completionRun) error {
 	verdict, retryAfter := suspect.Free, time.Duration(0)
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		verdict, retryAfter = a.Suspects.Judge(time.Now(), run.fingerprint)
 	})
 	run.runAlone = verdict == suspect.Alone
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -191,7 +191,7 @@
 // All upstreams fail. Retries add load when there is no capacity, and must not exceed a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	runInBubble(t, 2, func(f *fixture) {
-		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMost)
+		f.pipeline.State.Retries = retry.New(retry.DefaultRatio, retry.DefaultMost)
 		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{Stopped: true} }
 		for range 100 {
 			checkRefused(t, f.requestCompletion("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
@@ -342,7 +342,7 @@
 		time.Sleep(10 * time.Second)
 		is := is.New(t)
 		is.Equal(len(f.releasedPins()), 0)
-		pins, _ := f.pipeline.Pins.On(f.dispatchedUpstreams()[0], 0)
+		pins, _ := f.pipeline.Pins.ForUpstream(f.dispatchedUpstreams()[0], 0)
 		is.Equal(len(pins), 1)
 		connectionCut.Store(false)
 		time.Sleep(time.Second)
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -70,7 +70,7 @@
 
 // allowRetry takes a retry from the retry budget, which keeps retries from doubling the load on a failing fleet.
 func (p *Pipeline) allowRetry() (allowed bool) {
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		allowed = a.Retries.Allow()
 	})
 	if allowed {
@@ -83,7 +83,7 @@
 // completed or crashed the upstream.
 func (p *Pipeline) recordOutcome(run *completionRun, grant *slotGrant, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Router.Ended(now, route.Outcome{
 			Upstream: grant.upstream.Meta.Name,
 			Tokens:   released.Tokens,
@@ -107,8 +107,8 @@
 // notifyCrash has the other instances notified of a crash immediately. If they learned of it only with the next
 // heartbeat, a caller that repeats its request at another instance would crash another engine.
 func (p *Pipeline) notifyCrash(outcome engine.Outcome) {
-	if isCrash(outcome) && p.Crashed != nil {
-		p.Crashed()
+	if isCrash(outcome) && p.OnUpstreamCrash != nil {
+		p.OnUpstreamCrash()
 	}
 }
 
--- a/internal/entry/pipeline/pins.go
+++ b/internal/entry/pipeline/pins.go
@@ -51,8 +51,8 @@
 	delete(p.pins, id)
 }
 
-// On returns the pins on an upstream, and whether a head of at least the given epoch is installed.
-func (p *Pins) On(upstream string, epoch int64) (pins []holder.Pin, installed bool) {
+// ForUpstream returns the pins on an upstream, and whether a head of at least the given epoch is installed.
+func (p *Pins) ForUpstream(upstream string, epoch int64) (pins []holder.Pin, installed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, entry := range p.pins {
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -38,7 +38,7 @@
 type Fleet interface {
 	Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error)
 	Release(ctx context.Context, member head.Member, request peer.ReleaseRequest) error
-	AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error)
+	BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error)
 }
 
 // Engine runs completions on one upstream. Cancel returns nil once the engine has confirmed that it does not run
@@ -53,8 +53,8 @@
 	Do(ctx context.Context, address string, call service.Call) service.Outcome
 }
 
-// Objectives counts good and bad events per objective for the burn report.
-type Objectives interface {
+// ObjectiveRecorder counts good and bad events per objective for the burn report.
+type ObjectiveRecorder interface {
 	Record(workspace string, objective burn.Objective, good bool)
 }
 
@@ -68,25 +68,25 @@
 	Fleet    Fleet
 	Engine   func(address string) Engine
 	Services Services
-	// Leaving reports whether the machine at an address is listed as leaving, that is, being drained.
-	Leaving func(address string) bool
-	Pins    *Pins
-	Running *Running
-	Burn    Objectives
-	Advice  *Advice
-	// Patience is the maximum time that a request may wait before it is dispatched.
-	Patience time.Duration
-	// Crashed, if set, is called when an upstream was lost while it ran a request. It notifies the other
+	// IsLeaving reports whether the machine at an address is listed as leaving, that is, being drained.
+	IsLeaving       func(address string) bool
+	Pins            *Pins
+	RunningRequests *RunningRequests
+	Burn            ObjectiveRecorder
+	State           *SharedState
+	// DispatchTimeout is the maximum time that a request may wait before it is dispatched.
+	DispatchTimeout time.Duration
+	// OnUpstreamCrash, if set, is called when an upstream was lost while it ran a request. It notifies the other
 	// instances before the caller repeats the request at one of them.
-	Crashed func()
-	Log     zerolog.Logger
-	Scope   tally.Scope
+	OnUpstreamCrash func()
+	Log             zerolog.Logger
+	Scope           tally.Scope
 }
 
-// Advice groups the state by which this instance places requests: the router, the requests suspected of crashing
+// SharedState groups the state by which this instance places requests: the router, the requests suspected of crashing
 // upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one lock
 // guards all of them; each use takes microseconds.
-type Advice struct {
+type SharedState struct {
 	Router   *route.Router
 	Suspects *suspect.Register
 	Retries  *retry.Budget
@@ -95,8 +95,8 @@
 	mutex sync.Mutex
 }
 
-// With calls use while it holds the lock.
-func (a *Advice) With(use func(a *Advice)) {
+// WithLock calls use while it holds the lock.
+func (a *SharedState) WithLock(use func(a *SharedState)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	use(a)
--- a/internal/entry/pipeline/running_requests.go
+++ b/internal/entry/pipeline/running_requests.go
@@ -11,9 +11,9 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/configuration"
 )
 
-// Running tracks the requests that run on this instance, so that those of a withdrawn key can be cancelled. A stream
+// RunningRequests tracks the requests that run on this instance, so that those of a withdrawn key can be cancelled. A stream
 // may run for minutes; if the key were checked only at its start, a withdrawn key could spend tokens for that long.
-type Running struct {
+type RunningRequests struct {
 	mutex    sync.Mutex
 	nextID   int64
 	requests map[int64]runningRequest
@@ -26,17 +26,17 @@
 
 // Causes for which this instance cancels a running request, as returned by context.Cause.
 var (
-	// ErrWithdrawn means that the request's key was withdrawn.
-	ErrWithdrawn = errors.New("pipeline: key withdrawn")
-	// ErrStale means that the instance could not confirm for too long that the key is in force.
-	ErrStale = errors.New("pipeline: key not confirmed")
-	// ErrTooLong means that the request ran longer than its tokens stay reserved.
-	ErrTooLong = errors.New("pipeline: request ran too long")
+	// ErrKeyWithdrawn means that the request's key was withdrawn.
+	ErrKeyWithdrawn = errors.New("pipeline: key withdrawn")
+	// ErrKeyUnconfirmed means that the instance could not confirm for too long that the key is in force.
+	ErrKeyUnconfirmed = errors.New("pipeline: key not confirmed")
+	// ErrReservationExpired means that the request ran longer than its tokens stay reserved.
+	ErrReservationExpired = errors.New("pipeline: request ran too long")
 )
 
 // add registers a request. It returns the request's context, and a function that must be called when the request
 // has ended.
-func (r *Running) add(ctx context.Context, identity api.Identity) (context.Context, func()) {
+func (r *RunningRequests) add(ctx context.Context, identity api.Identity) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -54,20 +54,20 @@
 	}
 }
 
-// EndWithdrawn cancels the requests whose key is no longer in force in the configuration.
-func (r *Running) EndWithdrawn(current configuration.Configuration) {
-	r.cancelMatching(ErrWithdrawn, func(identity api.Identity) bool {
+// CancelWithdrawn cancels the requests whose key is no longer in force in the configuration.
+func (r *RunningRequests) CancelWithdrawn(current configuration.Configuration) {
+	r.cancelMatching(ErrKeyWithdrawn, func(identity api.Identity) bool {
 		key, found := current.Key(identity.Key)
 		return !found || key.Withdrawn || key.Workspace != identity.Workspace
 	})
 }
 
-// EndAll cancels every request, because the instance could not confirm any key for too long.
-func (r *Running) EndAll() {
-	r.cancelMatching(ErrStale, func(api.Identity) bool { return true })
+// CancelAll cancels every request, because the instance could not confirm any key for too long.
+func (r *RunningRequests) CancelAll() {
+	r.cancelMatching(ErrKeyUnconfirmed, func(api.Identity) bool { return true })
 }
 
-func (r *Running) cancelMatching(cause error, matches func(api.Identity) bool) {
+func (r *RunningRequests) cancelMatching(cause error, matches func(api.Identity) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, request := range r.requests {
@@ -78,7 +78,7 @@
 }
 
 // Count returns the number of running requests.
-func (r *Running) Count() int {
+func (r *RunningRequests) Count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.requests)
@@ -86,5 +86,5 @@
 
 // withReservationDeadline limits a request to the time for which its tokens are reserved.
 func withReservationDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
-	return context.WithDeadlineCause(ctx, deadline, ErrTooLong)
+	return context.WithDeadlineCause(ctx, deadline, ErrReservationExpired)
 }
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -57,7 +57,7 @@
 // excludeLeaving removes the addresses that are leaving. A call to one of them may be cut when the machine stops,
 // and the outcome of a call that may not be repeated would then be unknown.
 func (p *Pipeline) excludeLeaving(target resource.Service) (resource.Service, error) {
-	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.Leaving)
+	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.IsLeaving)
 	if len(target.Addresses) == 0 {
 		return target, refusal.New(refusal.ServiceUnavailable, "all addresses of the service are leaving").
 			WithRetryAfter(time.Second)
@@ -77,9 +77,9 @@
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
 ) (answer service.Answer, err error) {
-	ctx, done := p.Running.add(ctx, identity)
+	ctx, done := p.RunningRequests.add(ctx, identity)
 	defer done()
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Retries.First()
 	})
 	noAnswer := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
--- a/internal/entry/pipeline/slot_acquisition.go
+++ b/internal/entry/pipeline/slot_acquisition.go
@@ -96,7 +96,7 @@
 
 func (p *Pipeline) chooseUpstream(run *completionRun) (upstream resource.Upstream, err error) {
 	var choice route.Choice
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		choice, err = a.Router.Choose(time.Now(), route.Query{
 			Model:     run.model,
 			BaseModel: run.baseModel,
--- a/internal/entry/pipeline/token_reservation.go
+++ b/internal/entry/pipeline/token_reservation.go
@@ -74,9 +74,9 @@
 		Int64("RetryAfterMillis", shortage.RetryAfter.Milliseconds()).Msg("TokensShort")
 }
 
-// TopUp rebalances the buckets of active workspaces between instances, independently of requests. The daemon calls
+// RebalanceTokens rebalances the buckets of active workspaces between instances, independently of requests. The daemon calls
 // it about four times a second.
-func (p *Pipeline) TopUp(ctx context.Context) {
+func (p *Pipeline) RebalanceTokens(ctx context.Context) {
 	for _, request := range p.Ledger.TopUps() {
 		p.borrowFrom(ctx, request)
 	}
@@ -91,7 +91,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, borrowCallTimeout)
 	defer cancel()
-	loan, err := p.Fleet.AskTokens(ctx, member, peer.TokenRequest{
+	loan, err := p.Fleet.BorrowTokens(ctx, member, peer.TokenRequest{
 		Workspace: request.Workspace,
 		Tokens:    request.Tokens,
 		Borrower:  p.Self,
--- a/internal/entry/settings/settings_load.go
+++ b/internal/entry/settings/settings_load.go
@@ -11,7 +11,7 @@
 )
 
 func format() inifile.Format[Settings] {
-	return inifile.Format[Settings]{Fields: fields(), Contradictions: conflicts}
+	return inifile.Format[Settings]{Fields: fields(), Validate: conflicts}
 }
 
 // Load reads and validates a settings file. The error is a Problems that lists everything wrong with it.
