--- a/internal/entry/inifile/inifile.go
+++ b/internal/entry/inifile/inifile.go
@@ -21,7 +21,7 @@
 	Set      func(s *S, value string) error
 }
 
-// Format describes all settings of S, in the order of the help text. Contradictions, if set, reports
+// Format describes all settings of S, in the order of the help text. Validate, if set, reports
 // settings that are valid one by one but conflict with each other.
 type Format[S any] struct {
 	Fields   []Field[S]
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -101,8 +101,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.State.WithLock(func(a *SharedState) {
-		a.Retries.First()
+	p.State.WithLock(func(state *SharedState) {
+		state.Retries.First()
 	})
 	return run, p.checkSuspect(run)
 }
@@ -110,8 +110,8 @@
 // effectiveWeight returns the workspace's current weight, which is raised while the workspace is served less
 // in proportion to its weight than others.
 func (p *Pipeline) effectiveWeight(now time.Time, workspace resource.Workspace) (weight float64) {
-	p.State.WithLock(func(a *SharedState) {
-		weight = a.Shares.Weight(now, workspace.Meta.Name, workspace.Weight)
+	p.State.WithLock(func(state *SharedState) {
+		weight = state.Shares.Weight(now, workspace.Meta.Name, workspace.Weight)
 	})
 	return weight
 }
@@ -139,8 +139,8 @@
 // apart from other suspects, or alone.
 func (p *Pipeline) checkSuspect(run *completionRun) error {
 	verdict, retryAfter := suspect.Free, time.Duration(0)
-	p.State.WithLock(func(a *SharedState) {
-		verdict, retryAfter = a.Suspects.Judge(time.Now(), run.fingerprint)
+	p.State.WithLock(func(state *SharedState) {
+		verdict, retryAfter = state.Suspects.Judge(time.Now(), run.fingerprint)
 	})
 	run.runAlone = verdict == suspect.Alone
 	run.runApart = verdict == suspect.Apart
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -70,8 +70,8 @@
 
 // allowRetry takes a retry from the retry budget, which keeps retries from doubling the load on a failing fleet.
 func (p *Pipeline) allowRetry() (allowed bool) {
-	p.State.WithLock(func(a *SharedState) {
-		allowed = a.Retries.Allow()
+	p.State.WithLock(func(state *SharedState) {
+		allowed = state.Retries.Allow()
 	})
 	if allowed {
 		p.Scope.Counter("retries").Inc(1)
@@ -83,8 +83,8 @@
 // completed or crashed the upstream.
 func (p *Pipeline) recordOutcome(run *completionRun, grant *slotGrant, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
-	p.State.WithLock(func(a *SharedState) {
-		a.Router.Ended(now, route.Outcome{
+	p.State.WithLock(func(state *SharedState) {
+		state.Router.Ended(now, route.Outcome{
 			Upstream: grant.upstream.Meta.Name,
 			Tokens:   released.Tokens,
 			Took:     now.Sub(grant.grantedAt),
@@ -93,11 +93,11 @@
 		switch outcome.(type) {
 		case engine.Completed:
 			workspace, _ := p.Current().Configuration.Workspace(run.identity.Workspace)
-			a.Shares.Served(now, run.identity.Workspace, workspace.Weight, released.Tokens)
-			a.Suspects.Completed(now, run.fingerprint)
+			state.Shares.Served(now, run.identity.Workspace, workspace.Weight, released.Tokens)
+			state.Suspects.Completed(now, run.fingerprint)
 		default:
 			if isCrash(outcome) {
-				a.Suspects.Crashed(now, []suspect.Fingerprint{run.fingerprint})
+				state.Suspects.Crashed(now, []suspect.Fingerprint{run.fingerprint})
 			}
 		}
 	})
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -211,8 +211,8 @@
 	f.ledger.Install(ledgerHead)
 	f.pipeline.RunningRequests.CancelWithdrawn(current.Configuration)
 	f.pipeline.Pins.Install(current.Head)
-	f.pipeline.State.WithLock(func(a *pipeline.SharedState) {
-		a.Router.SetUpstreams(current.Configuration.Upstreams())
+	f.pipeline.State.WithLock(func(state *pipeline.SharedState) {
+		state.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
 	f.tracker.Install(trackerHead)
 	f.confirm()
@@ -222,9 +222,9 @@
 func (f *fixture) confirm() {
 	now := time.Now()
 	f.tracker.ReadConfirmed(now, f.repository.Current().Head.Revision)
-	f.pipeline.State.WithLock(func(a *pipeline.SharedState) {
+	f.pipeline.State.WithLock(func(state *pipeline.SharedState) {
 		for _, name := range upstreamByAddress {
-			a.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
+			state.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
 		}
 	})
 }
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -83,9 +83,9 @@
 	Scope           tally.Scope
 }
 
-// SharedState groups the state by which this instance places requests: the router, the requests suspected of crashing
-// upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one lock
-// guards all of them; each use takes microseconds.
+// SharedState is the state on which all requests of this instance are placed: the router, the requests suspected of
+// crashing upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one
+// lock guards all of them; each use takes microseconds.
 type SharedState struct {
 	Router   *route.Router
 	Suspects *suspect.Register
@@ -95,11 +95,11 @@
 	mutex sync.Mutex
 }
 
-// WithLock calls use while it holds the lock.
-func (a *SharedState) WithLock(use func(a *SharedState)) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	use(a)
+// WithLock calls use with the lock held.
+func (s *SharedState) WithLock(use func(s *SharedState)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	use(s)
 }
 
 // ---------------------------------------------------------------------------------------------
--- a/internal/entry/pipeline/running_requests.go
+++ b/internal/entry/pipeline/running_requests.go
@@ -11,8 +11,9 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/configuration"
 )
 
-// RunningRequests tracks the requests that run on this instance, so that those of a withdrawn key can be cancelled. A stream
-// may run for minutes; if the key were checked only at its start, a withdrawn key could spend tokens for that long.
+// RunningRequests tracks the requests that run on this instance, so that those of a withdrawn key can be cancelled. A
+// stream may run for minutes; if the key were checked only at its start, a withdrawn key could spend tokens for that
+// long.
 type RunningRequests struct {
 	mutex    sync.Mutex
 	nextID   int64
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -79,8 +79,8 @@
 ) (answer service.Answer, err error) {
 	ctx, done := p.RunningRequests.add(ctx, identity)
 	defer done()
-	p.State.WithLock(func(a *SharedState) {
-		a.Retries.First()
+	p.State.WithLock(func(state *SharedState) {
+		state.Retries.First()
 	})
 	noAnswer := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
 		WithRetryAfter(time.Second)
--- a/internal/entry/pipeline/slot_acquisition.go
+++ b/internal/entry/pipeline/slot_acquisition.go
@@ -96,8 +96,8 @@
 
 func (p *Pipeline) chooseUpstream(run *completionRun) (upstream resource.Upstream, err error) {
 	var choice route.Choice
-	p.State.WithLock(func(a *SharedState) {
-		choice, err = a.Router.Choose(time.Now(), route.Query{
+	p.State.WithLock(func(state *SharedState) {
+		choice, err = state.Router.Choose(time.Now(), route.Query{
 			Model:     run.model,
 			BaseModel: run.baseModel,
 			Cost:      run.cost,
--- a/internal/entry/pipeline/token_reservation.go
+++ b/internal/entry/pipeline/token_reservation.go
@@ -74,8 +74,8 @@
 		Int64("RetryAfterMillis", shortage.RetryAfter.Milliseconds()).Msg("TokensShort")
 }
 
-// RebalanceTokens rebalances the buckets of active workspaces between instances, independently of requests. The daemon calls
-// it about four times a second.
+// RebalanceTokens rebalances the buckets of active workspaces between instances, independently of requests. The daemon
+// calls it about four times a second.
 func (p *Pipeline) RebalanceTokens(ctx context.Context) {
 	for _, request := range p.Ledger.TopUps() {
 		p.borrowFrom(ctx, request)
