--- a/internal/entry/brokering/runner.go
+++ b/internal/entry/brokering/runner.go
@@ -50,7 +50,7 @@
 }
 
 // Permit asks for leave to load, and waits for the answer.
-func (r *Runner) Permit(ctx context.Context, asked broker.Asked) peer.LoadPermit {
+func (r *Runner) Permit(ctx context.Context, asked broker.PermitRequested) peer.LoadPermit {
 	answer := make(chan peer.LoadPermit, 1)
 	if !r.inbox.Send(ctx, message{event: asked, answer: answer}) {
 		return refused
@@ -65,7 +65,7 @@
 
 // End tells that a load is done or has failed, or that its permit is given back unused.
 func (r *Runner) End(ctx context.Context, load broker.Load, unused bool) {
-	var event broker.Event = broker.Ended{Load: load}
+	var event broker.Event = broker.LoadEnded{Load: load}
 	if unused {
 		event = broker.Withdrawn{Load: load}
 	}
@@ -75,7 +75,7 @@
 // take hands one message on. Asking again for the same load replaces the earlier ask, so whoever
 // waited for that one is told so; taken for a refusal, it would make the holder ask on and on.
 func (r *Runner) take(m message) {
-	if asked, ok := m.event.(broker.Asked); ok {
+	if asked, ok := m.event.(broker.PermitRequested); ok {
 		r.answer(asked.Load, peer.LoadPermit{Replaced: true})
 		r.waiting[asked.Load] = m.answer
 	}
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -59,7 +59,7 @@
 }
 
 // PermitLoad asks the load broker.
-func (f fleet) PermitLoad(ctx context.Context, asked broker.Asked) (peer.LoadPermit, error) {
+func (f fleet) PermitLoad(ctx context.Context, asked broker.PermitRequested) (peer.LoadPermit, error) {
 	member, found := membership.Broker(f.daemon.repository.Current().Head)
 	if !found {
 		return peer.LoadPermit{}, errNoBroker
--- a/internal/entry/node/periodic.go
+++ b/internal/entry/node/periodic.go
@@ -70,7 +70,7 @@
 	n.setSharedLimits(len(names))
 	silentAfter := missedHeartbeats * n.overlay.currentStateInterval()
 	n.advice.With(func(a *serve.Advice) {
-		a.Ledger.SilentAfter = silentAfter
+		a.Ledger.PeerTimeout = silentAfter
 		a.Ledger.SetPeers(now, names)
 	})
 }
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -20,7 +20,7 @@
 	general time.Time
 	held    time.Time
 	// spent is the admitted usage when it was last sent to the others.
-	spent   quota.Spent
+	spent   quota.Totals
 	spentAt time.Time
 	// loadedFingerprint is a fingerprint of the models loaded at the held upstreams at that time.
 	loadedFingerprint uint64
@@ -83,9 +83,9 @@
 		return
 	}
 	n.refreshed.spentAt = now
-	var spent quota.Spent
-	n.advice.With(func(a *serve.Advice) { spent = a.Ledger.Own() })
-	recent := spent.Since(n.refreshed.spent)
+	var spent quota.Totals
+	n.advice.With(func(a *serve.Advice) { spent = a.Ledger.OwnTotals() })
+	recent := spent.ChangedSince(n.refreshed.spent)
 	n.refreshed.spent = spent
 	if delivery != spentWithState && len(recent) > 0 {
 		n.setPart(gossip.PartSpent, delivery == spentImmediate, func() ([]byte, error) {
@@ -114,8 +114,8 @@
 	}
 	holders := n.view.liveHolders()
 	n.advice.With(func(a *serve.Advice) {
-		state.Spent = a.Ledger.Own()
-		state.Suspects = a.Suspects.Own(now)
+		state.Spent = a.Ledger.OwnTotals()
+		state.Suspects = a.Suspects.LocalCounts(now)
 		state.Evidence = a.Pool.Evidence()
 		state.Loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
 	})
@@ -172,9 +172,9 @@
 	outdated := !n.overlay.recordSpentVersion(record)
 	n.advice.With(func(a *serve.Advice) {
 		if !outdated {
-			a.Ledger.Hear(now, record.Instance, state.Incarnation, state.Spent)
+			a.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
 		}
-		a.Suspects.Merge(now, record.Instance, state.Suspects)
+		a.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
 		a.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
 		a.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
 	})
@@ -190,7 +190,7 @@
 		return err
 	}
 	n.advice.With(func(a *serve.Advice) {
-		a.Ledger.HearSome(now, record.Instance, state.Incarnation, state.Spent)
+		a.Ledger.MergePartialTotals(now, record.Instance, state.Incarnation, state.Spent)
 	})
 	return nil
 }
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	p.State.WithLock(func(state *SharedState) {
-		state.Retries.First()
+		state.Retries.CountFirstTry()
 	})
 	return run, p.checkSuspect(run)
 }
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -89,7 +89,7 @@
 		f.complete = func(ctx context.Context, sink engine.Sink) engine.Outcome {
 			f.must(startStream(sink))
 			<-ctx.Done()
-			return engine.Cancelled{Tokens: 1, Err: context.Cause(ctx), Stopped: true}
+			return engine.Cancelled{Tokens: 1, Err: context.Cause(ctx), StopConfirmed: true}
 		}
 		startedAt := time.Now()
 		time.AfterFunc(time.Second, f.withdraw)
@@ -138,10 +138,10 @@
 					return completeStream(sink)
 				}
 				if !afterFirstToken {
-					return engine.Unknown{Lost: true}
+					return engine.Unknown{EngineLost: true}
 				}
 				f.must(startStream(sink))
-				return engine.Failed{Tokens: 1, Lost: true}
+				return engine.Failed{Tokens: 1, EngineLost: true}
 			}
 			err := f.requestCompletion("bids", 10)
 			if afterFirstToken {
@@ -177,7 +177,7 @@
 						return engine.Full{}
 					}
 					event(f)
-					return engine.Unknown{Stopped: true}
+					return engine.Unknown{StopConfirmed: true}
 				}
 				err := f.requestCompletion("bids", 10)
 				is := is.New(t)
@@ -191,8 +191,8 @@
 // All upstreams fail. Retries add load when there is no capacity, and must not exceed a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	runInBubble(t, 2, func(f *fixture) {
-		f.pipeline.State.Retries = retry.New(retry.DefaultRatio, retry.DefaultMost)
-		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{Stopped: true} }
+		f.pipeline.State.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
+		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{StopConfirmed: true} }
 		for range 100 {
 			checkRefused(t, f.requestCompletion("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
 		}
@@ -206,8 +206,8 @@
 // and then correctly confirms that it does not run the request. Each crash also fails all other requests of the batch.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	outcomes := map[string]engine.Outcome{
-		"engine stays down":           engine.Unknown{Lost: true},
-		"engine restarts immediately": engine.Unknown{Lost: true, Stopped: true},
+		"engine stays down":           engine.Unknown{EngineLost: true},
+		"engine restarts immediately": engine.Unknown{EngineLost: true, StopConfirmed: true},
 	}
 	for name, crash := range outcomes {
 		t.Run(name, func(t *testing.T) {
@@ -234,7 +234,7 @@
 	runInBubble(t, 2, func(f *fixture) {
 		f.complete = func(context.Context, engine.Sink) engine.Outcome {
 			time.Sleep(time.Second)
-			return engine.Unknown{Lost: true, Stopped: true}
+			return engine.Unknown{EngineLost: true, StopConfirmed: true}
 		}
 		slot := make(chan struct{}, 1)
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
@@ -258,7 +258,7 @@
 // answers that the version is not resident, or runs another one. The caller has received nothing, so the request is
 // retried. The release must report the reason, or the holder would send the next request to the same upstream.
 func TestNotResident(t *testing.T) {
-	for _, first := range []engine.Outcome{engine.NotResident{}, engine.WrongModel{Served: "bids@2", Stopped: true}} {
+	for _, first := range []engine.Outcome{engine.NotResident{}, engine.WrongModel{ServedModel: "bids@2", StopConfirmed: true}} {
 		runInBubble(t, 2, func(f *fixture) {
 			f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
 				if len(f.dispatchedUpstreams()) > 1 {
@@ -359,7 +359,7 @@
 			f.must(sink.Begin("bids@1"))
 			for ; generated < 100; generated++ {
 				if err := sink.Event(stream.Event{Data: []byte("{}")}, generated+1); err != nil {
-					return engine.Cancelled{Tokens: generated, Err: err, Stopped: true}
+					return engine.Cancelled{Tokens: generated, Err: err, StopConfirmed: true}
 				}
 			}
 			return engine.Completed{Tokens: generated}
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -84,7 +84,7 @@
 func (p *Pipeline) recordOutcome(run *completionRun, grant *slotGrant, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
 	p.State.WithLock(func(state *SharedState) {
-		state.Router.Ended(now, route.Outcome{
+		state.Router.RecordOutcome(now, route.Outcome{
 			Upstream: grant.upstream.Meta.Name,
 			Tokens:   released.Tokens,
 			Took:     now.Sub(grant.grantedAt),
@@ -94,10 +94,10 @@
 		case engine.Completed:
 			workspace, _ := p.Current().Configuration.Workspace(run.identity.Workspace)
 			state.Shares.Served(now, run.identity.Workspace, workspace.Weight, released.Tokens)
-			state.Suspects.Completed(now, run.fingerprint)
+			state.Suspects.RecordCompletion(now, run.fingerprint)
 		default:
 			if isCrash(outcome) {
-				state.Suspects.Crashed(now, []suspect.Fingerprint{run.fingerprint})
+				state.Suspects.RecordCrash(now, []suspect.Fingerprint{run.fingerprint})
 			}
 		}
 	})
@@ -118,9 +118,9 @@
 func isCrash(outcome engine.Outcome) bool {
 	switch o := outcome.(type) {
 	case engine.Failed:
-		return o.Lost
+		return o.EngineLost
 	case engine.Unknown:
-		return o.Lost
+		return o.EngineLost
 	}
 	return false
 }
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -92,12 +92,12 @@
 		repository: &repository.Repository{Store: kv, Writer: "i1/a"},
 		tracker:    &freshness.Tracker{Self: freshness.Member{Name: self.Name, Incarnation: self.Incarnation}},
 	}
-	f.ledger = &rate.Ledger{Self: self, Knowledge: f.tracker}
+	f.ledger = &rate.Ledger{Self: self, Freshness: f.tracker}
 	f.place = f.grant
 	f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome { return completeStream(sink) }
 	f.cancel = func() error { return nil }
 	f.do = func(context.Context, service.Call) service.Outcome {
-		return service.Ran{Answer: service.Answer{Status: 201, Body: []byte("booked")}}
+		return service.Ran{Response: service.Response{Status: 201, Body: []byte("booked")}}
 	}
 	claims := &claim.Registry{Store: kv}
 	f.pipeline = &pipeline.Pipeline{
@@ -107,7 +107,7 @@
 		OnUpstreamCrash: func() { f.crashNotices.Add(1) }, Pins: &pipeline.Pins{}, RunningRequests: &pipeline.RunningRequests{}, Burn: &burn.Recorder{},
 		State: &pipeline.SharedState{
 			Router:   &route.Router{Settings: route.DefaultSettings()},
-			Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+			Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 			Retries:  retry.New(1, 10),
 			Shares:   &share.Tracker{},
 		},
@@ -221,10 +221,10 @@
 // confirm simulates a successful read of the store, and heartbeats that report the upstreams.
 func (f *fixture) confirm() {
 	now := time.Now()
-	f.tracker.ReadConfirmed(now, f.repository.Current().Head.Revision)
+	f.tracker.RecordRead(now, f.repository.Current().Head.Revision)
 	f.pipeline.State.WithLock(func(state *pipeline.SharedState) {
 		for _, name := range upstreamByAddress {
-			state.Router.Learn(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
+			state.Router.UpdateSummary(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
 		}
 	})
 }
@@ -302,7 +302,7 @@
 // completeStream sends a complete stream of one token.
 func completeStream(sink engine.Sink) engine.Outcome {
 	if startStream(sink) != nil {
-		return engine.Cancelled{Stopped: true}
+		return engine.Cancelled{StopConfirmed: true}
 	}
 	return engine.Completed{Tokens: 1}
 }
@@ -332,7 +332,7 @@
 }
 
 // callService calls the plain service with an idempotency key.
-func (f *fixture) callService(ctx context.Context, method, key string) (service.Answer, error) {
+func (f *fixture) callService(ctx context.Context, method, key string) (service.Response, error) {
 	call := service.Call{ID: "r", Method: method, Path: "/orders", IdempotencyKey: key}
 	return f.pipeline.Call(ctx, caller, api.ServiceCall{Service: "paint", Call: call})
 }
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -88,7 +88,7 @@
 // lock guards all of them; each use takes microseconds.
 type SharedState struct {
 	Router   *route.Router
-	Suspects *suspect.Register
+	Suspects *suspect.Tracker
 	Retries  *retry.Budget
 	Shares   *share.Tracker
 
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -29,12 +29,12 @@
 // Call calls a plain service.
 func (p *Pipeline) Call(
 	ctx context.Context, identity api.Identity, call api.ServiceCall,
-) (answer service.Answer, err error) {
+) (answer service.Response, err error) {
 	startedAt := time.Now()
 	defer func() { p.reportServiceCall(identity, call, startedAt, err) }()
 	target, err := p.resolveService(identity, call.Service)
 	if err != nil {
-		return service.Answer{}, err
+		return service.Response{}, err
 	}
 	if slices.Contains(target.Repeatable, call.Call.Method) {
 		return p.callRepeatable(ctx, identity, target, call.Call)
@@ -76,11 +76,11 @@
 // callRepeatable tries the service's addresses in random order until one answers.
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
-) (answer service.Answer, err error) {
+) (answer service.Response, err error) {
 	ctx, done := p.RunningRequests.add(ctx, identity)
 	defer done()
 	p.State.WithLock(func(state *SharedState) {
-		state.Retries.First()
+		state.Retries.CountFirstTry()
 	})
 	noAnswer := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
 		WithRetryAfter(time.Second)
@@ -89,28 +89,28 @@
 			break
 		}
 		if _, err := p.checkIdentity(identity); err != nil {
-			return service.Answer{}, refusal.From(err).WithRun(noAnswer.Run())
+			return service.Response{}, refusal.From(err).WithRun(noAnswer.Run())
 		}
 		outcome := p.Services.Do(ctx, target.Addresses[index], call)
 		if ran, ok := outcome.(service.Ran); ok {
-			return ran.Answer, nil
+			return ran.Response, nil
 		}
 		if ctx.Err() != nil {
-			return service.Answer{}, contextRefusal(ctx, refusal.Unknown)
+			return service.Response{}, contextRefusal(ctx, refusal.Unknown)
 		}
 		if _, unknown := outcome.(service.Unknown); unknown {
 			noAnswer = noAnswer.WithRun(refusal.Unknown)
 		}
 	}
-	return service.Answer{}, noAnswer
+	return service.Response{}, noAnswer
 }
 
 // callOnce claims the call's idempotency key and sends the call at most once.
 func (p *Pipeline) callOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
-) (service.Answer, error) {
+) (service.Response, error) {
 	if call.IdempotencyKey == "" {
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyMissing,
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyMissing,
 			"a call that may not be repeated needs the header Idempotency-Key")
 	}
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -118,7 +118,7 @@
 	body := claim.BodyHash(call.Method, target.Meta.Name+call.Path+"?"+call.RawQuery, call.Body)
 	decision, err := p.Claims.Claim(claimCtx, identity.Workspace, call.IdempotencyKey, body)
 	if err != nil {
-		return service.Answer{}, storeUnavailable(time.Second)
+		return service.Response{}, storeUnavailable(time.Second)
 	}
 	switch d := decision.(type) {
 	case claim.Proceed:
@@ -126,18 +126,18 @@
 	case claim.Replay:
 		return replayedAnswer(d)
 	case claim.InProgress:
-		return service.Answer{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
+		return service.Response{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
 			WithRetryAfter(d.RetryAfter)
-	case claim.RanUnknown:
-		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
+	case claim.OutcomeUnknown:
+		return service.Response{}, refusal.New(refusal.OutcomeUnknown,
 			"a call with this idempotency key may have run; its outcome is not known")
-	case claim.DifferentBody:
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
+	case claim.BodyMismatch:
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyReused,
 			"this idempotency key was used for another call")
 	case claim.Refuse:
-		return service.Answer{}, storeUnavailable(d.RetryAfter)
+		return service.Response{}, storeUnavailable(d.RetryAfter)
 	}
-	return service.Answer{}, refusal.New(refusal.Internal, "unknown decision")
+	return service.Response{}, refusal.New(refusal.Internal, "unknown decision")
 }
 
 func storeUnavailable(retryAfter time.Duration) refusal.Refusal {
@@ -146,13 +146,13 @@
 }
 
 // replayedAnswer returns the recorded response of the first call to a repeated one.
-func replayedAnswer(d claim.Replay) (service.Answer, error) {
+func replayedAnswer(d claim.Replay) (service.Response, error) {
 	if !d.Kept {
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyReused,
 			"the call ran; its answer was too large to be kept").WithRun(refusal.Ran)
 	}
-	answer := service.Answer{Status: d.Answer.Status, Body: d.Answer.Body, Header: map[string][]string{}}
-	answer.Header.Set("Content-Type", d.Answer.ContentType)
+	answer := service.Response{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
+	answer.Header.Set("Content-Type", d.Response.ContentType)
 	answer.Header.Set("Idempotency-Replayed", "true")
 	return answer, nil
 }
@@ -161,30 +161,30 @@
 // when the caller repeats it.
 func (p *Pipeline) sendOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call, ticket *claim.Ticket,
-) (service.Answer, error) {
+) (service.Response, error) {
 	target, err := p.checkDispatch(identity, target.Meta.Name, ticket)
 	if err != nil {
 		p.recordClaimOutcome(ticket.NotRun)
-		return service.Answer{}, err
+		return service.Response{}, err
 	}
 	address := target.Addresses[rand.IntN(len(target.Addresses))]
 	switch o := p.Services.Do(context.WithoutCancel(ctx), address, call).(type) {
 	case service.Ran:
 		p.recordClaimOutcome(func(ctx context.Context) error {
-			return ticket.Ran(ctx, claim.Answer{
-				Status:      o.Answer.Status,
-				ContentType: o.Answer.Header.Get("Content-Type"),
-				Body:        o.Answer.Body,
+			return ticket.Ran(ctx, claim.Response{
+				Status:      o.Response.Status,
+				ContentType: o.Response.Header.Get("Content-Type"),
+				Body:        o.Response.Body,
 			})
 		})
-		return o.Answer, nil
+		return o.Response, nil
 	case service.NotRun:
 		p.recordClaimOutcome(ticket.NotRun)
-		return service.Answer{}, refusal.New(refusal.ServiceUnavailable, "the service cannot be reached").
+		return service.Response{}, refusal.New(refusal.ServiceUnavailable, "the service cannot be reached").
 			WithRetryAfter(time.Second)
 	default:
 		p.recordClaimOutcome(ticket.Unknown)
-		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
+		return service.Response{}, refusal.New(refusal.OutcomeUnknown,
 			"the service did not answer; whether the call ran is not known")
 	}
 }
--- a/internal/entry/pipeline/slot_acquisition.go
+++ b/internal/entry/pipeline/slot_acquisition.go
@@ -194,13 +194,13 @@
 func mayStillRun(outcome engine.Outcome) bool {
 	switch o := outcome.(type) {
 	case engine.Failed:
-		return !o.Stopped && !o.Lost
+		return !o.StopConfirmed && !o.EngineLost
 	case engine.Unknown:
-		return !o.Stopped && !o.Lost
+		return !o.StopConfirmed && !o.EngineLost
 	case engine.Cancelled:
-		return !o.Stopped
+		return !o.StopConfirmed
 	case engine.WrongModel:
-		return !o.Stopped
+		return !o.StopConfirmed
 	}
 	return false
 }
--- a/internal/entry/pipeline/token_reservation.go
+++ b/internal/entry/pipeline/token_reservation.go
@@ -27,7 +27,7 @@
 // reserve reserves the maximum cost of a request, or refuses it. The caller must settle the reservation.
 func (p *Pipeline) reserve(ctx context.Context, workspace string, tokens float64) (*rate.Reservation, error) {
 	reservation, err := p.Ledger.Reserve(workspace, tokens)
-	var shortage *rate.ShortError
+	var shortage *rate.InsufficientTokensError
 	if errors.As(err, &shortage) {
 		counts := p.borrow(ctx, workspace, tokens)
 		reservation, err = p.Ledger.Reserve(workspace, tokens)
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	for range p.Current().Head.Members {
-		plan := p.Ledger.Plan(workspace, tokens)
+		plan := p.Ledger.PlanBorrowing(workspace, tokens)
 		if len(plan) == 0 || ctx.Err() != nil {
 			return counts
 		}
@@ -66,9 +66,9 @@
 	return counts
 }
 
-func (p *Pipeline) logInsufficientTokens(workspace string, tokens float64, shortage *rate.ShortError, counts borrowCounts) {
+func (p *Pipeline) logInsufficientTokens(workspace string, tokens float64, shortage *rate.InsufficientTokensError, counts borrowCounts) {
 	p.Log.Info().Str("Workspace", workspace).Float64("Tokens", tokens).Float64("Missing", shortage.Missing).
-		Float64("Level", shortage.Level).Float64("Own", shortage.Own).Float64("Elsewhere", shortage.Elsewhere).
+		Float64("Level", shortage.Level).Float64("Own", shortage.OwnCapacity).Float64("Elsewhere", shortage.PeerTokens).
 		Int("PendingShares", shortage.PendingShares).Int("Members", len(p.Current().Head.Members)).
 		Int("Asks", counts.calls).Int("AsksFailed", counts.failures).
 		Int64("RetryAfterMillis", shortage.RetryAfter.Milliseconds()).Msg("TokensShort")
@@ -77,16 +77,16 @@
 // RebalanceTokens rebalances the buckets of active workspaces between instances, independently of requests. The daemon
 // calls it about four times a second.
 func (p *Pipeline) RebalanceTokens(ctx context.Context) {
-	for _, request := range p.Ledger.TopUps() {
+	for _, request := range p.Ledger.PlanRebalancing() {
 		p.borrowFrom(ctx, request)
 	}
 }
 
 // borrowFrom requests a loan of tokens from a peer, and reports whether the peer answered.
-func (p *Pipeline) borrowFrom(ctx context.Context, request rate.Ask) (answered bool) {
+func (p *Pipeline) borrowFrom(ctx context.Context, request rate.BorrowRequest) (answered bool) {
 	member, found := findMember(p.Current().Head, request.Peer)
 	if !found {
-		p.Ledger.Receive(request, rate.Loan{Lender: request.Peer})
+		p.Ledger.ReceiveLoan(request, rate.Loan{Lender: request.Peer})
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, borrowCallTimeout)
@@ -95,7 +95,7 @@
 		Workspace: request.Workspace,
 		Tokens:    request.Tokens,
 		Borrower:  p.Self,
-		Spare:     request.Spare,
+		Spare:     request.SpareOnly,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
@@ -103,7 +103,7 @@
 		// this instance from calling the peer again immediately.
 		loan = rate.Loan{Lender: request.Peer}
 	}
-	p.Ledger.Receive(request, loan)
+	p.Ledger.ReceiveLoan(request, loan)
 	return err == nil
 }
 
@@ -115,8 +115,8 @@
 // rateRefusal converts the ledger's error into the refusal for the caller. It also counts wrongful refusals: those
 // made although the fleet has the tokens, as far as this instance knows.
 func (p *Pipeline) rateRefusal(workspace string, err error) error {
-	var shortage *rate.ShortError
-	var exceedsBurst *rate.TooLargeError
+	var shortage *rate.InsufficientTokensError
+	var exceedsBurst *rate.ExceedsBurstError
 	switch {
 	case errors.As(err, &shortage):
 		p.Scope.Tagged(map[string]string{"workspace": workspace}).Counter("refused_rate").Inc(1)
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -38,7 +38,7 @@
 	// Address is where the instance talks to the others.
 	Address          string
 	StoreUnreachable bool
-	Spent            quota.Spent
+	Spent            quota.Totals
 	// Loads is what the instance has in flight at upstreams without a holder.
 	Loads    map[string]pool.Load
 	Suspects []suspect.Count
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -73,7 +73,7 @@
 		})
 	}
 	for _, back := range wire.GetReturns() {
-		b.Returns = append(b.Returns, rate.Return{
+		b.Returns = append(b.Returns, rate.LoanReturn{
 			Workspace: back.GetWorkspace(),
 			Loan:      back.GetLoan(),
 			Remaining: back.GetRemaining(),
@@ -87,7 +87,7 @@
 	wire := &fleetpb.UpstreamSummary{
 		Upstream:      s.Upstream,
 		Epoch:         s.Epoch,
-		FreePlaces:    int32(s.FreePlaces),
+		FreePlaces:    int32(s.FreeBatchSlots),
 		BacklogMillis: s.Backlog.Milliseconds(),
 		Healthy:       s.Healthy,
 		Coldest:       s.Coldest,
@@ -100,12 +100,12 @@
 
 func summaryFromWire(wire *fleetpb.UpstreamSummary) holder.Summary {
 	s := holder.Summary{
-		Upstream:   wire.GetUpstream(),
-		Epoch:      wire.GetEpoch(),
-		FreePlaces: int(wire.GetFreePlaces()),
-		Backlog:    millis(wire.GetBacklogMillis()),
-		Healthy:    wire.GetHealthy(),
-		Coldest:    wire.GetColdest(),
+		Upstream:       wire.GetUpstream(),
+		Epoch:          wire.GetEpoch(),
+		FreeBatchSlots: int(wire.GetFreePlaces()),
+		Backlog:        millis(wire.GetBacklogMillis()),
+		Healthy:        wire.GetHealthy(),
+		Coldest:        wire.GetColdest(),
 	}
 	for _, text := range wire.GetResident() {
 		if ref, ok := model.Parse(text); ok {
@@ -268,7 +268,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func askedToWire(asked broker.Asked) *fleetpb.PermitLoadRequest {
+func askedToWire(asked broker.PermitRequested) *fleetpb.PermitLoadRequest {
 	return &fleetpb.PermitLoadRequest{
 		Upstream:       asked.Load.Upstream,
 		Adapter:        asked.Load.Model.Adapter,
@@ -280,8 +280,8 @@
 	}
 }
 
-func askedFromWire(wire *fleetpb.PermitLoadRequest) broker.Asked {
-	return broker.Asked{
+func askedFromWire(wire *fleetpb.PermitLoadRequest) broker.PermitRequested {
+	return broker.PermitRequested{
 		Load: broker.Load{
 			Upstream: wire.GetUpstream(),
 			Model:    model.Reference{Adapter: wire.GetAdapter(), Version: wire.GetVersion()},
--- a/internal/fleet/peer/directory.go
+++ b/internal/fleet/peer/directory.go
@@ -61,10 +61,10 @@
 		return rate.Loan{}, err
 	}
 	return rate.Loan{
-		ID:     wire.GetLoan(),
-		Lender: rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
-		Tokens: wire.GetTokens(),
-		Left:   wire.GetLeft(),
+		ID:          wire.GetLoan(),
+		Lender:      rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
+		Tokens:      wire.GetTokens(),
+		LenderLevel: wire.GetLeft(),
 	}, nil
 }
 
@@ -109,7 +109,7 @@
 }
 
 // PermitLoad asks the load broker at address for leave to load, and waits for its answer.
-func (d *Directory) PermitLoad(ctx context.Context, address string, asked broker.Asked) (_ LoadPermit, err error) {
+func (d *Directory) PermitLoad(ctx context.Context, address string, asked broker.PermitRequested) (_ LoadPermit, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: permit a load") }()
 	client, err := d.client(address)
 	if err != nil {
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -47,7 +47,7 @@
 // run brings the request to its end. The error is a refusal, or what broke an answer that was begun.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
-	h.Advice.With(func(a *Advice) { a.Retries.Of(j.service).First() })
+	h.Advice.With(func(a *Advice) { a.Retries.For(j.service).CountFirstTry() })
 	var last error
 	for j.sends < mostTries && len(j.tried) < mostTried {
 		if ctx.Err() != nil {
@@ -113,7 +113,7 @@
 
 // mayResend takes a retry from the budget.
 func (j *job) mayResend() (allowed bool) {
-	j.handler.Advice.With(func(a *Advice) { allowed = a.Retries.Of(j.service).Allow() })
+	j.handler.Advice.With(func(a *Advice) { allowed = a.Retries.For(j.service).Allow() })
 	return allowed
 }
 
@@ -172,7 +172,7 @@
 			a.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
 		}
 		if ended == resultServed {
-			a.Suspects.Completed(now, j.fingerprint)
+			a.Suspects.RecordCompletion(now, j.fingerprint)
 		}
 	})
 }
--- a/internal/gateway/serve/refusals_test.go
+++ b/internal/gateway/serve/refusals_test.go
@@ -26,7 +26,7 @@
 	is.Equal(response.Header.Get("X-Run"), "not-run")
 	is.True(response.Header.Get("Retry-After") != "")
 	is.True(time.Since(began) < time.Second)
-	is.Equal(w.handler.Advice.Ledger.Own()["own"], 0.0)
+	is.Equal(w.handler.Advice.Ledger.OwnTotals()["own"], 0.0)
 }
 
 // Each refusal has a status of its own, which tells the caller what to do about it.
--- a/internal/gateway/serve/sends_test.go
+++ b/internal/gateway/serve/sends_test.go
@@ -98,9 +98,9 @@
 func TestPoisonousRequestIsStopped(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, served)
-	fingerprint := suspect.Of("own", "POST a.example/once/", []byte("poison"))
+	fingerprint := suspect.FingerprintOf("own", "POST a.example/once/", []byte("poison"))
 	for range 3 {
-		w.handler.Advice.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
+		w.handler.Advice.Suspects.RecordCrash(time.Now(), []suspect.Fingerprint{fingerprint})
 	}
 	response, _, err := w.call("/once/", "poison")
 	is.NoErr(err)
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -54,7 +54,7 @@
 type Advice struct {
 	Pool     *pool.Pool
 	Ledger   *quota.Ledger
-	Suspects *suspect.Register
+	Suspects *suspect.Tracker
 	Retries  *retry.Budgets
 
 	mutex sync.Mutex
@@ -242,7 +242,7 @@
 func (j *job) admit() error {
 	now := time.Now()
 	j.cost = j.call.Cost(j.workspace)
-	j.fingerprint = suspect.Of(j.workspace.Name, j.call.Method+" "+j.call.Host+j.call.Target, j.call.Body)
+	j.fingerprint = suspect.FingerprintOf(j.workspace.Name, j.call.Method+" "+j.call.Host+j.call.Target, j.call.Body)
 	var retryAfter time.Duration
 	admitted := false
 	shareSpent := false
@@ -253,7 +253,7 @@
 			retryAfter, admitted = a.Ledger.Admit(now, j.workspace.Name, j.cost)
 		}
 		if admitted {
-			shareSpent = len(a.Ledger.TellDue(now)) > 0
+			shareSpent = len(a.Ledger.TakeUrgentRecipients(now)) > 0
 		}
 	})
 	if shareSpent {
