--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -1,5 +1,5 @@
-// Package call is a caller's request as the instance passes it on: an opaque body with the facts that
-// decide where it may go. Which headers carry these facts is a Dialect's business.
+// Package call defines a caller's request as the instance forwards it: an opaque body and the facts that decide which
+// upstreams may run it. A Dialect maps these facts to HTTP headers.
 package call
 
 import (
@@ -9,49 +9,49 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// Call is one send of a caller. Its body, path and remaining headers pass unchanged.
+// Call is one request of a caller. The body, the path and the remaining headers are forwarded unchanged.
 type Call struct {
-	// ID is the caller's own, a new one for each send.
+	// ID is set by the caller; each retry of the caller has a new one.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path and query as sent, Path only the path.
+	// Target is the path and query as received, Path only the path.
 	Target string
 	Path   string
-	// Header is what passes on, without what concerns one connection, the key and what only the
-	// instance may state.
+	// Header holds the headers to forward, without hop-by-hop headers, the key and the headers that only the instance
+	// may set.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's secret; it goes nowhere.
+	// Key is the caller's API key. It is not forwarded.
 	Key string
-	// Received is when the request's headers were read; Patience is how long the caller waits from then,
-	// 0 if it does not say.
+	// Received is when the request's headers were read. Patience is how long the caller waits from then, 0 if it states
+	// no limit.
 	Received time.Time
 	Patience time.Duration
 	Work     Work
-	// LastEvent is the id of the last event the caller has of an earlier stream; empty if none.
+	// LastEvent is the id of the last event that the caller received of an earlier stream; empty if there was none.
 	LastEvent string
 }
 
-// Work is the size of a generation.
+// Work is the model and the size of a generation.
 type Work struct {
-	// Adapter is empty for requests that no model answers.
+	// Adapter is empty for requests that need no model.
 	Adapter traffic.Adapter
-	// PromptTokens and OutputTokens (the most that are wanted) are stated if Stated.
+	// PromptTokens and OutputTokens (the maximum to generate) are valid only if Stated is true.
 	Stated       bool
 	PromptTokens int
 	OutputTokens int
-	// Prompt lists the parts of the prompt in order; requests share parts.
+	// Prompt lists the parts of the prompt in order. Requests may have parts in common.
 	Prompt []Part
 }
 
-// Part is a piece of a prompt that other requests may have in common.
+// Part is a piece of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Cost is what the call takes of its workspace's rate.
+// Cost returns how many units the call takes from its workspace's rate limit.
 func (c Call) Cost(workspace traffic.Workspace) float64 {
 	if !workspace.ByTokens {
 		return 1
@@ -62,38 +62,38 @@
 	return float64(c.Work.PromptTokens + c.Work.OutputTokens)
 }
 
-// Send is what one send to an upstream states besides the call.
+// Send holds what one attempt at an upstream states besides the call.
 type Send struct {
-	// Upstream is the only one that may run it.
+	// Upstream is the id of the only upstream that may run the request.
 	Upstream string
 	// Workspace is empty on routes that need no key.
 	Workspace string
-	// Left is the time the upstream has.
+	// Left is the time until the request's deadline.
 	Left     time.Duration
 	Priority int
-	// Version of the adapter, if the upstream has to check it; 0 if not.
+	// Version is the adapter version that the upstream must check; 0 if it must not check any.
 	Version int64
-	// LastEvent is the id after which a stream goes on.
+	// LastEvent is the id of the event after which the stream is resumed.
 	LastEvent string
 }
 
-// Reply is what an upstream's answer states in its headers.
+// Reply is the information in the headers of an upstream's response.
 type Reply struct {
-	// ID is the request that the answer belongs to.
+	// ID is the id of the request that the response belongs to.
 	ID string
-	// NotRun: the upstream promises that the request did not run.
+	// NotRun: the upstream guarantees that the request did not run.
 	NotRun bool
-	// Misdirected: another upstream has the address now, or it lacks the model or version.
+	// Misdirected: another upstream has the address now, or the upstream lacks the model or version.
 	Misdirected bool
-	// Signed: the answer bears the upstream's signature.
+	// Signed: the response carries the upstream's signature.
 	Signed bool
-	// Load is what the upstream had to do when it answered; zero if it does not state that.
+	// Load is the load that the upstream reported with the response; zero if it reported none.
 	Load UpstreamLoad
 }
 
-// UpstreamLoad is what an upstream states of its own load.
+// UpstreamLoad is the load that an upstream reports about itself.
 type UpstreamLoad struct {
-	// Running and Waiting are requests, Places how many run at once.
+	// Running and Waiting count requests. Places is the number of batch slots: how many requests run at once.
 	Running int
 	Waiting int
 	Places  int
@@ -103,10 +103,10 @@
 type Dialect interface {
 	// Decode reads all but the body. It keeps no reference to the request's headers.
 	Decode(request *http.Request) (Call, error)
-	// Header is what a send states, added to the call's own headers.
+	// Header returns the headers of an attempt: the call's own and those that the attempt adds.
 	Header(c Call, send Send) http.Header
-	// Reply reads an upstream's answer.
+	// Reply reads the headers of an upstream's response.
 	Reply(response *http.Response) Reply
-	// Refusal writes the headers of an instance's own answer.
+	// Refusal sets the headers of a response that the instance generates itself.
 	Refusal(header http.Header, id string, retryAfter time.Duration)
 }
