--- a/internal/gateway/traffic/table.go
+++ b/internal/gateway/traffic/table.go
@@ -6,10 +6,9 @@
 	"strings"
 )
 
-// table.go answers the two questions that each request asks of a configuration: which route it takes,
-// and for whom it is.
+// table.go looks up the route and the workspace of a request in a configuration.
 
-// Table looks up routes and keys of one configuration. Make it with NewTable; it never changes.
+// Table is an index of the routes and keys of one configuration. Create it with NewTable. It is immutable.
 type Table struct {
 	Configuration Configuration
 
@@ -36,7 +35,7 @@
 	return t
 }
 
-// Route finds the route of a host with the longest prefix that begins the path.
+// Route returns the route of the host with the longest prefix that matches the path.
 func (t *Table) Route(host, path string) (best Route, found bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -50,18 +49,18 @@
 	return best, found
 }
 
-// Workspace finds whom a key speaks for.
+// Workspace returns the workspace that a key belongs to.
 func (t *Table) Workspace(key string) (Workspace, bool) {
 	workspace, found := t.keys[key]
 	return workspace, found
 }
 
-// NeedsKey tells whether requests of the route have to bear a key.
+// NeedsKey reports whether requests of the route must have a key.
 func (t *Table) NeedsKey(route Route) bool {
 	return len(t.Configuration.Workspaces) > 0 && !route.Public
 }
 
-// Target draws one of the route's services by weight.
+// Target picks one of the route's services at random, by weight.
 func (r Route) Target() string {
 	total := 0
 	for _, target := range r.Targets {
@@ -73,10 +72,10 @@
 		}
 		return r.Targets[0].Service
 	}
-	drawn := rand.IntN(total)
+	pick := rand.IntN(total)
 	for _, target := range r.Targets {
-		drawn -= max(target.Weight, 0)
-		if drawn < 0 {
+		pick -= max(target.Weight, 0)
+		if pick < 0 {
 			return target.Service
 		}
 	}
--- a/internal/gateway/traffic/table_test.go
+++ b/internal/gateway/traffic/table_test.go
@@ -62,7 +62,7 @@
 	is.Equal(traffic.Route{Targets: []traffic.Target{{Service: "a"}}}.Target(), "a")
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestIsRepeatable(t *testing.T) {
 	is := is.New(t)
 	is.True(traffic.Route{Repetition: traffic.Idempotent}.MayRepeat())
 	is.True(!traffic.Route{Repetition: traffic.Once, Resumable: true}.MayRepeat())
--- a/internal/gateway/traffic/traffic.go
+++ b/internal/gateway/traffic/traffic.go
@@ -1,90 +1,90 @@
-// Package traffic is what operators and upstreams declare about the requests that an instance passes on:
-// routes, services, workspaces, the limits of callers, and the upstreams behind the services. Values are
-// immutable; a new declaration replaces the old one as a whole.
+// Package traffic defines what operators and upstreams declare about the requests that an instance forwards: routes,
+// services, workspaces, the limits of callers, and the upstreams of the services. Values are immutable; a new
+// declaration replaces the old one as a whole.
 package traffic
 
 import "time"
 
-// Fact is one declaration: a Configuration, an Upstream or an AdapterVersion.
+// Fact is a Configuration, an Upstream or an AdapterVersion.
 type Fact interface{ isFact() }
 
-// Configuration is all that operators declare. Version only rises.
+// Configuration is everything that operators declare. Version only increases.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   CallerLimits
-	// Workspaces is empty where callers need no key.
+	// Workspaces is empty if callers need no key.
 	Workspaces []Workspace
 }
 
 func (Configuration) isFact() {}
 
-// Repetition says how often a request may run.
+// Repetition states how often a request may run.
 type Repetition string
 
-// The repetitions.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Repetition = "idempotent"
 	// Once requests run at most once.
 	Once Repetition = "once"
-	// Streaming requests are answered by events and run at most once, unless they may be resumed.
+	// Streaming requests are answered with a stream of events and run at most once, unless the stream is resumable.
 	Streaming Repetition = "streaming"
 )
 
-// Route sends the requests of a host below a path to services.
+// Route assigns the requests of a host below a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Targets share the requests by weight.
+	// Targets are the services that share the requests, by weight.
 	Targets    []Target
 	Repetition Repetition
-	// Timeout is the longest a caller may be kept waiting; Objective is the time within which an answer,
-	// or the first event of a stream, is on time.
+	// Timeout is the maximum time that a request may take. Objective is the time within which a response, or the first
+	// event of a stream, is on time.
 	Timeout   time.Duration
 	Objective time.Duration
-	// LongestPause between two events of a stream that is on time.
+	// LongestPause is the longest pause between two events of a stream that is on time.
 	LongestPause time.Duration
-	// Priority is the rank of the requests, 0 first.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Attempts is the most upstreams that one request may run at.
+	// Attempts is the maximum number of upstreams that one request may run at.
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another upstream after the last event that arrived.
+	// Resumable streams may continue at another upstream after the last event that was received.
 	Resumable bool
 }
 
-// MayRepeat tells whether a request of the route may run again after it may have run.
+// MayRepeat reports whether a request of the route may run again after it may have run.
 func (r Route) MayRepeat() bool {
 	return r.Repetition == Idempotent || r.Repetition == Streaming && r.Resumable
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service and its weight in a route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of upstreams that run the same.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name string
-	// MaxConnections is what one upstream takes from all callers together; 0 means not stated.
+	// MaxConnections is the number of connections that one upstream accepts from all clients together; 0 means not
+	// stated.
 	MaxConnections int
-	// ColdRate is the requests a second that one upstream bears while it is cold, from all instances together; 0 means
-	// not stated. ColdStart is how long it stays cold after its start.
+	// ColdRate is the number of requests a second that one upstream can take while it is cold, from all instances
+	// together; 0 means not stated. ColdStart is how long it stays cold after its start.
 	ColdRate  float64
 	ColdStart time.Duration
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Engine says what the model engines of a service have room for.
+// Engine states the capacity of the model engines of a service.
 type Engine struct {
 	BatchPlaces int
-	// MemoryTokens is the room for the prompts and answers of running requests.
+	// MemoryTokens is the capacity for the prompts and outputs of running requests.
 	MemoryTokens  int
 	WeightsMB     float64
 	AdapterPlaces int
@@ -99,34 +99,35 @@
 	LoadTime  time.Duration
 }
 
-// CallerLimits bound what a caller may send.
+// CallerLimits bounds the size of callers' requests.
 type CallerLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// Workspace is a paying customer.
+// Workspace is a customer account. Its keys share one rate limit.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority replaces that of the route where HasPriority is set.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Rate, in units a second, and Burst, in units, hold over the whole fleet; a rate of 0 is no limit.
+	// Rate, in units a second, and Burst, in units, limit the whole fleet; a rate of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// ByTokens: units are tokens, and a request that states none costs PlainCost. Else each costs 1.
+	// ByTokens: one unit is one token, and a request that states no tokens costs PlainCost. Otherwise each request
+	// costs 1 unit.
 	ByTokens  bool
 	PlainCost float64
 }
 
-// Adapter names an adapter of a base model; an empty Name is the base model itself.
+// Adapter identifies an adapter of a base model; an empty Name means the base model itself.
 type Adapter struct {
 	Model string
 	Name  string
 }
 
-// String is MODEL/NAME, or MODEL alone.
+// String returns MODEL/NAME, or MODEL alone.
 func (a Adapter) String() string {
 	if a.Name == "" {
 		return a.Model
@@ -142,7 +143,7 @@
 
 func (AdapterVersion) isFact() {}
 
-// Upstream is what an upstream says of itself.
+// Upstream is what an upstream declares about itself.
 type Upstream struct {
 	ID         string
 	Service    string
@@ -151,11 +152,12 @@
 	Places     int
 	// Draining upstreams take no new requests.
 	Draining bool
-	// Born is the Unix millisecond of its start: an upstream with another one has forgotten everything.
+	// Born is the start time in Unix milliseconds. If it changes, the upstream has restarted and lost its state.
 	Born int64
-	// ColdFor is how much longer it stated to be cold when it wrote its entry: slow, and to be sent little.
+	// ColdFor is how much longer the upstream stays cold, counted from when it wrote its entry. A cold upstream is slow
+	// and must be sent few requests.
 	ColdFor time.Duration
-	// Models is what it had loaded when it last said so.
+	// Models lists the models that were loaded when the upstream last reported them.
 	Models []LoadedModel
 }
 
