--- a/internal/gateway/socket/socket.go
+++ b/internal/gateway/socket/socket.go
@@ -1,9 +1,9 @@
-// Package socket opens connections that notice by themselves when the other end is gone.
+// Package socket opens TCP connections that fail on their own when the other end becomes unreachable.
 //
-// A machine that lost power or is cut off answers nothing, and a connection can go silent for good while
-// new ones work. Nobody would notice on the connection itself: a call on it hangs until its caller gives
-// up. With a bound on how long sent bytes may stay unacknowledged, and probes while nothing is sent, the
-// kernel ends such a connection.
+// A host that lost power or network sends nothing, and a connection can stop working for good while new connections to
+// the same host work. Without further settings a call on such a connection hangs until its caller times out. A limit on
+// how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT), and keep-alive probes on idle connections, make the
+// kernel close it.
 package socket
 
 import (
@@ -15,38 +15,38 @@
 )
 
 const (
-	// unacknowledgedFor is how long sent bytes may stay unacknowledged. Lost packets are sent again within
-	// some 200 ms, so this bears two losses in a row on paths of some milliseconds.
-	unacknowledgedFor = 900 * time.Millisecond
-	// probeAfter and probeEvery are whole seconds, the least that the kernel knows.
-	probeAfter = time.Second
-	probeEvery = time.Second
+	// userTimeout is how long sent bytes may stay unacknowledged. Lost packets are retransmitted within some 200 ms, so
+	// two losses in a row are tolerated on paths with a delay of some milliseconds.
+	userTimeout = 900 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval are whole seconds, the smallest unit that the kernel supports.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
 )
 
-// HandshakeWithin bounds how long the other end of an accepted connection may take until it has said what it
-// is. Between instances that is some milliseconds. A connection that was lost on the way right after it was
-// made says nothing, and a server that stops waits for it.
+// HandshakeWithin bounds the handshake on an accepted connection. Between instances a handshake takes some
+// milliseconds. A connection that is lost right after it was established never completes it, and a server that stops
+// waits for it.
 const HandshakeWithin = time.Second
 
-// Dialer opens connections; connect bounds how long that may take.
-func Dialer(connect time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: connect, KeepAliveConfig: probes(), Control: Control}
+// Dialer returns a dialer whose connections detect an unreachable peer. The parameter connect is the connect timeout.
+func Dialer(connectTimeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: connectTimeout, KeepAliveConfig: keepAlive(), Control: Control}
 }
 
-// ListenConfig accepts connections that are probed in the same way.
+// ListenConfig returns the same settings for accepted connections.
 func ListenConfig() *net.ListenConfig {
-	return &net.ListenConfig{KeepAliveConfig: probes(), Control: Control}
+	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: Control}
 }
 
-func probes() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: 2}
+func keepAlive() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 2}
 }
 
-// Control bounds how long sent bytes may stay unacknowledged.
+// Control sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay unacknowledged.
 func Control(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		ms := int(unacknowledgedFor.Milliseconds())
+		ms := int(userTimeout.Milliseconds())
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, ms)
 	})
 	if err != nil {
