--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward sends calls to upstreams over HTTP and reads the beginning of their answers. What is
-// known about whether a call ran is in the error: see ErrUnreached.
+// Package forward sends calls to upstreams over HTTP and reads the headers of their responses. The returned error says
+// whether the call may have run: see ErrUnreached and ErrBroken.
 package forward
 
 import (
@@ -20,23 +20,23 @@
 )
 
 var (
-	// ErrUnreached: no connection was made, so the call cannot have run.
-	ErrUnreached = errors.New("forward: upstream not reached")
-	// ErrBroken: the connection or the answer broke, and the call may have run.
-	ErrBroken = errors.New("forward: answer broken")
+	// ErrUnreached: no connection was established, so the call cannot have run.
+	ErrUnreached = errors.New("forward: could not connect to upstream")
+	// ErrBroken: the connection or the response broke, and the call may have run.
+	ErrBroken = errors.New("forward: connection or response broken")
 )
 
 const (
-	// connectWithin bounds a new connection; one takes a few milliseconds.
-	connectWithin = 250 * time.Millisecond
-	// idleFor is how long an idle connection is kept. Upstreams close theirs after some seconds; a call
-	// on a connection that is being closed is lost, so this ends well before.
-	idleFor = 2 * time.Second
-	// mostIdle bounds the kept connections to one upstream, which count against what it takes.
-	mostIdle = 8
+	// connectTimeout bounds the time to open a connection, which normally takes a few milliseconds.
+	connectTimeout = 250 * time.Millisecond
+	// idleTimeout is how long an idle connection is kept. Upstreams close idle connections after some seconds, and a
+	// call sent on a connection that is being closed is lost, so the instance closes it well before that.
+	idleTimeout = 2 * time.Second
+	// maxIdle bounds the idle connections to one upstream, which count towards that upstream's connection limit.
+	maxIdle = 8
 )
 
-// Client sends calls. Set Dialect before the first call.
+// Client sends calls to upstreams. Set Dialect before the first call.
 type Client struct {
 	Dialect call.Dialect
 
@@ -44,70 +44,70 @@
 	transports map[string]*http.Transport
 }
 
-// Answer is an upstream's answer with its body still to be read.
+// Answer is an upstream's response whose body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length of the body, negative if it is not stated.
+	// Length is the length of the body, negative if it is not stated.
 	Length int64
 	Reply  call.Reply
 }
 
-// Do sends a call. A fresh send uses a new connection: on a kept one the call could cross the upstream's
-// close, or meet a late second answer to an earlier call, and its outcome would not be known.
+// Do sends a call. If fresh is set, it opens a new connection: on a reused connection the call could cross with the
+// upstream's close, or read a late second response to an earlier call, and its outcome would be unknown.
 func (c *Client) Do(
-	ctx context.Context, upstream traffic.Upstream, calling call.Call, send call.Send, fresh bool,
-) (answer *Answer, err error) {
+	ctx context.Context, upstream traffic.Upstream, outgoing call.Call, send call.Send, fresh bool,
+) (result *Answer, err error) {
 	request := &http.Request{
-		Method:        calling.Method,
-		URL:           &url.URL{Scheme: "http", Host: upstream.Address, Opaque: calling.Target},
-		Host:          calling.Host,
-		Header:        c.Dialect.Header(calling, send),
-		ContentLength: int64(len(calling.Body)),
+		Method:        outgoing.Method,
+		URL:           &url.URL{Scheme: "http", Host: upstream.Address, Opaque: outgoing.Target},
+		Host:          outgoing.Host,
+		Header:        c.Dialect.Header(outgoing, send),
+		ContentLength: int64(len(outgoing.Body)),
 		Close:         fresh,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 	}
-	if len(calling.Body) > 0 {
-		request.Body = io.NopCloser(bytes.NewReader(calling.Body))
+	if len(outgoing.Body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(outgoing.Body))
 	}
 	if _, stated := request.Header["User-Agent"]; !stated {
-		request.Header["User-Agent"] = nil // the library would add its own
+		request.Header["User-Agent"] = nil // otherwise net/http adds its own
 	}
 	response, err := c.transport(upstream).RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		return nil, classify(err)
 	}
-	answer = &Answer{
+	result = &Answer{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Body:   response.Body,
 		Length: response.ContentLength,
 		Reply:  c.Dialect.Reply(response),
 	}
-	return answer, c.check(calling, answer)
+	return result, c.check(outgoing, result)
 }
 
-// check rejects an answer that is not this call's own: a late second answer to an earlier call stands
-// where this call's answer is due, and its caller would get another caller's answer.
-func (c *Client) check(calling call.Call, answer *Answer) error {
+// check rejects a response that does not belong to this call. A late second response to an earlier call can arrive
+// where this call's response is expected, and the caller would get the response of another caller.
+func (c *Client) check(outgoing call.Call, response *Answer) error {
 	switch {
-	case answer.Reply.ID != calling.ID && answer.Reply.ID != "":
-		answer.Body.Close()
-		return errors.WithMessagef(ErrBroken, "answer belongs to request %s", answer.Reply.ID)
-	case answer.Header.Get("Content-Encoding") != "":
-		answer.Body.Close()
-		return errors.WithMessage(ErrBroken, "body is encoded though no encoding was asked for")
-	case answer.Status < 300 && !answer.Reply.Signed:
-		answer.Body.Close()
-		return errors.WithMessage(ErrBroken, "success without the upstream's signature")
+	case response.Reply.ID != outgoing.ID && response.Reply.ID != "":
+		response.Body.Close()
+		return errors.WithMessagef(ErrBroken, "response belongs to request %s", response.Reply.ID)
+	case response.Header.Get("Content-Encoding") != "":
+		response.Body.Close()
+		return errors.WithMessage(ErrBroken, "body is encoded but no encoding was requested")
+	case response.Status < 300 && !response.Reply.Signed:
+		response.Body.Close()
+		return errors.WithMessage(ErrBroken, "successful response without the upstream's signature")
 	}
 	return nil
 }
 
-// Keep drops the connections to all upstreams but the given ones.
+// Keep closes the idle connections to all upstreams except the given ones.
 func (c *Client) Keep(ids map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -127,7 +127,7 @@
 	if transport, found := c.transports[upstream.ID]; found {
 		return transport
 	}
-	dialer := socket.Dialer(connectWithin)
+	dialer := socket.Dialer(connectTimeout)
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			connection, err := dialer.DialContext(ctx, network, address)
@@ -137,8 +137,8 @@
 			return connection, nil
 		},
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: mostIdle,
-		IdleConnTimeout:     idleFor,
+		MaxIdleConnsPerHost: maxIdle,
+		IdleConnTimeout:     idleTimeout,
 	}
 	if c.transports == nil {
 		c.transports = make(map[string]*http.Transport)
@@ -147,7 +147,7 @@
 	return transport
 }
 
-// dialError marks an error of making a connection.
+// dialError marks an error of opening a connection.
 type dialError struct{ error }
 
 func classify(err error) error {
