--- a/internal/gateway/serve/dialect_test.go
+++ b/internal/gateway/serve/dialect_test.go
@@ -1,6 +1,6 @@
 package serve_test
 
-// A dialect of these tests' own, so that they depend on no platform's names.
+// A dialect for these tests, so that they do not depend on the header names of a platform.
 
 import (
 	"net/http"
@@ -13,24 +13,24 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/call"
 )
 
-// Headers that callers state.
+// Request headers of callers.
 const (
-	headerID       = "Call-Id"
-	headerKey      = "Call-Key"
-	headerPatience = "Call-Patience-Ms"
-	// headerTokens holds the tokens of the prompt and of the answer.
+	headerID      = "Call-Id"
+	headerKey     = "Call-Key"
+	headerTimeout = "Call-Timeout-Ms"
+	// headerTokens holds the token counts of the prompt and of the output.
 	headerTokens = "Call-Tokens"
 )
 
-// Headers that only the instance states towards upstreams.
+// Headers that only the instance may set on requests to upstreams.
 const (
 	headerWorkspace = "Send-Workspace"
 	headerUpstream  = "Send-Upstream"
-	headerLeft      = "Send-Left-Ms"
+	headerRemaining = "Send-Remaining-Ms"
 	headerLastEvent = "Send-Last-Event"
 )
 
-// Headers of upstreams' answers.
+// Response headers of upstreams.
 const (
 	headerSigned = "Reply-Signed"
 	headerNotRun = "Reply-Not-Run"
@@ -38,21 +38,21 @@
 
 type dialect struct{}
 
-// Decode reads a caller's request. What callers may not state does not pass on.
+// Decode reads a caller's request. Headers that callers may not set are not forwarded.
 func (dialect) Decode(request *http.Request) (c call.Call, err error) {
 	c = call.Call{
 		ID: request.Header.Get(headerID), Key: request.Header.Get(headerKey), Method: request.Method,
 		Host: request.Host, Target: request.RequestURI, Path: request.URL.Path, Header: request.Header.Clone(),
 	}
 	for _, name := range []string{
-		headerKey, headerPatience, headerWorkspace, headerUpstream, headerLeft, headerLastEvent, "Content-Length", "Connection",
+		headerKey, headerTimeout, headerWorkspace, headerUpstream, headerRemaining, headerLastEvent, "Content-Length", "Connection",
 	} {
 		c.Header.Del(name)
 	}
 	if c.ID == "" {
 		return c, errors.New("the id is missing")
 	}
-	if text := request.Header.Get(headerPatience); text != "" {
+	if text := request.Header.Get(headerTimeout); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil {
 			return c, err
@@ -71,17 +71,17 @@
 	return c, err
 }
 
-// Header gives the headers of a send.
+// Header returns the headers of an attempt.
 func (dialect) Header(c call.Call, send call.Send) http.Header {
 	header := c.Header.Clone()
 	header.Set(headerUpstream, send.Upstream)
 	header.Set(headerWorkspace, send.Workspace)
-	header.Set(headerLeft, strconv.FormatInt(send.Left.Milliseconds(), 10))
+	header.Set(headerRemaining, strconv.FormatInt(send.Left.Milliseconds(), 10))
 	header.Set(headerLastEvent, send.LastEvent)
 	return header
 }
 
-// Reply reads an upstream's answer.
+// Reply reads the headers of an upstream's response.
 func (dialect) Reply(response *http.Response) call.Reply {
 	misdirected := response.StatusCode == http.StatusMisdirectedRequest
 	return call.Reply{
@@ -92,7 +92,7 @@
 	}
 }
 
-// Refusal writes the headers of an instance's own answer.
+// Refusal sets the headers of a response that the instance generates itself.
 func (dialect) Refusal(header http.Header, id string, retryAfter time.Duration) {
 	header.Set(headerID, id)
 	if retryAfter > 0 {
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -13,74 +13,75 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// dispatch.go sends a request, and sends it again where that is allowed and worth it.
+// dispatch.go sends a request to upstreams, and retries it where that is allowed and useful.
 
 const (
-	// mostTries bounds the upstreams that one request is offered to, whatever its route allows: past some
-	// refusals in a row the service is full, and more offers only add load.
-	mostTries = 6
-	// mostTried bounds the upstreams that one request tries, of which all but the sends were asked for an adapter or a
-	// turn in vain. Such a question takes some milliseconds and no work of the upstream.
-	mostTried = 16
-	// busyRetryAfter is when a caller is asked to come back to a service that has no room, where no holder stated
-	// a wait: some requests have ended by then.
+	// maxAttempts bounds the attempts of one request, whatever its route allows: after some refusals in a row the
+	// service is full, and further attempts only add load.
+	maxAttempts = 6
+	// maxTried bounds the upstreams that are tried for one request. That includes the upstreams whose holders refused
+	// to load the adapter or to grant a prefill turn. Such a query takes some milliseconds and no work of the upstream.
+	maxTried = 16
+	// busyRetryAfter is the retry time for a service without free capacity if no holder stated a wait: some requests
+	// have ended by then.
 	busyRetryAfter = 350 * time.Millisecond
-	// leastBusyRetryAfter and mostBusyRetryAfter bound what holders say of that.
-	leastBusyRetryAfter = 100 * time.Millisecond
-	mostBusyRetryAfter  = 3 * time.Second
-	// awayRetryAfter is the same where no upstream can be reached.
-	awayRetryAfter = 500 * time.Millisecond
+	// minBusyRetryAfter and maxBusyRetryAfter bound the waits that holders state.
+	minBusyRetryAfter = 100 * time.Millisecond
+	maxBusyRetryAfter = 3 * time.Second
+	// unreachableRetryAfter is the retry time if no upstream is reachable.
+	unreachableRetryAfter = 500 * time.Millisecond
 )
 
-// result is how one send ended.
+// result is the result of one attempt.
 type result string
 
 const (
-	resultServed    result = "served"
-	resultNotRun    result = "not_run"
-	resultMissing   result = "missing"
-	resultUnreached result = "unreached"
-	resultBroken    result = "broken"
-	resultFailed    result = "failed"
+	resultServed      result = "served"
+	resultNotRun      result = "not_run"
+	resultMisdirected result = "missing"
+	resultUnreached   result = "unreached"
+	resultBroken      result = "broken"
+	resultFailed      result = "failed"
 )
 
-// run brings the request to its end. The error is a refusal, or what broke an answer that was begun.
+// run processes the request until it has a response. The error is a refusal, or the cause that broke a started
+// response.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
 	h.Advice.With(func(a *Advice) { a.Retries.Of(j.service).First() })
 	var last error
-	for j.sends < mostTries && len(j.tried) < mostTried {
+	for j.attempts < maxAttempts && len(j.tried) < maxTried {
 		if ctx.Err() != nil {
-			return j.gaveUp(ctx)
+			return j.expired(ctx)
 		}
-		choice, query, err := j.chooseKnowing(ctx)
+		choice, query, err := j.chooseWithFreshLoad(ctx)
 		if err != nil {
-			return j.noUpstream(err, choice, query, last)
+			return j.refuseUnplaced(err, choice, query, last)
 		}
 		if !j.mayHaveRun {
-			if err := j.refuseInOverload(choice, query); err != nil {
+			if err := j.shedLoad(choice, query); err != nil {
 				return err
 			}
 		}
-		if !j.ready(ctx, &choice, query) {
+		if !j.ensureReady(ctx, &choice, query) {
 			j.tried = append(j.tried, choice.Upstream.ID)
 			continue
 		}
-		if j.arrivals > 0 && !j.paid && !j.mayResend() {
+		if j.arrivals > 0 && !j.retryTaken && !j.takeRetry() {
 			return j.exhausted(last)
 		}
-		j.paid = false
-		var ended result
-		ended, last = j.send(ctx, choice, query)
-		j.step("sent").Str("Upstream", choice.Upstream.ID).Str("Outcome", string(ended)).Err(last).
+		j.retryTaken = false
+		var outcome result
+		outcome, last = j.send(ctx, choice, query)
+		j.step("sent").Str("Upstream", choice.Upstream.ID).Str("Outcome", string(outcome)).Err(last).
 			Int("Tokens", query.Tokens).Int("Running", choice.Running).Int("Waiting", choice.Waiting).Bool("Loaded", choice.Loaded).
 			Float64("Slow", choice.Slowdown).Float64("Failing", choice.FailureRate).
 			Int64("ExpectedMillis", choice.Expected.Milliseconds()).Msg("Decision")
-		switch ended {
+		switch outcome {
 		case resultServed:
 			return nil
-		case resultMissing:
-			if !mayBePrepared(choice, query) {
+		case resultMisdirected:
+			if !mayBecomeLoaded(choice, query) {
 				j.tried = append(j.tried, choice.Upstream.ID)
 			}
 		case resultUnreached:
@@ -89,7 +90,7 @@
 		case resultBroken, resultFailed:
 			j.tried = append(j.tried, choice.Upstream.ID)
 			if ctx.Err() != nil {
-				return j.gaveUp(ctx)
+				return j.expired(ctx)
 			}
 			if !j.mayRunAgain() {
 				return j.exhausted(last)
@@ -99,87 +100,87 @@
 	return j.exhausted(last)
 }
 
-// mayBePrepared tells whether an upstream that lacked what was asked for may have it soon: this instance took
-// an adapter for loaded that was not, and can ask the holder for it. An upstream that lacks what its holder has
-// just said to be there, or that is another one at the address, will lack it at the next send too.
-func mayBePrepared(choice pool.Choice, query pool.Query) bool {
+// mayBecomeLoaded reports whether an upstream that lacked the requested adapter may have it soon: this instance assumed
+// that an adapter was loaded when it was not, and can ask the holder to load it. If the holder has just reported the
+// adapter as loaded, or another upstream has the address, the next attempt would fail too.
+func mayBecomeLoaded(choice pool.Choice, query pool.Query) bool {
 	return query.Adapter.Name != "" && choice.Loaded
 }
 
-// mayRunAgain tells whether the request may be sent again although it may have run.
+// mayRunAgain reports whether the request may be sent again although it may have run.
 func (j *job) mayRunAgain() bool {
 	return j.route.MayRepeat() && j.runs < j.route.Attempts
 }
 
-// mayResend takes a retry from the budget.
-func (j *job) mayResend() (allowed bool) {
+// takeRetry takes a retry from the retry budget of the service.
+func (j *job) takeRetry() (allowed bool) {
 	j.handler.Advice.With(func(a *Advice) { allowed = a.Retries.Of(j.service).Allow() })
 	return allowed
 }
 
-// send makes one send and relays its answer.
-func (j *job) send(ctx context.Context, choice pool.Choice, query pool.Query) (ended result, err error) {
+// send makes one attempt and relays its response.
+func (j *job) send(ctx context.Context, choice pool.Choice, query pool.Query) (outcome result, err error) {
 	h := j.handler
 	j.upstream = choice.Upstream.ID
-	j.sends++
+	j.attempts++
 	now := time.Now()
-	var sending *pool.Attempt
-	h.Advice.With(func(a *Advice) { sending = a.Pool.Begin(now, choice, query) })
+	var attempt *pool.Attempt
+	h.Advice.With(func(a *Advice) { attempt = a.Pool.Begin(now, choice, query) })
 	h.Fleet.NotifyHolder(choice.Upstream.ID)
 	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
-	exchanging, cancel := context.WithCancelCause(ctx)
+	exchangeCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ended, err = j.exchange(exchanging, cancel, choice, query, sending)
-	if err != nil && errors.Is(context.Cause(exchanging), errSilent) {
-		err = errSilent
+	outcome, err = j.exchange(exchangeCtx, cancel, choice, query, attempt)
+	if err != nil && errors.Is(context.Cause(exchangeCtx), errNoData) {
+		err = errNoData
 	}
-	if ended != resultUnreached {
+	if outcome != resultUnreached {
 		j.arrivals++
 	}
-	if ended != resultUnreached && ended != resultNotRun && ended != resultMissing {
+	if outcome != resultUnreached && outcome != resultNotRun && outcome != resultMisdirected {
 		j.runs++
 		j.mayHaveRun = true
 	}
-	j.finish(ctx, choice.Upstream, query, sending, ended, err)
-	return ended, err
+	j.finish(ctx, choice.Upstream, query, attempt, outcome, err)
+	return outcome, err
 }
 
-// finish tells the deciding packages how a send ended.
+// finish reports the result of an attempt to the pool, the suspect register and the fleet.
 func (j *job) finish(
-	ctx context.Context, upstream traffic.Upstream, query pool.Query, sending *pool.Attempt, ended result, err error,
+	ctx context.Context, upstream traffic.Upstream, query pool.Query, attempt *pool.Attempt, outcome result, err error,
 ) {
 	end := pool.EndOther
 	switch {
-	case ended == resultServed:
+	case outcome == resultServed:
 		end = pool.EndServed
 	case ctx.Err() != nil:
-	case ended == resultFailed:
+	case outcome == resultFailed:
 		end = pool.EndFailed
-	case ended == resultUnreached:
+	case outcome == resultUnreached:
 		end = pool.EndUnreachable
-	case ended == resultBroken:
+	case outcome == resultBroken:
 		end = pool.EndFailed
-	case ended == resultNotRun:
+	case outcome == resultNotRun:
 		end = pool.EndRefused
 	}
-	if ended == resultBroken && ctx.Err() == nil && !errors.Is(err, errSilent) {
+	if outcome == resultBroken && ctx.Err() == nil && !errors.Is(err, errNoData) {
 		j.handler.Fleet.ReportBrokenResponse(upstream, j.fingerprint)
 	}
 	j.handler.Advice.With(func(a *Advice) {
 		now := time.Now()
-		a.Pool.Finish(now, sending, end)
-		if ended == resultMissing {
+		a.Pool.Finish(now, attempt, end)
+		if outcome == resultMisdirected {
 			a.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
 		}
-		if ended == resultServed {
+		if outcome == resultServed {
 			a.Suspects.Completed(now, j.fingerprint)
 		}
 	})
 }
 
-// exchange sends the call and relays the answer.
+// exchange sends the call and relays the response.
 func (j *job) exchange(
-	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, sending *pool.Attempt,
+	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, attempt *pool.Attempt,
 ) (result, error) {
 	send := call.Send{
 		Upstream:  choice.Upstream.ID,
@@ -192,58 +193,58 @@
 	if j.lastEvent != "" {
 		send.LastEvent = j.lastEvent
 	}
-	silent := time.AfterFunc(j.patience(choice), func() { cancel(errSilent) })
-	defer silent.Stop()
-	answer, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.MayRepeat())
+	silenceTimer := time.AfterFunc(j.silenceTimeout(choice), func() { cancel(errNoData) })
+	defer silenceTimer.Stop()
+	response, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.MayRepeat())
 	if err != nil {
 		if errors.Is(err, forward.ErrUnreached) {
 			return resultUnreached, err
 		}
 		return resultBroken, err
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	switch {
-	case answer.Reply.Misdirected:
-		return resultMissing, errors.New("upstream lacks the model or version, or another has its address")
-	case answer.Reply.NotRun:
-		load := answer.Reply.Load
-		j.handler.Advice.With(func(*Advice) { sending.RecordStatedLoad(load.Running + load.Waiting) })
-		return resultNotRun, errors.Errorf("upstream refused with status %d, %d running and %d waiting of %d places",
-			answer.Status, load.Running, load.Waiting, load.Places)
+	case response.Reply.Misdirected:
+		return resultMisdirected, errors.New("upstream lacks the model or version, or another upstream has its address")
+	case response.Reply.NotRun:
+		load := response.Reply.Load
+		j.handler.Advice.With(func(*Advice) { attempt.RecordStatedLoad(load.Running + load.Waiting) })
+		return resultNotRun, errors.Errorf("upstream refused with status %d: %d running and %d waiting requests, %d batch slots",
+			response.Status, load.Running, load.Waiting, load.Places)
 	}
-	relay := relay{job: j, answer: answer, sending: sending, silent: silent}
+	relay := relay{job: j, response: response, attempt: attempt, silenceTimer: silenceTimer}
 	return relay.run()
 }
 
-var errSilent = errors.New("upstream is silent")
+var errNoData = errors.New("upstream sent nothing within the time-out")
 
 const (
-	// silentAtLeast is how long an upstream may be silent before a request that may run again is sent to
-	// another; silentFactor the same in terms of what was expected.
-	silentAtLeast = 1200 * time.Millisecond
-	silentFactor  = 4
-	// silentService is silentAtLeast for plain calls, which take some ten milliseconds.
-	silentService = 400 * time.Millisecond
+	// minSilence is the minimum time that an upstream may send nothing before a request that may run again is sent to
+	// another one. silenceFactor is the same as a multiple of the expected time.
+	minSilence    = 1200 * time.Millisecond
+	silenceFactor = 4
+	// minPlainSilence replaces minSilence for plain calls, which take some ten milliseconds.
+	minPlainSilence = 400 * time.Millisecond
 )
 
-// patience is how long the upstream may be silent. A request that may not run again waits to the end:
-// cutting it would lose an answer that may still come.
-func (j *job) patience(choice pool.Choice) time.Duration {
-	left := time.Until(j.deadline)
+// silenceTimeout returns how long the upstream may send nothing. A request that may not run again waits until its
+// deadline: cancelling it would lose a response that may still arrive.
+func (j *job) silenceTimeout(choice pool.Choice) time.Duration {
+	remaining := time.Until(j.deadline)
 	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts {
-		return left + time.Second
+		return remaining + time.Second
 	}
-	least := silentAtLeast
+	shortest := minSilence
 	if j.route.Repetition != traffic.Streaming {
-		least = silentService
+		shortest = minPlainSilence
 	}
-	return max(least, silentFactor*choice.Expected)
+	return max(shortest, silenceFactor*choice.Expected)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// gaveUp is the end of a request whose time is over, or whose caller is gone.
-func (j *job) gaveUp(ctx context.Context) error {
+// expired returns the refusal for a request whose deadline has passed, or whose caller has disconnected.
+func (j *job) expired(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(j.deadline) {
 		refused := refusal.New(refusal.Deadline, "no answer within the time for it")
 		if !j.mayHaveRun {
@@ -254,9 +255,9 @@
 	return refusal.New(refusal.Cancelled, "the caller closed the connection")
 }
 
-// noUpstream is the end of a request for which there is no upstream to send it to.
-func (j *job) noUpstream(why error, choice pool.Choice, query pool.Query, last error) error {
-	if j.mayHaveRun || j.soonest > 0 {
+// refuseUnplaced returns the refusal for a request if no upstream can be chosen.
+func (j *job) refuseUnplaced(why error, choice pool.Choice, query pool.Query, last error) error {
+	if j.mayHaveRun || j.shortestWait > 0 {
 		return j.exhausted(last)
 	}
 	if errors.Is(why, pool.ErrFull) {
@@ -266,23 +267,23 @@
 			Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
 		return refusal.New(refusal.Busy, "the upstreams are full").WithRetryAfter(retryAfter)
 	}
-	return refusal.New(refusal.ServiceUnavailable, "no upstream can take the request").WithRetryAfter(awayRetryAfter)
+	return refusal.New(refusal.ServiceUnavailable, "no upstream can take the request").WithRetryAfter(unreachableRetryAfter)
 }
 
-// busyFor is when a place or a turn is expected at the first of the upstreams that had none.
-func (j *job) busyFor() time.Duration {
-	if j.soonest == 0 {
+// busyWait returns the shortest wait for an adapter slot or a prefill turn that a holder stated, within bounds.
+func (j *job) busyWait() time.Duration {
+	if j.shortestWait == 0 {
 		return busyRetryAfter
 	}
-	return min(max(j.soonest, leastBusyRetryAfter), mostBusyRetryAfter)
+	return min(max(j.shortestWait, minBusyRetryAfter), maxBusyRetryAfter)
 }
 
-// exhausted is the end of a request that may not be sent again, or not often enough.
+// exhausted returns the refusal for a request that may not be sent again, or that has used up its attempts.
 func (j *job) exhausted(last error) error {
 	if !j.mayHaveRun {
 		j.cause = last
-		return refusal.New(refusal.Busy, "the upstreams are busy").WithRetryAfter(j.busyFor())
+		return refusal.New(refusal.Busy, "the upstreams are busy").WithRetryAfter(j.busyWait())
 	}
-	j.cause = last // for the log; it holds addresses that are not the caller's business
+	j.cause = last // only for the log: it contains addresses that callers must not see
 	return refusal.New(refusal.UpstreamFailed, "the upstream failed or its answer was lost")
 }
--- a/internal/gateway/serve/first_event_test.go
+++ b/internal/gateway/serve/first_event_test.go
@@ -11,29 +11,29 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// touched counts what the holders are told.
-type touched struct {
+// notifications counts the notifications to the holders.
+type notifications struct {
 	Fleet
 	count int
 }
 
-func (f *touched) NotifyHolder(string) { f.count++ }
+func (f *notifications) NotifyHolder(string) { f.count++ }
 
-// Prompts take turns, and the next one waits until the holder hears of this one's first event. Untold, the engine is
-// idle until a heartbeat comes. Where no turns are taken nobody waits for it, and in a large fleet such messages would
-// be as many as the requests.
-func TestFirstEventIsToldWhereTurnsAreTaken(t *testing.T) {
+// Guards against an engine that is idle until the next heartbeat: if prompts take turns, the next prompt waits until
+// the holder is notified of the first event of this one. If prompts take no turns, nothing waits for the notification,
+// and in a large fleet there would be as many of them as requests.
+func TestFirstEventNotifiesHolderIfPromptsTakeTurns(t *testing.T) {
 	for _, inTurn := range []bool{true, false} {
 		is := is.New(t)
 		advice := &Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 		upstream := traffic.Upstream{ID: "u", Service: "s", Born: 1}
 		advice.Pool.Declare(time.Now(), upstream)
-		fleet := &touched{}
-		j := &job{handler: &Handler{Fleet: fleet, Advice: advice}, began: time.Now(), upstream: "u", inTurn: inTurn}
-		sending := advice.Pool.Begin(time.Now(), pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
-		r := &relay{job: j, answer: &forward.Answer{}, sending: sending}
-		r.answered()
-		r.answered() // the events after it are no news
+		fleet := &notifications{}
+		j := &job{handler: &Handler{Fleet: fleet, Advice: advice}, startedAt: time.Now(), upstream: "u", inTurn: inTurn}
+		attempt := advice.Pool.Begin(time.Now(), pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
+		r := &relay{job: j, response: &forward.Answer{}, attempt: attempt}
+		r.recordEvent()
+		r.recordEvent() // later events cause no notification
 		want := 0
 		if inTurn {
 			want = 1
--- a/internal/gateway/serve/harness_test.go
+++ b/internal/gateway/serve/harness_test.go
@@ -1,6 +1,6 @@
 package serve_test
 
-// The world of these tests: a handler before upstreams that answer as they are told.
+// Test harness: a handler in front of upstreams whose responses the test defines.
 
 import (
 	"context"
@@ -28,8 +28,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// world is a handler before some upstreams, with callers who speak HTTP to it.
-type world struct {
+// harness is a handler in front of some upstreams, with callers that send HTTP requests to it.
+type harness struct {
 	t         *testing.T
 	handler   *serve.Handler
 	server    *httptest.Server
@@ -39,17 +39,17 @@
 
 type fleet struct {
 	table atomic.Pointer[traffic.Table]
-	// outdated: changes may be missing.
-	outdated bool
-	mutex    sync.Mutex
-	broken   []string
+	// stale: changes of the configuration may be missing.
+	stale  bool
+	mutex  sync.Mutex
+	broken []string
 }
 
 func (f *fleet) Table() *traffic.Table                { return f.table.Load() }
 func (f *fleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
 func (f *fleet) QueryHolder(context.Context, string)  {}
 func (f *fleet) ConfirmedAge() time.Duration          { return 0 }
-func (f *fleet) MayBeStale() bool                     { return f.outdated }
+func (f *fleet) MayBeStale() bool                     { return f.stale }
 func (f *fleet) PublishSpent()                        {}
 func (f *fleet) NotifyHolder(string)                  {}
 func (f *fleet) ReportBrokenResponse(u traffic.Upstream, _ suspect.Fingerprint) {
@@ -62,26 +62,26 @@
 	return mesh.Loaded{Version: 1}
 }
 
-// upstream answers as a test says and keeps the requests that reached it.
+// upstream responds as the test defines and records the requests that reached it.
 type upstream struct {
-	id     string
-	server *httptest.Server
-	mutex  sync.Mutex
-	seen   []*http.Request
-	bodies []string
+	id       string
+	server   *httptest.Server
+	mutex    sync.Mutex
+	received []*http.Request
+	bodies   []string
 }
 
 func (u *upstream) requests() []*http.Request {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	return u.seen
+	return u.received
 }
 
 const key = "secret"
 
-func newWorld(t *testing.T, answers ...http.HandlerFunc) *world {
+func newHarness(t *testing.T, responders ...http.HandlerFunc) *harness {
 	t.Helper()
-	w := &world{t: t, fleet: &fleet{}}
+	h := &harness{t: t, fleet: &fleet{}}
 	p := &pool.Pool{Settings: pool.DefaultSettings()}
 	configuration := traffic.Configuration{
 		Version:  3,
@@ -108,7 +108,7 @@
 		configuration.Routes = append(configuration.Routes, route)
 	}
 	p.Configure(configuration.Services)
-	for i, answer := range answers {
+	for i, respond := range responders {
 		u := &upstream{id: fmt.Sprint("u", i)}
 		u.server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
@@ -116,14 +116,14 @@
 				return
 			}
 			u.mutex.Lock()
-			u.seen = append(u.seen, r)
+			u.received = append(u.received, r)
 			u.bodies = append(u.bodies, string(body))
 			u.mutex.Unlock()
 			rw.Header().Set(headerID, r.Header.Get(headerID))
-			answer(rw, r)
+			respond(rw, r)
 		}))
 		t.Cleanup(u.server.Close)
-		w.upstreams = append(w.upstreams, u)
+		h.upstreams = append(h.upstreams, u)
 		p.Declare(time.Now(), traffic.Upstream{
 			ID: u.id, Service: "app", Address: strings.TrimPrefix(u.server.URL, "http://"), Places: 10,
 		})
@@ -134,9 +134,9 @@
 	for range 100 {
 		retries.Of("app").First()
 	}
-	w.handler = &serve.Handler{
+	h.handler = &serve.Handler{
 		Dialect: dialect{},
-		Fleet:   w.fleet,
+		Fleet:   h.fleet,
 		Forward: &forward.Client{Dialect: dialect{}},
 		Advice: &serve.Advice{
 			Pool: p, Ledger: ledger, Retries: retries,
@@ -145,23 +145,23 @@
 		Log:   zerolog.Nop(),
 		Scope: tally.NoopScope,
 	}
-	w.fleet.table.Store(traffic.NewTable(configuration))
-	w.server = httptest.NewServer(w.handler)
-	t.Cleanup(w.server.Close)
-	return w
+	h.fleet.table.Store(traffic.NewTable(configuration))
+	h.server = httptest.NewServer(h.handler)
+	t.Cleanup(h.server.Close)
+	return h
 }
 
-// call sends a request and reads the whole answer.
-func (w *world) call(path, body string, headers ...string) (*http.Response, string, error) {
-	w.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, w.server.URL+path, strings.NewReader(body))
+// call sends a request and reads the whole response.
+func (h *harness) call(path, body string, headers ...string) (*http.Response, string, error) {
+	h.t.Helper()
+	request, err := http.NewRequest(http.MethodPost, h.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	request.Host = "a.example"
 	request.Header.Set(headerID, "id1")
 	request.Header.Set(headerKey, key)
-	request.Header.Set(headerPatience, "2500")
+	request.Header.Set(headerTimeout, "2500")
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
@@ -174,9 +174,9 @@
 	return response, string(content), err
 }
 
-// runs is how often a request reached any upstream.
-func (w *world) runs() (count int) {
-	for _, u := range w.upstreams {
+// runs counts the requests that reached any upstream.
+func (h *harness) runs() (count int) {
+	for _, u := range h.upstreams {
 		count += len(u.requests())
 	}
 	return count
@@ -197,7 +197,7 @@
 	rw.WriteHeader(http.StatusInternalServerError)
 }
 
-// reset breaks the connection without an answer.
+// reset breaks the connection without a response.
 func reset(rw http.ResponseWriter, _ *http.Request) {
 	connection, _, err := rw.(http.Hijacker).Hijack()
 	if err != nil {
@@ -209,7 +209,7 @@
 
 func unsigned(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "forged") }
 
-func crossed(rw http.ResponseWriter, r *http.Request) {
+func misattributed(rw http.ResponseWriter, r *http.Request) {
 	rw.Header().Set(headerID, "another")
 	served(rw, r)
 }
@@ -219,8 +219,8 @@
 	served(rw, r)
 }
 
-// torn states a length and sends less.
-func torn(rw http.ResponseWriter, _ *http.Request) {
+// truncated states a length and sends less.
+func truncated(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set(headerSigned, "s1")
 	rw.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(rw, "half")
--- a/internal/gateway/serve/holder_busy_test.go
+++ b/internal/gateway/serve/holder_busy_test.go
@@ -17,11 +17,11 @@
 	"lacewingrock.example/lacewingrock/internal/placement/retry"
 )
 
-// busyFleet is a fleet whose holders have no place for an adapter, and expect one after different times.
+// busyFleet is a fleet whose holders have no free adapter slot and state different waits for one.
 type busyFleet struct {
 	Fleet
-	asked map[string]bool
-	least time.Duration
+	queried  map[string]bool
+	shortest time.Duration
 }
 
 func (f *busyFleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
@@ -29,21 +29,21 @@
 func (f *busyFleet) NotifyHolder(string)                  {}
 
 func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
-	f.asked[request.Upstream] = true
-	return mesh.Busy{RetryAfter: f.least + 100*time.Millisecond*time.Duration(len(f.asked)-1)}
+	f.queried[request.Upstream] = true
+	return mesh.Busy{RetryAfter: f.shortest + 100*time.Millisecond*time.Duration(len(f.queried)-1)}
 }
 
-// Guards against a caller that is refused after a few of many upstreams had no place for its adapter while another has
-// one, and against a time to come back that nobody expects a place at.
-func TestEnoughHoldersAreAskedAndBelieved(t *testing.T) {
+// Guards against a refusal after a few of many upstreams had no free adapter slot although another upstream has one,
+// and against a retry time at which no holder expects a free slot.
+func TestAllBusyHoldersAreQueried(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		least time.Duration
 		after time.Duration
 	}{
 		{"soon", 250 * time.Millisecond, 250 * time.Millisecond},
-		{"at once", time.Millisecond, leastBusyRetryAfter},
-		{"much later", time.Minute, mostBusyRetryAfter},
+		{"at once", time.Millisecond, minBusyRetryAfter},
+		{"much later", time.Minute, maxBusyRetryAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,14 +52,14 @@
 			for i := range 12 {
 				advice.Pool.Declare(time.Now(), traffic.Upstream{ID: fmt.Sprint("u", i), Service: "s", Places: 8})
 			}
-			fleet := &busyFleet{asked: make(map[string]bool), least: c.least}
+			fleet := &busyFleet{queried: make(map[string]bool), shortest: c.least}
 			h := &Handler{Fleet: fleet, Advice: advice, Log: zerolog.Nop()}
 			j := &job{
-				handler: h, began: time.Now(), deadline: time.Now().Add(10 * time.Minute), service: "s",
+				handler: h, startedAt: time.Now(), deadline: time.Now().Add(10 * time.Minute), service: "s",
 				call: call.Call{Work: call.Work{Adapter: traffic.Adapter{Model: "m", Name: "a"}, PromptTokens: 1000}},
 			}
 			err := j.run(t.Context())
-			is.Equal(len(fleet.asked), 12)
+			is.Equal(len(fleet.queried), 12)
 			refused := refusal.From(err)
 			is.Equal(refused.Run(), refusal.NotRun)
 			is.Equal(refused.ExactRetryAfter(), c.after)
--- a/internal/gateway/serve/job.go
+++ b/internal/gateway/serve/job.go
@@ -15,12 +15,12 @@
 	"lacewingrock.example/lacewingrock/internal/telemetry/logline"
 )
 
-// job.go is the state of one request, and what its end leaves in the log.
+// job.go holds the state of one request and writes its log line and metrics.
 
 type job struct {
-	handler *Handler
-	writer  http.ResponseWriter
-	began   time.Time
+	handler   *Handler
+	writer    http.ResponseWriter
+	startedAt time.Time
 
 	table     *traffic.Table
 	call      call.Call
@@ -34,20 +34,22 @@
 	fingerprint suspect.Fingerprint
 	alone       bool
 
-	// tried lists the upstreams that are not to be chosen again.
+	// tried lists the upstreams that must not be chosen again.
 	tried []string
-	// soonest is the shortest wait for a place or a turn that a holder stated when it had none; 0 for none.
-	soonest time.Duration
-	// sends counts the sends, arrivals those that may have reached an upstream, runs those that may have run.
-	sends      int
+	// shortestWait is the shortest wait for an adapter slot or a prefill turn that a holder stated when it had none; 0
+	// if none did.
+	shortestWait time.Duration
+	// attempts counts the attempts, arrivals the attempts that may have reached an upstream, and runs those in which the
+	// request may have run.
+	attempts   int
 	arrivals   int
 	runs       int
 	mayHaveRun bool
-	// inTurn: the prompt has waited for its turn, and the next one waits for its first event.
+	// inTurn: the prompt has waited for its prefill turn, and the next prompt waits for the first event of this one.
 	inTurn bool
-	// paid: the next send was taken from the budget of retries already.
-	paid bool
-	// started: the answer's header went out to the caller.
+	// retryTaken: the next attempt was already taken from the retry budget.
+	retryTaken bool
+	// started: the header of the response was sent to the caller.
 	started   bool
 	status    int
 	firstByte time.Time
@@ -55,15 +57,15 @@
 	longestPause time.Duration
 	lastEvent    string
 	upstream     string
-	// bytes of the answer's body that went to the caller.
+	// bytes is the number of bytes of the response body that were sent to the caller.
 	bytes int64
-	// cause is what went wrong at the last upstream, if that ended the request.
+	// cause is the error at the last upstream, if it ended the request.
 	cause error
 	// refusedByTable: the configuration has no such route or key.
 	refusedByTable bool
 }
 
-// refuse answers a request that got no answer from an upstream.
+// refuse sends a refusal if no response of an upstream has been started.
 func (j *job) refuse(err error) {
 	if j.started {
 		return
@@ -76,10 +78,10 @@
 	text := refused.Error() + "\n"
 	j.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	j.writer.WriteHeader(refused.Status())
-	_, _ = j.writer.Write([]byte(text)) // a caller that is gone needs no answer
+	_, _ = j.writer.Write([]byte(text)) // the caller may have disconnected
 }
 
-// log writes the request's line: what it was, what decided it, and how it ended.
+// log writes the log line of the request: what it was, the inputs of its decisions, and how it ended.
 func (j *job) log(err error) {
 	level := zerolog.InfoLevel
 	if err != nil {
@@ -90,16 +92,16 @@
 		Str("Route", j.route.Name).
 		Str(logline.FieldWorkspace, j.workspace.Name).
 		Int("Status", j.status).
-		Int("Sends", j.sends).
+		Int("Sends", j.attempts).
 		Int("Runs", j.runs).
 		Str(logline.FieldUpstream, j.upstream).
 		Int64("Bytes", j.bytes).
-		Int64("TookMillis", time.Since(j.began).Milliseconds())
+		Int64("TookMillis", time.Since(j.startedAt).Milliseconds())
 	if j.table != nil {
 		event = event.Int64("Configuration", j.table.Configuration.Version)
 	}
 	if !j.firstByte.IsZero() {
-		event = event.Int64("FirstMillis", j.firstByte.Sub(j.began).Milliseconds()).
+		event = event.Int64("FirstMillis", j.firstByte.Sub(j.startedAt).Milliseconds()).
 			Int64("PauseMillis", j.longestPause.Milliseconds()).
 			Bool("OnTime", j.isOnTime())
 	}
@@ -116,27 +118,27 @@
 	j.count()
 }
 
-// isOnTime tells whether the answer, as far as it went out, was within its route's objectives.
+// isOnTime reports whether the response, as far as it was sent, met the objectives of its route.
 func (j *job) isOnTime() bool {
-	if j.firstByte.Sub(j.began) > j.route.Objective {
+	if j.firstByte.Sub(j.startedAt) > j.route.Objective {
 		return false
 	}
 	return j.route.LongestPause <= 0 || j.longestPause <= j.route.LongestPause
 }
 
-// latencies are the bounds of the histograms: from an answer on the same machine to the longest timeouts.
-var latencies = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
+// latencyBuckets are the histogram buckets. They range from a response on the same machine to the longest timeouts.
+var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
 // count adds the request to the metrics.
 func (j *job) count() {
 	scope := j.handler.Scope
 	scope.Tagged(map[string]string{"status": strconv.Itoa(j.status)}).Counter("requests").Inc(1)
-	scope.Histogram("request_time", latencies).RecordDuration(time.Since(j.began))
+	scope.Histogram("request_time", latencyBuckets).RecordDuration(time.Since(j.startedAt))
 	if !j.firstByte.IsZero() {
-		scope.Histogram("first_event_time", latencies).RecordDuration(j.firstByte.Sub(j.began))
+		scope.Histogram("first_event_time", latencyBuckets).RecordDuration(j.firstByte.Sub(j.startedAt))
 	}
-	if j.sends > 1 {
-		scope.Counter("retries").Inc(int64(j.sends - 1))
+	if j.attempts > 1 {
+		scope.Counter("retries").Inc(int64(j.attempts - 1))
 	}
 }
 
--- a/internal/gateway/serve/pause_test.go
+++ b/internal/gateway/serve/pause_test.go
@@ -10,9 +10,8 @@
 	"lacewingrock.example/lacewingrock/internal/gateway/traffic"
 )
 
-// An engine reads long prompts between the tokens of the streams that run there. The first event of such a stream is
-// quick, and then the text stands still for seconds under the reader's eyes. Looked at by first events alone the
-// service seems to be on time.
+// Guards against a stream that counts as on time because its first event was early, although it paused for seconds
+// later: an engine that prefills long prompts between the tokens of its running streams delays their next events.
 func TestLongPauseMakesAStreamLate(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -28,14 +27,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				route := traffic.Route{Objective: time.Second, LongestPause: 600 * time.Millisecond}
-				j := &job{route: route, began: time.Now()}
+				j := &job{route: route, startedAt: time.Now()}
 				time.Sleep(c.first)
 				j.firstByte = time.Now()
 				r := &relay{job: j}
-				r.notePause(time.Now())
+				r.measurePause(time.Now())
 				for _, pause := range c.pauses {
 					time.Sleep(pause)
-					r.notePause(time.Now())
+					r.measurePause(time.Now())
 				}
 				is.Equal(j.isOnTime(), c.onTime)
 			})
--- a/internal/gateway/serve/placement.go
+++ b/internal/gateway/serve/placement.go
@@ -10,34 +10,36 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// placing.go finds the upstream for the next send, and gets it ready: the adapter loaded, and the prompt's turn come.
+// placement.go chooses the upstream for the next attempt and prepares it: the adapter is loaded, and the prompt has its
+// prefill turn.
 
-// mostAsked bounds the holders that are asked for one choice: each costs a request some milliseconds, and after
-// a few upstreams the best of them is good enough.
-const mostAsked = 3
+// maxQueries bounds the holders that are queried for one choice: each query costs a request some milliseconds, and
+// after a few upstreams the best of them is good enough.
+const maxQueries = 3
 
-// chooseKnowing picks an upstream, and asks its holder where the load there was heard too long ago.
+// chooseWithFreshLoad chooses an upstream, and queries its holder if the reported load there is too old.
 //
-// Made for popular adapters. The instances hear of each other's requests a quarter of a second late in a small fleet
-// and some seconds late in a large one. Each of them would send to the upstream that looked best then, all of them to
-// the same one, where prompts wait for each other while the next upstream is idle.
-func (j *job) chooseKnowing(ctx context.Context) (choice pool.Choice, query pool.Query, err error) {
-	var asked []string
-	for len(asked) < mostAsked {
+// This matters for popular adapters. Load reports between instances are a quarter of a second old in a small fleet and
+// some seconds old in a large one. All instances would send to the upstream that looked best at that time, where
+// prompts queue while the next upstream is idle.
+func (j *job) chooseWithFreshLoad(ctx context.Context) (choice pool.Choice, query pool.Query, err error) {
+	var queried []string
+	for len(queried) < maxQueries {
 		choice, query, err = j.choose(nil)
-		known := !choice.LoadStale || slices.Contains(asked, choice.Upstream.ID)
+		known := !choice.LoadStale || slices.Contains(queried, choice.Upstream.ID)
 		if err != nil || known {
 			return choice, query, err
 		}
 		j.handler.Fleet.QueryHolder(ctx, choice.Upstream.ID)
-		asked = append(asked, choice.Upstream.ID)
+		queried = append(queried, choice.Upstream.ID)
 	}
-	// The next one would look idle just for not having been asked.
-	return j.choose(asked)
+	// An upstream that was not queried would look idle just because its load is stale, so choose among the queried
+	// ones.
+	return j.choose(queried)
 }
 
-// choose picks an upstream, among some if any are given.
-func (j *job) choose(among []string) (choice pool.Choice, query pool.Query, err error) {
+// choose picks an upstream, from the candidates if any are given.
+func (j *job) choose(candidates []string) (choice pool.Choice, query pool.Query, err error) {
 	newest, required := j.handler.Fleet.Newest(j.call.Work.Adapter)
 	query = pool.Query{
 		Service:    j.service,
@@ -45,10 +47,10 @@
 		Tokens:     j.call.Work.PromptTokens,
 		Output:     j.call.Work.OutputTokens,
 		Exclude:    j.tried,
-		Candidates: among,
+		Candidates: candidates,
 		Alone:      j.alone,
 
-		OnTime:    time.Until(j.began.Add(j.route.Objective)),
+		OnTime:    time.Until(j.startedAt.Add(j.route.Objective)),
 		Objective: j.route.Objective,
 	}
 	if required {
@@ -58,17 +60,17 @@
 	return choice, query, err
 }
 
-// refuseInOverload refuses a request that would be late on account of what waits before it.
-func (j *job) refuseInOverload(choice pool.Choice, query pool.Query) error {
-	patience := pool.TimeBudget{
-		OnTime:    time.Until(j.began.Add(j.route.Objective)),
+// shedLoad refuses a request that would be late because of the requests queued before it.
+func (j *job) shedLoad(choice pool.Choice, query pool.Query) error {
+	budget := pool.TimeBudget{
+		OnTime:    time.Until(j.startedAt.Add(j.route.Objective)),
 		Remaining: time.Until(j.deadline),
 		Objective: j.route.Objective,
 	}
 	var retryAfter time.Duration
 	refused := false
 	j.handler.Advice.With(func(a *Advice) {
-		retryAfter, refused = a.Pool.Refuse(time.Now(), query, choice, patience)
+		retryAfter, refused = a.Pool.Refuse(time.Now(), query, choice, budget)
 	})
 	if !refused {
 		return nil
@@ -79,8 +81,9 @@
 	return refusal.New(refusal.Busy, "the service has more to do than fits").WithRetryAfter(retryAfter)
 }
 
-// ready has the adapter loaded at the chosen upstream, and waits for the prompt's turn where prompts take turns.
-func (j *job) ready(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
+// ensureReady has the adapter loaded at the chosen upstream, and waits for the prefill turn if prompts take turns
+// there.
+func (j *job) ensureReady(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
 	j.handler.Advice.With(func(a *Advice) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
 	tokens := 0
 	if j.inTurn {
@@ -89,15 +92,15 @@
 	return choice.Loaded && !j.inTurn && !choice.Cold || j.prepare(ctx, choice, query, tokens)
 }
 
-// prepare asks the holder of the chosen upstream for the adapter, and for the turn of a prompt if it has any tokens.
+// prepare asks the holder of the chosen upstream for the adapter, and for a prefill turn if tokens is not 0.
 func (j *job) prepare(ctx context.Context, choice *pool.Choice, query pool.Query, tokens int) bool {
-	began := time.Now()
+	start := time.Now()
 	waiting := j.beginPreparing(*choice, query)
 	prepared := j.handler.Fleet.Prepare(ctx, mesh.PrepareRequest{
 		Upstream: choice.Upstream.ID,
 		Adapter:  query.Adapter,
 		Version:  query.Version,
-		Patience: j.patienceFor(*choice),
+		Patience: j.holderTimeout(*choice),
 		OnTime:   j.onTimeFor(*choice),
 		Priority: j.priority,
 		Tokens:   tokens,
@@ -105,26 +108,26 @@
 	j.endPreparing(*choice, waiting)
 	loaded, ok := prepared.(mesh.Loaded)
 	j.step("prepared").Str("Upstream", choice.Upstream.ID).Str("Adapter", query.Adapter.String()).
-		Bool("Loaded", ok).Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("TookMillis", time.Since(began).Milliseconds()).Msg("Decision")
+		Bool("Loaded", ok).Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("TookMillis", time.Since(start).Milliseconds()).Msg("Decision")
 	if busy, refused := prepared.(mesh.Busy); refused {
-		j.noteBusy(*choice, busy)
+		j.recordBusy(*choice, busy)
 	}
-	_, unheld := prepared.(mesh.NotHolder)
-	if !ok && (!unheld || !choice.Loaded || choice.Cold) { // without a holder nobody keeps the turns
+	_, notHeld := prepared.(mesh.NotHolder)
+	if !ok && (!notHeld || !choice.Loaded || choice.Cold) { // without a holder no turns are granted
 		return false
 	}
-	takes := false
+	valid := false
 	j.handler.Advice.With(func(a *Advice) {
 		if ok && query.Adapter.Model != "" {
 			a.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
 		}
-		takes = a.Pool.IsChoiceValid(choice.Upstream)
+		valid = a.Pool.IsChoiceValid(choice.Upstream)
 	})
-	return takes
+	return valid
 }
 
-// beginPreparing lets others know that the prompt is going to be sent. Where prompts take turns the holder counts it
-// itself.
+// beginPreparing counts the prompt as in flight before it is sent, and reports it to the holder. If prompts take turns,
+// the holder counts it itself.
 func (j *job) beginPreparing(choice pool.Choice, query pool.Query) (waiting pool.Preparation) {
 	tokens := query.Tokens
 	if j.inTurn {
@@ -137,19 +140,19 @@
 	return waiting
 }
 
-// endPreparing ends what beginPreparing began.
+// endPreparing reverses beginPreparing.
 func (j *job) endPreparing(choice pool.Choice, waiting pool.Preparation) {
 	j.handler.Advice.With(func(*Advice) { waiting.Done() })
 	j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 }
 
-// noteBusy takes note of when the holder of an upstream that has no place or turn expects one.
-func (j *job) noteBusy(choice pool.Choice, busy mesh.Busy) {
+// recordBusy records the wait that a holder stated when its upstream had no free adapter slot or prefill turn.
+func (j *job) recordBusy(choice pool.Choice, busy mesh.Busy) {
 	if busy.RetryAfter <= 0 {
 		return
 	}
-	if j.soonest == 0 || busy.RetryAfter < j.soonest {
-		j.soonest = busy.RetryAfter
+	if j.shortestWait == 0 || busy.RetryAfter < j.shortestWait {
+		j.shortestWait = busy.RetryAfter
 	}
 	j.handler.Advice.With(func(a *Advice) {
 		switch {
@@ -161,22 +164,22 @@
 	})
 }
 
-// onTimeFor is how long the request can wait for its adapter and its turn and still be on time. One that is late for
-// its own length can wait as long as others may be queued for.
+// onTimeFor returns how long the request can wait for its adapter and its prefill turn and still be on time. A request
+// that is late because of its own length may wait as long as other requests may be queued.
 func (j *job) onTimeFor(choice pool.Choice) time.Duration {
-	elapsed := time.Since(j.began)
+	elapsed := time.Since(j.startedAt)
 	return max(j.route.Objective-choice.ExpectedIdle, j.route.Objective/2) - elapsed
 }
 
-// patienceFor is how long the holder may take to answer. It may be frozen; where the adapter is loaded, the request can
-// do without it.
-func (j *job) patienceFor(choice pool.Choice) time.Duration {
-	left := time.Until(j.deadline)
+// holderTimeout returns how long the holder may take to answer, since it may be frozen. If the adapter is loaded, the
+// request can continue without the holder.
+func (j *job) holderTimeout(choice pool.Choice) time.Duration {
+	remaining := time.Until(j.deadline)
 	if choice.Loaded {
-		return min(left, j.onTimeFor(choice)+mostForTurn)
+		return min(remaining, j.onTimeFor(choice)+turnGrace)
 	}
-	return left
+	return remaining
 }
 
-// mostForTurn is what the wait for a turn may take beyond the time in which the request can be on time.
-const mostForTurn = 200 * time.Millisecond
+// turnGrace is how much longer than its time to be on time a request may wait for a prefill turn.
+const turnGrace = 200 * time.Millisecond
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -13,32 +13,32 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// holderless is a fleet in which nobody holds any upstream. Its answer may come when the upstream has begun to leave.
+// holderless is a fleet in which no upstream has a holder. The upstream may start draining before Prepare returns.
 type holderless struct {
 	Fleet
-	meanwhile func()
+	beforeReply func()
 }
 
 func (f holderless) NotifyHolder(string) {}
 
 func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
-	f.meanwhile()
+	f.beforeReply()
 	return mesh.NotHolder{}
 }
 
-// Streams pause, so that prompts take turns, and the holder that keeps them is gone. Requests whose adapter is loaded
-// need no holder and go on; refused for want of one, the whole service would stand still until another takes over. But
-// a holder is gone as well when its upstream leaves, and then they must not be sent there.
-func TestNobodyKeepsTheTurns(t *testing.T) {
+// Streams pause, so prompts take turns, and the holder that grants the turns is gone. Requests whose adapter is loaded
+// continue without it; otherwise the whole service would refuse requests until another instance takes over. The holder
+// is also gone if its upstream is draining, and then the requests must not be sent there.
+func TestMissingHolderDoesNotBlockLoadedAdapter(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		loaded  bool
-		leaving bool
-		ready   bool
+		name     string
+		loaded   bool
+		draining bool
+		ready    bool
 	}{
 		{"loaded", true, false, true},
 		{"not loaded", false, false, false},
-		{"the upstream leaves", true, true, false},
+		{"the upstream is draining", true, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -47,19 +47,19 @@
 			advice.Pool.Declare(time.Now(), upstream)
 			query := pool.Query{Service: "s", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Tokens: 1000}
 			choice := pool.Choice{Upstream: upstream, Loaded: c.loaded}
-			sending := advice.Pool.Begin(time.Now(), choice, query)
+			attempt := advice.Pool.Begin(time.Now(), choice, query)
 			for range 50 {
-				sending.RecordPause(true)
+				attempt.RecordPause(true)
 			}
-			leave := func() {
-				if c.leaving {
+			drain := func() {
+				if c.draining {
 					upstream.Draining = true
 					advice.Pool.Declare(time.Now(), upstream)
 				}
 			}
-			h := &Handler{Fleet: holderless{meanwhile: leave}, Advice: advice, Log: zerolog.Nop()}
-			j := &job{handler: h, began: time.Now(), deadline: time.Now().Add(time.Second)}
-			is.Equal(j.ready(t.Context(), &choice, query), c.ready)
+			h := &Handler{Fleet: holderless{beforeReply: drain}, Advice: advice, Log: zerolog.Nop()}
+			j := &job{handler: h, startedAt: time.Now(), deadline: time.Now().Add(time.Second)}
+			is.Equal(j.ensureReady(t.Context(), &choice, query), c.ready)
 		})
 	}
 }
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -15,100 +15,101 @@
 	"lacewingrock.example/lacewingrock/internal/placement/pool"
 )
 
-// relay.go passes an upstream's answer to the caller: as a whole, or event by event.
+// relay.go forwards an upstream's response to the caller: complete, or event by event.
 
 const (
-	// wholeBytes is how long an answer may be to be read as a whole before any of it is passed on. A
-	// broken one can then be asked for again, and the caller never sees half of it.
-	wholeBytes = 256 << 10
-	// chunkBytes is what is read at once.
+	// maxBuffered is the maximum length of a response that is read completely before any of it is forwarded. If such a
+	// response breaks, the request can be retried, and the caller never sees a partial response.
+	maxBuffered = 256 << 10
+	// chunkBytes is the size of one read.
 	chunkBytes = 16 << 10
-	// silentBetweenEvents is how long a running stream may pause at the least, and silentPauses the same in
-	// longest pauses of its route. Callers give up after two seconds or eight such pauses, so that a stream
+	// minEventSilence is the minimum time that a running stream may pause, and eventSilencePauses is the same as a
+	// multiple of the longest pause of its route. Callers time out after two seconds or eight such pauses, so a stream
 	// that is resumed in time still reaches them.
-	silentBetweenEvents = 1200 * time.Millisecond
-	silentPauses        = 4
+	minEventSilence    = 1200 * time.Millisecond
+	eventSilencePauses = 4
 )
 
 type relay struct {
-	job     *job
-	answer  *forward.Answer
-	sending *pool.Attempt
-	silent  *time.Timer
-	// wroteAt is when the last events of the stream went out.
+	job          *job
+	response     *forward.Answer
+	attempt      *pool.Attempt
+	silenceTimer *time.Timer
+	// wroteAt is when the last events of the stream were written.
 	wroteAt time.Time
 }
 
-// run relays the answer.
+// run relays the response.
 func (r *relay) run() (result, error) {
-	if r.answer.Status >= http.StatusInternalServerError && r.job.mayRetryFailure() {
-		_, _ = io.Copy(io.Discard, io.LimitReader(r.answer.Body, chunkBytes)) // so that the connection can be kept
-		return resultFailed, errors.Errorf("upstream answered status %d", r.answer.Status)
+	if r.response.Status >= http.StatusInternalServerError && r.job.mayRetryFailure() {
+		_, _ = io.Copy(io.Discard, io.LimitReader(r.response.Body, chunkBytes)) // drained, so that the connection can be reused
+		return resultFailed, errors.Errorf("upstream responded with status %d", r.response.Status)
 	}
-	if r.job.route.Repetition == traffic.Streaming && r.answer.Status < http.StatusMultipleChoices {
+	if r.job.route.Repetition == traffic.Streaming && r.response.Status < http.StatusMultipleChoices {
 		return r.stream()
 	}
-	return r.whole()
+	return r.buffered()
 }
 
-// mayRetryFailure tells whether a failure of the upstream itself is given up for another send, and takes that
-// from the budget: once the answer is dropped there is nothing else to give the caller.
+// mayRetryFailure reports whether a failure response of the upstream is dropped for another attempt, and takes that
+// retry from the budget. The decision is made first because after the response is dropped there is nothing else to send to
+// the caller.
 func (j *job) mayRetryFailure() bool {
 	if j.started {
-		return true // in the middle of a stream a failure cannot be passed on
+		return true // a failure in the middle of a stream cannot be forwarded
 	}
-	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts || time.Until(j.deadline) < leastLeft {
+	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts || time.Until(j.deadline) < minRetryTime {
 		return false
 	}
-	j.paid = j.mayResend()
-	return j.paid
+	j.retryTaken = j.takeRetry()
+	return j.retryTaken
 }
 
-// leastLeft is the least time left that makes another send worth it.
-const leastLeft = 30 * time.Millisecond
+// minRetryTime is the least time until the deadline that makes another attempt useful.
+const minRetryTime = 30 * time.Millisecond
 
-// whole passes on an answer that is no stream.
-func (r *relay) whole() (result, error) {
+// buffered forwards a response that is not a stream.
+func (r *relay) buffered() (result, error) {
 	j := r.job
-	body, err := io.ReadAll(io.LimitReader(r.answer.Body, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(r.response.Body, maxBuffered))
 	if err != nil {
 		return resultBroken, err
 	}
-	r.silent.Stop()
-	r.answered()
-	more := len(body) == wholeBytes
+	r.silenceTimer.Stop()
+	r.recordEvent()
+	truncated := len(body) == maxBuffered
 	if j.started {
-		return resultFailed, errors.Errorf("upstream answered status %d", r.answer.Status)
+		return resultFailed, errors.Errorf("upstream responded with status %d", r.response.Status)
 	}
-	r.header(!more)
-	if !more && r.answer.Length < 0 {
+	r.copyHeader(!truncated)
+	if !truncated && r.response.Length < 0 {
 		j.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	j.start(r.answer.Status)
+	j.start(r.response.Status)
 	if err := j.write(body); err != nil {
-		return resultServed, nil // the caller is gone; the upstream's answer was whole
+		return resultServed, nil // the caller has disconnected; the upstream's response was complete
 	}
-	if more {
-		if err := r.rest(); err != nil {
+	if truncated {
+		if err := r.remainder(); err != nil {
 			return resultBroken, err
 		}
 	}
-	return r.ended(), nil
+	return r.finalResult(), nil
 }
 
-// ended tells whether the answer counts as a failure of the upstream.
-func (r *relay) ended() result {
-	if r.answer.Status >= http.StatusInternalServerError {
+// finalResult returns the result of a complete response, and records that the request may have run if it failed.
+func (r *relay) finalResult() result {
+	if r.response.Status >= http.StatusInternalServerError {
 		r.job.mayHaveRun = true
 	}
 	return resultServed
 }
 
-// rest passes on what is left of a long answer.
-func (r *relay) rest() error {
+// remainder forwards the rest of a long response.
+func (r *relay) remainder() error {
 	buffer := make([]byte, chunkBytes)
 	for {
-		n, err := r.answer.Body.Read(buffer)
+		n, err := r.response.Body.Read(buffer)
 		if n > 0 {
 			if err := r.job.write(buffer[:n]); err != nil {
 				return err
@@ -123,39 +124,39 @@
 	}
 }
 
-// paused tells, once a stream has ended, whether it paused for longer than its route allows.
-func (r *relay) paused() {
+// recordPause records, once a stream has ended, whether it paused for longer than its route allows.
+func (r *relay) recordPause() {
 	if r.job.route.LongestPause <= 0 {
 		return
 	}
 	late := r.job.longestPause > r.job.route.LongestPause
-	r.job.handler.Advice.With(func(*Advice) { r.sending.RecordPause(late) })
+	r.job.handler.Advice.With(func(*Advice) { r.attempt.RecordPause(late) })
 }
 
-// stream passes on events as they arrive. Only whole events go out: the rest of one that broke off comes
-// again from the upstream where the stream goes on.
+// stream forwards events as they arrive. Only complete events are written: a partial event is sent again by the
+// upstream where the stream is resumed.
 func (r *relay) stream() (result, error) {
-	defer r.paused()
+	defer r.recordPause()
 	buffer := make([]byte, chunkBytes)
 	var pending []byte
 	for {
-		n, err := r.answer.Body.Read(buffer)
+		n, err := r.response.Body.Read(buffer)
 		if n > 0 {
 			pending = append(pending, buffer[:n]...)
-			whole := wholeEvents(pending)
-			if whole > 0 {
-				r.answered()
-				r.silent.Reset(max(silentBetweenEvents, silentPauses*r.job.route.LongestPause))
-				if err := r.events(pending[:whole]); err != nil {
-					return resultServed, errCallerGone
+			complete := completeEvents(pending)
+			if complete > 0 {
+				r.recordEvent()
+				r.silenceTimer.Reset(max(minEventSilence, eventSilencePauses*r.job.route.LongestPause))
+				if err := r.writeEvents(pending[:complete]); err != nil {
+					return resultServed, errCallerDisconnected
 				}
-				pending = append(pending[:0], pending[whole:]...)
+				pending = append(pending[:0], pending[complete:]...)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			r.answered()
-			if err := r.events(pending); err != nil {
-				return resultServed, errCallerGone
+			r.recordEvent()
+			if err := r.writeEvents(pending); err != nil {
+				return resultServed, errCallerDisconnected
 			}
 			return resultServed, nil
 		}
@@ -165,32 +166,32 @@
 	}
 }
 
-var errCallerGone = errors.New("the caller is gone")
+var errCallerDisconnected = errors.New("the caller has disconnected")
 
-// events writes whole events, and the header before the first.
-func (r *relay) events(events []byte) error {
+// writeEvents writes complete events, and the header before the first of them.
+func (r *relay) writeEvents(data []byte) error {
 	j := r.job
 	if !j.started {
-		r.header(false)
-		j.start(r.answer.Status)
+		r.copyHeader(false)
+		j.start(r.response.Status)
 	}
-	if len(events) == 0 {
+	if len(data) == 0 {
 		return nil
 	}
-	if err := j.write(events); err != nil {
+	if err := j.write(data); err != nil {
 		return err
 	}
-	r.notePause(time.Now())
-	if id := lastID(events); id != "" {
+	r.measurePause(time.Now())
+	if id := lastID(data); id != "" {
 		j.lastEvent = id
 	}
 	return http.NewResponseController(j.writer).Flush()
 }
 
-// header copies the upstream's headers, except those that concern its connection.
-func (r *relay) header(withLength bool) {
+// copyHeader copies the upstream's headers, except hop-by-hop headers.
+func (r *relay) copyHeader(withLength bool) {
 	header := r.job.writer.Header()
-	for name, values := range r.answer.Header {
+	for name, values := range r.response.Header {
 		switch name {
 		case "Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Upgrade", "Proxy-Connection":
 			continue
@@ -202,32 +203,32 @@
 		header[name] = values
 	}
 	if header.Get("Date") == "" {
-		header["Date"] = nil // the upstream sent none, and its answer passes as it is
+		header["Date"] = nil // the upstream sent none, and its headers are forwarded unchanged
 	}
 }
 
-func (r *relay) answered() {
+func (r *relay) recordEvent() {
 	now := time.Now()
 	if r.job.firstByte.IsZero() {
 		r.job.firstByte = now
 	}
 	first := false
-	r.job.handler.Advice.With(func(*Advice) { first = r.sending.RecordAnswer(now) })
+	r.job.handler.Advice.With(func(*Advice) { first = r.attempt.RecordAnswer(now) })
 	if first && r.job.inTurn {
 		r.job.handler.Fleet.NotifyHolder(r.job.upstream)
 	}
 }
 
-// start sends the answer's header.
+// start sends the header of the response.
 func (j *job) start(status int) {
 	j.started = true
 	j.status = status
 	j.writer.WriteHeader(status)
 }
 
-// notePause measures the pauses between events. A stream with one that is longer than its route allows is late,
-// whatever its first event took.
-func (r *relay) notePause(now time.Time) {
+// measurePause measures the pauses between events. A stream with a pause that is longer than its route allows is late,
+// however early its first event was.
+func (r *relay) measurePause(now time.Time) {
 	if !r.wroteAt.IsZero() {
 		r.job.longestPause = max(r.job.longestPause, now.Sub(r.wroteAt))
 	}
@@ -245,8 +246,8 @@
 // eventEnd is the blank line after an event.
 var eventEnd = []byte("\n\n")
 
-// wholeEvents is the length of the whole events at the beginning of data.
-func wholeEvents(data []byte) int {
+// completeEvents returns the length of the complete events at the beginning of data.
+func completeEvents(data []byte) int {
 	at := bytes.LastIndex(data, eventEnd)
 	if at < 0 {
 		return 0
@@ -254,9 +255,9 @@
 	return at + len(eventEnd)
 }
 
-// lastID is the id of the last event that has one.
-func lastID(events []byte) string {
-	lines := strings.Split(string(events), "\n")
+// lastID returns the id of the last event that has one.
+func lastID(data []byte) string {
+	lines := strings.Split(string(data), "\n")
 	for i := len(lines) - 1; i >= 0; i-- {
 		if value, found := strings.CutPrefix(lines[i], "id:"); found {
 			return strings.TrimSpace(value)
--- a/internal/gateway/serve/sends_test.go
+++ b/internal/gateway/serve/sends_test.go
@@ -1,6 +1,6 @@
 package serve_test
 
-// Sends to upstreams: what passes, and what may follow a send that went wrong.
+// Attempts at upstreams: what is forwarded, and which retries may follow a failed attempt.
 
 import (
 	"net/http"
@@ -18,28 +18,28 @@
 
 func TestRequestPassesUnchanged(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, served)
-	response, body, err := w.call("/once/a%2Fb?q=%20x", "the body", headerWorkspace, "forged", "X-Own", "kept")
+	h := newHarness(t, served)
+	response, body, err := h.call("/once/a%2Fb?q=%20x", "the body", headerWorkspace, "forged", "X-Own", "kept")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusOK)
 	is.Equal(body, "answer")
 	is.Equal(response.Header.Get(headerSigned), "s1")
-	seen := w.upstreams[0].requests()[0]
-	is.Equal(seen.RequestURI, "/once/a%2Fb?q=%20x")
-	is.Equal(seen.Host, "a.example")
-	is.Equal(w.upstreams[0].bodies[0], "the body")
-	is.Equal(seen.Header.Get(headerWorkspace), "own")
-	is.Equal(seen.Header.Get("X-Own"), "kept")
-	is.Equal(seen.Header.Get(headerKey), "")
-	is.Equal(seen.Header.Get(headerUpstream), "u0")
-	left, err := strconv.Atoi(seen.Header.Get(headerLeft))
+	received := h.upstreams[0].requests()[0]
+	is.Equal(received.RequestURI, "/once/a%2Fb?q=%20x")
+	is.Equal(received.Host, "a.example")
+	is.Equal(h.upstreams[0].bodies[0], "the body")
+	is.Equal(received.Header.Get(headerWorkspace), "own")
+	is.Equal(received.Header.Get("X-Own"), "kept")
+	is.Equal(received.Header.Get(headerKey), "")
+	is.Equal(received.Header.Get(headerUpstream), "u0")
+	remaining, err := strconv.Atoi(received.Header.Get(headerRemaining))
 	is.NoErr(err)
-	is.True(left > 0 && left <= 2500)
+	is.True(remaining > 0 && remaining <= 2500)
 }
 
-// What an upstream does to the first send decides what may follow. A request that may run once is never
-// sent again after it may have run, and is never said not to have run then; one that may be repeated is
-// answered by another upstream.
+// The result of the first attempt decides what may follow. A request that may run only once is never sent again after
+// it may have run, and the refusal never states then that it did not run. A request that may run again is sent to
+// another upstream.
 func TestFirstSendGoesWrong(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -50,105 +50,105 @@
 	}{
 		{"refusal of a request that runs once is tried elsewhere", "/once/", full, 200, 2},
 		{"refusal of an idempotent one is tried elsewhere", "/idem/", full, 200, 2},
-		{"lost answer of a request that runs once", "/once/", reset, 502, 1},
-		{"lost answer of an idempotent one", "/idem/", reset, 200, 2},
-		{"failure of a request that runs once is passed on", "/once/", failing, 500, 1},
+		{"lost response to a request that runs once", "/once/", reset, 502, 1},
+		{"lost response to an idempotent one", "/idem/", reset, 200, 2},
+		{"failure of a request that runs once is forwarded", "/once/", failing, 500, 1},
 		{"failure of an idempotent one", "/idem/", failing, 200, 2},
 		{"unsigned success of a request that runs once", "/once/", unsigned, 502, 1},
 		{"unsigned success of an idempotent one", "/idem/", unsigned, 200, 2},
-		{"another request's answer to one that runs once", "/once/", crossed, 502, 1},
-		{"another request's answer to an idempotent one", "/idem/", crossed, 200, 2},
+		{"response to another request for one that runs once", "/once/", misattributed, 502, 1},
+		{"response to another request for an idempotent one", "/idem/", misattributed, 200, 2},
 		{"encoded body", "/once/", encoded, 502, 1},
-		{"torn answer of a request that runs once", "/once/", torn, 502, 1},
-		{"torn answer of an idempotent one", "/idem/", torn, 200, 2},
-		{"silence towards an idempotent one", "/idem/", hanging, 200, 2},
+		{"truncated response to a request that runs once", "/once/", truncated, 502, 1},
+		{"truncated response to an idempotent one", "/idem/", truncated, 200, 2},
+		{"no response to an idempotent one", "/idem/", hanging, 200, 2},
 		{"stream that breaks before it begins", "/stream/", reset, 200, 2},
 		{"stream that may not be resumed", "/single/", reset, 502, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			var sends atomic.Int32
-			answer := func(rw http.ResponseWriter, r *http.Request) {
-				if sends.Add(1) == 1 {
+			var attempts atomic.Int32
+			respond := func(rw http.ResponseWriter, r *http.Request) {
+				if attempts.Add(1) == 1 {
 					test.first(rw, r)
 					return
 				}
 				served(rw, r)
 			}
-			w := newWorld(t, answer, answer)
-			response, body, err := w.call(test.path, "b")
+			h := newHarness(t, respond, respond)
+			response, body, err := h.call(test.path, "b")
 			is.NoErr(err)
 			is.Equal(response.StatusCode, test.status)
-			is.Equal(w.runs(), test.runs)
+			is.Equal(h.runs(), test.runs)
 			if test.status == http.StatusOK {
 				is.Equal(body, "answer")
 			}
 			if test.status == http.StatusBadGateway {
 				is.Equal(response.Header.Get("X-Run"), "unknown")
 				is.Equal(response.Header.Get(headerSigned), "")
-				is.True(!strings.Contains(body, "127.0.0.1")) // no upstream's address
+				is.True(!strings.Contains(body, "127.0.0.1")) // the address of an upstream must not leak
 			}
 		})
 	}
 }
 
-// A request crashes each upstream that runs it and comes again and again. After three crashes it is not
-// sent on any more, and its caller is told that it did not run.
+// A request crashes each upstream that runs it and is sent again and again. After three crashes it is refused, with the
+// statement that it did not run.
 func TestPoisonousRequestIsStopped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, served)
+	h := newHarness(t, served)
 	fingerprint := suspect.Of("own", "POST a.example/once/", []byte("poison"))
 	for range 3 {
-		w.handler.Advice.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
+		h.handler.Advice.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
 	}
-	response, _, err := w.call("/once/", "poison")
+	response, _, err := h.call("/once/", "poison")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(response.Header.Get("X-Run"), "not-run")
-	response, _, err = w.call("/once/", "innocent")
+	response, _, err = h.call("/once/", "innocent")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusOK)
-	is.Equal(w.runs(), 1)
+	is.Equal(h.runs(), 1)
 }
 
-// The retry budget of the instance is used up in an outage. Further sends would multiply the load just
-// when there is the least capacity. The upstream's own failure goes to the caller, as there is nothing better.
+// The retry budget of the instance is used up in an outage. Further attempts would multiply the load when there is the
+// least capacity, so the failure response of the upstream is forwarded to the caller.
 func TestNoRetryWithoutBudget(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, failing, failing)
-	w.handler.Advice.Retries = &retry.Budgets{}
-	response, _, err := w.call("/idem/", "b")
+	h := newHarness(t, failing, failing)
+	h.handler.Advice.Retries = &retry.Budgets{}
+	response, _, err := h.call("/idem/", "b")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusInternalServerError)
 	is.Equal(response.Header.Get(headerSigned), "s1")
-	is.Equal(w.runs(), 1)
+	is.Equal(h.runs(), 1)
 }
 
-// Guards against requests that fail while many upstreams are gone, as each connection that is refused counts as a retry:
-// nothing has arrived there, and the next send is the first that does.
+// Guards against requests that fail while many upstreams are gone because each refused connection is counted as a
+// retry: nothing arrived there, and the next attempt is the first that does.
 func TestUnreachedUpstreamTakesNoRetry(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, served, served, served)
-	w.handler.Advice.Retries = &retry.Budgets{}
-	w.upstreams[0].server.Close()
-	w.upstreams[1].server.Close()
+	h := newHarness(t, served, served, served)
+	h.handler.Advice.Retries = &retry.Budgets{}
+	h.upstreams[0].server.Close()
+	h.upstreams[1].server.Close()
 	for _, path := range []string{"/idem/", "/once/", "/stream/", "/idem/", "/once/", "/stream/"} {
-		response, _, err := w.call(path, "b")
+		response, _, err := h.call(path, "b")
 		is.NoErr(err)
 		is.Equal(response.StatusCode, http.StatusOK)
 	}
 }
 
-// Another upstream has taken the address of one that is gone, and answers that it is not the one meant. It
-// will say so again: sent there once more, the request loses the time in which another could serve it.
-func TestNoSecondSendToAnotherUpstreamsAddress(t *testing.T) {
+// The address of a removed upstream now belongs to another upstream, which responds that the request is misdirected. A
+// second attempt there would fail in the same way and take time in which another upstream could serve the request.
+func TestNoSecondAttemptAtAnotherUpstreamsAddress(t *testing.T) {
 	is := is.New(t)
 	misdirected := func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusMisdirectedRequest) }
-	w := newWorld(t, misdirected, misdirected)
-	response, _, err := w.call("/idem/", "b")
+	h := newHarness(t, misdirected, misdirected)
+	response, _, err := h.call("/idem/", "b")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(response.Header.Get("X-Run"), "not-run")
-	is.Equal(w.runs(), 2)
+	is.Equal(h.runs(), 2)
 }
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -1,6 +1,6 @@
-// Package serve takes callers' requests through their stages: decode, find the route, authenticate, read
-// the body, admit, and then place, send and relay until there is an answer. The deciding packages have
-// the rules; here they are asked in their order, and the calls they lead to are made.
+// Package serve runs callers' requests through the stages decode, route, authenticate, read the body, admit, choose an
+// upstream, send, and relay the response. The rules are in the admission and placement packages; this package calls
+// them in order and makes the network calls that follow.
 package serve
 
 import (
@@ -26,31 +26,33 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// Fleet is what the handler asks of the instance.
+// Fleet is the interface to the rest of the instance.
 type Fleet interface {
-	// Table is the configuration in force, nil while none is known.
+	// Table returns the configuration in force, or nil if none is known yet.
 	Table() *traffic.Table
-	// ConfirmedAge is how long ago the store confirmed the configuration in force as its newest; negative if never.
+	// ConfirmedAge returns how long ago the store confirmed that the configuration in force is its newest; negative if
+	// it never did.
 	ConfirmedAge() time.Duration
 	// MayBeStale reports whether changes of the configuration may be missing that operators expect to be in force.
 	MayBeStale() bool
-	// Newest is the newest declared version of an adapter, 0 if none was declared. Required tells that
-	// requests must not begin on an older one any more.
+	// Newest returns the newest declared version of an adapter, 0 if none was declared. If required is set, requests
+	// must not start on an older version any more.
 	Newest(adapter traffic.Adapter) (version int64, required bool)
-	// Prepare has an adapter loaded at an upstream and waits for it.
+	// Prepare asks for an adapter to be loaded at an upstream and waits for the result.
 	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
-	// QueryHolder asks for what is loaded and under way at an upstream, for the next choice.
+	// QueryHolder asks the holder of an upstream for the loaded adapters and the requests in flight there, for the next
+	// choice.
 	QueryHolder(ctx context.Context, upstream string)
-	// PublishSpent lets the other instances know at once what this one has admitted.
+	// PublishSpent sends the totals that this instance has admitted to the other instances at once.
 	PublishSpent()
-	// NotifyHolder tells that this instance has begun or ended a send to an upstream.
+	// NotifyHolder reports to the holder that this instance has started or ended an attempt at the upstream.
 	NotifyHolder(upstream string)
-	// ReportBrokenResponse tells that an answer broke with its connection: the upstream may have crashed.
+	// ReportBrokenResponse reports that a response broke with its connection: the upstream may have crashed.
 	ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
 }
 
-// Advice is what this instance has learnt and decides by. Its parts are not safe for several goroutines,
-// so all of them are used under one lock; each use takes microseconds.
+// Advice is the state that decisions about requests are based on. Its parts are not safe for concurrent use, so one
+// mutex guards all of them; each use takes microseconds.
 type Advice struct {
 	Pool     *pool.Pool
 	Ledger   *quota.Ledger
@@ -60,7 +62,7 @@
 	mutex sync.Mutex
 }
 
-// With gives the parts to one function at a time.
+// With calls a function with the mutex locked.
 func (a *Advice) With(use func(a *Advice)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -76,27 +78,27 @@
 	Log     zerolog.Logger
 	Scope   tally.Scope
 
-	leaving atomic.Bool
-	closed  atomic.Bool
+	draining atomic.Bool
+	refusing atomic.Bool
 }
 
-// Leave has callers told with each answer to use another connection from now on.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// Leave adds Connection: close to all further responses, so that callers move to another connection.
+func (h *Handler) Leave() { h.draining.Store(true) }
 
-// Close refuses all requests that come from now on; those that are being served go on. It has to be called
-// before idle connections are closed. A connection counts as idle until the whole header of its next
-// request was read, so one on which a request is just arriving can be closed under it: passed on to an
-// upstream, that request would run and its answer go nowhere.
-func (h *Handler) Close() { h.closed.Store(true) }
+// Close refuses all further requests; running requests continue. Call it before idle connections are closed. A
+// connection counts as idle until the complete header of its next request was read, so a connection can be closed while
+// a request is arriving on it. If that request were forwarded to an upstream, it would run and its response would be
+// lost.
+func (h *Handler) Close() { h.refusing.Store(true) }
 
-// bodyBytesUnstated bounds a body where the configuration does not.
-const bodyBytesUnstated = 4 << 20
+// defaultBodyBytes bounds a body if the configuration states no limit.
+const defaultBodyBytes = 4 << 20
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	j := &job{handler: h, writer: w, began: time.Now()}
-	j.bound(longestRequest)
-	if h.leaving.Load() {
+	j := &job{handler: h, writer: w, startedAt: time.Now()}
+	j.setDeadlines(maxRequestTime)
+	if h.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	err := h.serve(r, j)
@@ -105,12 +107,12 @@
 	}
 	j.log(err)
 	if err != nil && j.started {
-		panic(http.ErrAbortHandler) // an answer that was begun and cannot be completed must not look complete
+		panic(http.ErrAbortHandler) // a started response that cannot be completed must not look complete
 	}
 }
 
 func (h *Handler) serve(r *http.Request, j *job) (err error) {
-	if h.closed.Load() {
+	if h.refusing.Load() {
 		return refusal.New(refusal.Stopping, "the instance is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	j.table = h.Fleet.Table()
@@ -118,7 +120,7 @@
 		return refusal.New(refusal.NotFresh, "no configuration is known yet").WithRetryAfter(startingRetryAfter)
 	}
 	j.call, err = h.Dialect.Decode(r)
-	j.call.Received = j.began
+	j.call.Received = j.startedAt
 	if err != nil {
 		return refusal.New(refusal.BadRequest, err.Error())
 	}
@@ -140,14 +142,14 @@
 	return err
 }
 
-// longestRequest bounds a request until its route is known.
-const longestRequest = 30 * time.Second
+// maxRequestTime bounds a request until its route is known.
+const maxRequestTime = 30 * time.Second
 
-// bound keeps a caller that sends or reads too slowly from holding a connection, and what waits behind it,
-// for ever. An error means that the connection cannot be bounded, and then the caller's own pace holds.
-func (j *job) bound(within time.Duration) {
+// setDeadlines bounds how long a caller that sends or reads too slowly can hold a connection and the resources behind
+// it. If setting a deadline fails, the caller's speed is not bounded.
+func (j *job) setDeadlines(within time.Duration) {
 	control := http.NewResponseController(j.writer)
-	until := j.began.Add(within)
+	until := j.startedAt.Add(within)
 	if err := control.SetReadDeadline(until); err != nil {
 		j.handler.Log.Debug().Err(err).Msg("NoReadDeadline")
 	}
@@ -156,47 +158,47 @@
 	}
 }
 
-// endReading lifts the bound on reading once the body is there. The library goes on reading to notice a caller
-// that leaves; a deadline that passes there looks like one, and a request that is answered right then would
-// be taken for given up by its caller.
-func (j *job) endReading() {
+// clearReadDeadline removes the read deadline once the body is complete. net/http keeps reading to detect a caller that
+// disconnects. A read deadline that expires there looks like a disconnect, and a request that is being answered at that
+// moment would be treated as cancelled by its caller.
+func (j *job) clearReadDeadline() {
 	if err := http.NewResponseController(j.writer).SetReadDeadline(time.Time{}); err != nil {
 		j.handler.Log.Debug().Err(err).Msg("NoReadDeadline")
 	}
 }
 
-// writeGrace is the time for the last bytes of an answer that ends with the request's time.
+// writeGrace is the time for the last bytes of a response that ends at the request's deadline.
 const writeGrace = time.Second
 
-// stoppingRetryAfter: any other instance serves at once.
+// stoppingRetryAfter is short because any other instance can serve the request at once.
 const stoppingRetryAfter = 50 * time.Millisecond
 
-// startingRetryAfter is about what an instance needs to learn a configuration.
+// startingRetryAfter is about the time that an instance needs to receive a configuration.
 const startingRetryAfter = 300 * time.Millisecond
 
-// resolve finds the route and whom the request is for.
+// resolve finds the route and the workspace of the request.
 func (j *job) resolve() error {
 	route, found := j.table.Route(j.call.Host, j.call.Path)
 	if !found {
-		return j.unknown(refusal.NotFound, "no route matches the host and path")
+		return j.refuseUnknown(refusal.NotFound, "no route matches the host and path")
 	}
 	j.route = route
 	j.service = route.Target()
 	j.priority = route.Priority
-	j.deadline = j.began.Add(route.Timeout)
+	j.deadline = j.startedAt.Add(route.Timeout)
 	if j.call.Patience > 0 && j.call.Patience < route.Timeout {
-		j.deadline = j.began.Add(j.call.Patience)
+		j.deadline = j.startedAt.Add(j.call.Patience)
 	}
-	j.bound(time.Until(j.deadline) + time.Since(j.began))
+	j.setDeadlines(time.Until(j.deadline) + time.Since(j.startedAt))
 	if !j.table.NeedsKey(route) {
 		return nil
 	}
 	if j.call.Key == "" {
-		return j.unknown(refusal.MissingKey, "the route needs a key")
+		return j.refuseUnknown(refusal.MissingKey, "the route needs a key")
 	}
 	workspace, found := j.table.Workspace(j.call.Key)
 	if !found {
-		return j.unknown(refusal.InvalidKey, "the key is not known")
+		return j.refuseUnknown(refusal.InvalidKey, "the key is not known")
 	}
 	j.workspace = workspace
 	if workspace.HasPriority {
@@ -205,9 +207,9 @@
 	return nil
 }
 
-// unknown refuses a request for which the configuration has no route or key. Callers take that for final, so it is not
-// said by a configuration that may be out of date: the route or key may have been added.
-func (j *job) unknown(code refusal.Code, reason string) error {
+// refuseUnknown refuses a request for which the configuration has no route or key. Callers treat that refusal as final,
+// so it is not sent if the configuration may be out of date: the route or key may have been added since.
+func (j *job) refuseUnknown(code refusal.Code, reason string) error {
 	j.refusedByTable = true
 	if j.handler.Fleet.MayBeStale() {
 		return refusal.New(refusal.NotFresh, "the configuration may be out of date: "+reason).WithRetryAfter(startingRetryAfter)
@@ -215,17 +217,17 @@
 	return refusal.New(code, reason)
 }
 
-// readBody reads the whole body: a request that is sent again needs it, and an upstream that a slow
-// caller holds is lost to others.
+// readBody reads the whole body before the request is sent: a retry needs it, and a slow caller must not occupy an
+// upstream while it sends its body.
 func (j *job) readBody(r *http.Request) error {
-	most := j.table.Configuration.Limits.BodyBytes
-	if most <= 0 {
-		most = bodyBytesUnstated
+	limit := j.table.Configuration.Limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultBodyBytes
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > limit {
 		return refusal.New(refusal.BodyTooLarge, "the body is longer than the limit")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(j.writer, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(j.writer, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -234,11 +236,12 @@
 		return refusal.New(refusal.BadRequest, "the body could not be read")
 	}
 	j.call.Body = body
-	j.endReading()
+	j.clearReadDeadline()
 	return nil
 }
 
-// admit takes the request's cost from its workspace's rate, and stops what crashes upstreams.
+// admit charges the request's cost to its workspace's rate limit, and refuses requests that are suspected of crashing
+// upstreams.
 func (j *job) admit() error {
 	now := time.Now()
 	j.cost = j.call.Cost(j.workspace)
--- a/internal/gateway/serve/streams_test.go
+++ b/internal/gateway/serve/streams_test.go
@@ -1,6 +1,6 @@
 package serve_test
 
-// Streams: what happens when one breaks midway.
+// Streams that break in the middle.
 
 import (
 	"fmt"
@@ -14,18 +14,18 @@
 	"github.com/matryer/is"
 )
 
-// event is one event of a stream, in the upstreams' form.
+// event returns one event of a stream as upstreams write it.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// An upstream crashes in the middle of an event. The stream goes on at another upstream after the last
-// whole event; a piece that came twice, or half, would garble the caller's text without a sign.
+// An upstream crashes in the middle of an event. The stream is resumed at another upstream after the last complete
+// event. A repeated or partial event would corrupt the caller's text without any sign of it.
 func TestStreamGoesOnElsewhere(t *testing.T) {
 	is := is.New(t)
-	var sends atomic.Int32
-	answer := func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(headerSigned, fmt.Sprint("s", sends.Load()))
+	var attempts atomic.Int32
+	respond := func(rw http.ResponseWriter, r *http.Request) {
+		rw.Header().Set(headerSigned, fmt.Sprint("s", attempts.Load()))
 		flusher := rw.(http.Flusher)
-		if sends.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			_, _ = io.WriteString(rw, event(1)+event(2)+"id: 3\ndata: pie")
 			flusher.Flush()
 			time.Sleep(30 * time.Millisecond)
@@ -40,26 +40,26 @@
 			_, _ = io.WriteString(rw, event(id))
 		}
 	}
-	w := newWorld(t, answer, answer)
-	response, body, err := w.call("/stream/", "b")
+	h := newHarness(t, respond, respond)
+	response, body, err := h.call("/stream/", "b")
 	is.NoErr(err)
 	is.Equal(body, event(1)+event(2)+event(3)+event(4))
 	is.Equal(response.Header.Get(headerSigned), "s0") // the headers of the first upstream
-	is.Equal(w.runs(), 2)
+	is.Equal(h.runs(), 2)
 }
 
-// A stream that may not run twice breaks in the middle. Its caller must see that it is not complete.
+// A stream that may not run twice breaks in the middle. The caller must be able to detect that it is incomplete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
+	h := newHarness(t, func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(headerSigned, "s1")
 		_, _ = io.WriteString(rw, event(1))
 		rw.(http.Flusher).Flush()
 		time.Sleep(30 * time.Millisecond)
 		reset(rw, r)
 	})
-	_, body, err := w.call("/single/", "b")
+	_, body, err := h.call("/single/", "b")
 	is.True(err != nil)
 	is.Equal(body, event(1))
-	is.Equal(w.runs(), 1)
+	is.Equal(h.runs(), 1)
 }
