--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -26,19 +26,19 @@
 	Key string
 	// Received is when the request's headers were read. Patience is how long the caller waits from then, 0 if it states
 	// no limit.
-	Received time.Time
-	Patience time.Duration
-	Work     Work
-	// LastEvent is the id of the last event that the caller received of an earlier stream; empty if there was none.
-	LastEvent string
+	Received      time.Time
+	CallerTimeout time.Duration
+	Generation    Generation
+	// LastEventID is the id of the last event that the caller received of an earlier stream; empty if there was none.
+	LastEventID string
 }
 
-// Work is the model and the size of a generation.
-type Work struct {
+// Generation is the model and the size of a generation.
+type Generation struct {
 	// Adapter is empty for requests that need no model.
 	Adapter traffic.Adapter
-	// PromptTokens and OutputTokens (the maximum to generate) are valid only if Stated is true.
-	Stated       bool
+	// PromptTokens and OutputTokens (the maximum to generate) are valid only if TokensStated is true.
+	TokensStated bool
 	PromptTokens int
 	OutputTokens int
 	// Prompt lists the parts of the prompt in order. Requests may have parts in common.
@@ -56,29 +56,29 @@
 	if !workspace.ByTokens {
 		return 1
 	}
-	if !c.Work.Stated {
-		return workspace.PlainCost
+	if !c.Generation.TokensStated {
+		return workspace.DefaultCost
 	}
-	return float64(c.Work.PromptTokens + c.Work.OutputTokens)
+	return float64(c.Generation.PromptTokens + c.Generation.OutputTokens)
 }
 
-// Send holds what one attempt at an upstream states besides the call.
-type Send struct {
+// Attempt holds what one attempt at an upstream states besides the call.
+type Attempt struct {
 	// Upstream is the id of the only upstream that may run the request.
 	Upstream string
 	// Workspace is empty on routes that need no key.
 	Workspace string
-	// Left is the time until the request's deadline.
-	Left     time.Duration
-	Priority int
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
+	Priority  int
 	// Version is the adapter version that the upstream must check; 0 if it must not check any.
 	Version int64
-	// LastEvent is the id of the event after which the stream is resumed.
-	LastEvent string
+	// LastEventID is the id of the event after which the stream is resumed.
+	LastEventID string
 }
 
-// Reply is the information in the headers of an upstream's response.
-type Reply struct {
+// ResponseInfo is the information in the headers of an upstream's response.
+type ResponseInfo struct {
 	// ID is the id of the request that the response belongs to.
 	ID string
 	// NotRun: the upstream guarantees that the request did not run.
@@ -94,19 +94,19 @@
 // UpstreamLoad is the load that an upstream reports about itself.
 type UpstreamLoad struct {
 	// Running and Waiting count requests. Places is the number of batch slots: how many requests run at once.
-	Running int
-	Waiting int
-	Places  int
+	Running    int
+	Waiting    int
+	BatchSlots int
 }
 
 // Dialect maps between HTTP messages and calls.
 type Dialect interface {
 	// Decode reads all but the body. It keeps no reference to the request's headers.
 	Decode(request *http.Request) (Call, error)
-	// Header returns the headers of an attempt: the call's own and those that the attempt adds.
-	Header(c Call, send Send) http.Header
-	// Reply reads the headers of an upstream's response.
-	Reply(response *http.Response) Reply
-	// Refusal sets the headers of a response that the instance generates itself.
-	Refusal(header http.Header, id string, retryAfter time.Duration)
+	// RequestHeader returns the headers of an attempt: the call's own and those that the attempt adds.
+	RequestHeader(c Call, send Attempt) http.Header
+	// ParseResponse reads the headers of an upstream's response.
+	ParseResponse(response *http.Response) ResponseInfo
+	// SetRefusalHeader sets the headers of a response that the instance generates itself.
+	SetRefusalHeader(header http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	// ErrUnreached: no connection was established, so the call cannot have run.
-	ErrUnreached = errors.New("forward: could not connect to upstream")
-	// ErrBroken: the connection or the response broke, and the call may have run.
-	ErrBroken = errors.New("forward: connection or response broken")
+	// ErrNotConnected: no connection was established, so the call cannot have run.
+	ErrNotConnected = errors.New("forward: could not connect to upstream")
+	// ErrBrokenResponse: the connection or the response broke, and the call may have run.
+	ErrBrokenResponse = errors.New("forward: connection or response broken")
 )
 
 const (
@@ -44,26 +44,26 @@
 	transports map[string]*http.Transport
 }
 
-// Answer is an upstream's response whose body has not been read yet.
-type Answer struct {
+// Response is an upstream's response whose body has not been read yet.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 	// Length is the length of the body, negative if it is not stated.
 	Length int64
-	Reply  call.Reply
+	Info   call.ResponseInfo
 }
 
 // Do sends a call. If fresh is set, it opens a new connection: on a reused connection the call could cross with the
 // upstream's close, or read a late second response to an earlier call, and its outcome would be unknown.
 func (c *Client) Do(
-	ctx context.Context, upstream traffic.Upstream, outgoing call.Call, send call.Send, fresh bool,
-) (result *Answer, err error) {
+	ctx context.Context, upstream traffic.Upstream, outgoing call.Call, send call.Attempt, fresh bool,
+) (result *Response, err error) {
 	request := &http.Request{
 		Method:        outgoing.Method,
 		URL:           &url.URL{Scheme: "http", Host: upstream.Address, Opaque: outgoing.Target},
 		Host:          outgoing.Host,
-		Header:        c.Dialect.Header(outgoing, send),
+		Header:        c.Dialect.RequestHeader(outgoing, send),
 		ContentLength: int64(len(outgoing.Body)),
 		Close:         fresh,
 		Proto:         "HTTP/1.1",
@@ -80,35 +80,35 @@
 	if err != nil {
 		return nil, classify(err)
 	}
-	result = &Answer{
+	result = &Response{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Body:   response.Body,
 		Length: response.ContentLength,
-		Reply:  c.Dialect.Reply(response),
+		Info:   c.Dialect.ParseResponse(response),
 	}
 	return result, c.check(outgoing, result)
 }
 
 // check rejects a response that does not belong to this call. A late second response to an earlier call can arrive
 // where this call's response is expected, and the caller would get the response of another caller.
-func (c *Client) check(outgoing call.Call, response *Answer) error {
+func (c *Client) check(outgoing call.Call, response *Response) error {
 	switch {
-	case response.Reply.ID != outgoing.ID && response.Reply.ID != "":
+	case response.Info.ID != outgoing.ID && response.Info.ID != "":
 		response.Body.Close()
-		return errors.WithMessagef(ErrBroken, "response belongs to request %s", response.Reply.ID)
+		return errors.WithMessagef(ErrBrokenResponse, "response belongs to request %s", response.Info.ID)
 	case response.Header.Get("Content-Encoding") != "":
 		response.Body.Close()
-		return errors.WithMessage(ErrBroken, "body is encoded but no encoding was requested")
-	case response.Status < 300 && !response.Reply.Signed:
+		return errors.WithMessage(ErrBrokenResponse, "body is encoded but no encoding was requested")
+	case response.Status < 300 && !response.Info.Signed:
 		response.Body.Close()
-		return errors.WithMessage(ErrBroken, "successful response without the upstream's signature")
+		return errors.WithMessage(ErrBrokenResponse, "successful response without the upstream's signature")
 	}
 	return nil
 }
 
-// Keep closes the idle connections to all upstreams except the given ones.
-func (c *Client) Keep(ids map[string]bool) {
+// CloseIdleExcept closes the idle connections to all upstreams except the given ones.
+func (c *Client) CloseIdleExcept(ids map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for id, transport := range c.transports {
@@ -153,7 +153,7 @@
 func classify(err error) error {
 	var dial dialError
 	if errors.As(err, &dial) {
-		return errors.WithMessage(ErrUnreached, err.Error())
+		return errors.WithMessage(ErrNotConnected, err.Error())
 	}
-	return errors.WithMessage(ErrBroken, err.Error())
+	return errors.WithMessage(ErrBrokenResponse, err.Error())
 }
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -48,7 +48,7 @@
 // response.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
-	h.Advice.With(func(a *Advice) { a.Retries.Of(j.service).First() })
+	h.State.WithLock(func(a *SharedState) { a.Retries.Of(j.service).First() })
 	var last error
 	for j.attempts < maxAttempts && len(j.tried) < maxTried {
 		if ctx.Err() != nil {
@@ -109,12 +109,12 @@
 
 // mayRunAgain reports whether the request may be sent again although it may have run.
 func (j *job) mayRunAgain() bool {
-	return j.route.MayRepeat() && j.runs < j.route.Attempts
+	return j.route.IsRepeatable() && j.runs < j.route.MaxAttempts
 }
 
 // takeRetry takes a retry from the retry budget of the service.
 func (j *job) takeRetry() (allowed bool) {
-	j.handler.Advice.With(func(a *Advice) { allowed = a.Retries.Of(j.service).Allow() })
+	j.handler.State.WithLock(func(a *SharedState) { allowed = a.Retries.Of(j.service).Allow() })
 	return allowed
 }
 
@@ -125,7 +125,7 @@
 	j.attempts++
 	now := time.Now()
 	var attempt *pool.Attempt
-	h.Advice.With(func(a *Advice) { attempt = a.Pool.Begin(now, choice, query) })
+	h.State.WithLock(func(a *SharedState) { attempt = a.Pool.Begin(now, choice, query) })
 	h.Fleet.NotifyHolder(choice.Upstream.ID)
 	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
 	exchangeCtx, cancel := context.WithCancelCause(ctx)
@@ -166,7 +166,7 @@
 	if outcome == resultBroken && ctx.Err() == nil && !errors.Is(err, errNoData) {
 		j.handler.Fleet.ReportBrokenResponse(upstream, j.fingerprint)
 	}
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		now := time.Now()
 		a.Pool.Finish(now, attempt, end)
 		if outcome == resultMisdirected {
@@ -182,35 +182,35 @@
 func (j *job) exchange(
 	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, attempt *pool.Attempt,
 ) (result, error) {
-	send := call.Send{
-		Upstream:  choice.Upstream.ID,
-		Workspace: j.workspace.Name,
-		Left:      time.Until(j.deadline),
-		Priority:  j.priority,
-		Version:   query.Version,
-		LastEvent: j.call.LastEvent,
+	send := call.Attempt{
+		Upstream:    choice.Upstream.ID,
+		Workspace:   j.workspace.Name,
+		Remaining:   time.Until(j.deadline),
+		Priority:    j.priority,
+		Version:     query.Version,
+		LastEventID: j.call.LastEventID,
 	}
 	if j.lastEvent != "" {
-		send.LastEvent = j.lastEvent
+		send.LastEventID = j.lastEvent
 	}
 	silenceTimer := time.AfterFunc(j.silenceTimeout(choice), func() { cancel(errNoData) })
 	defer silenceTimer.Stop()
-	response, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.MayRepeat())
+	response, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.IsRepeatable())
 	if err != nil {
-		if errors.Is(err, forward.ErrUnreached) {
+		if errors.Is(err, forward.ErrNotConnected) {
 			return resultUnreached, err
 		}
 		return resultBroken, err
 	}
 	defer response.Body.Close()
 	switch {
-	case response.Reply.Misdirected:
+	case response.Info.Misdirected:
 		return resultMisdirected, errors.New("upstream lacks the model or version, or another upstream has its address")
-	case response.Reply.NotRun:
-		load := response.Reply.Load
-		j.handler.Advice.With(func(*Advice) { attempt.RecordStatedLoad(load.Running + load.Waiting) })
+	case response.Info.NotRun:
+		load := response.Info.Load
+		j.handler.State.WithLock(func(*SharedState) { attempt.RecordStatedLoad(load.Running + load.Waiting) })
 		return resultNotRun, errors.Errorf("upstream refused with status %d: %d running and %d waiting requests, %d batch slots",
-			response.Status, load.Running, load.Waiting, load.Places)
+			response.Status, load.Running, load.Waiting, load.BatchSlots)
 	}
 	relay := relay{job: j, response: response, attempt: attempt, silenceTimer: silenceTimer}
 	return relay.run()
@@ -231,11 +231,11 @@
 // deadline: cancelling it would lose a response that may still arrive.
 func (j *job) silenceTimeout(choice pool.Choice) time.Duration {
 	remaining := time.Until(j.deadline)
-	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts {
+	if !j.route.IsRepeatable() || j.runs+1 >= j.route.MaxAttempts {
 		return remaining + time.Second
 	}
 	shortest := minSilence
-	if j.route.Repetition != traffic.Streaming {
+	if j.route.Execution != traffic.Streaming {
 		shortest = minPlainSilence
 	}
 	return max(shortest, silenceFactor*choice.Expected)
@@ -262,7 +262,7 @@
 	}
 	if errors.Is(why, pool.ErrFull) {
 		var retryAfter time.Duration
-		j.handler.Advice.With(func(a *Advice) { retryAfter = a.Pool.RetryWhenFull(time.Now(), query) })
+		j.handler.State.WithLock(func(a *SharedState) { retryAfter = a.Pool.RetryWhenFull(time.Now(), query) })
 		j.step("full").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).
 			Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
 		return refusal.New(refusal.Busy, "the upstreams are full").WithRetryAfter(retryAfter)
--- a/internal/gateway/serve/job.go
+++ b/internal/gateway/serve/job.go
@@ -72,7 +72,7 @@
 	}
 	refused := refusal.From(err)
 	j.status = refused.Status()
-	j.handler.Dialect.Refusal(j.writer.Header(), j.call.ID, refused.ExactRetryAfter())
+	j.handler.Dialect.SetRefusalHeader(j.writer.Header(), j.call.ID, refused.ExactRetryAfter())
 	j.writer.Header().Set(refusal.HeaderRun, string(refused.Run()))
 	j.writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	text := refused.Error() + "\n"
@@ -123,7 +123,7 @@
 	if j.firstByte.Sub(j.startedAt) > j.route.Objective {
 		return false
 	}
-	return j.route.LongestPause <= 0 || j.longestPause <= j.route.LongestPause
+	return j.route.MaxPause <= 0 || j.longestPause <= j.route.MaxPause
 }
 
 // latencyBuckets are the histogram buckets. They range from a response on the same machine to the longest timeouts.
--- a/internal/gateway/serve/placement.go
+++ b/internal/gateway/serve/placement.go
@@ -40,12 +40,12 @@
 
 // choose picks an upstream, from the candidates if any are given.
 func (j *job) choose(candidates []string) (choice pool.Choice, query pool.Query, err error) {
-	newest, required := j.handler.Fleet.Newest(j.call.Work.Adapter)
+	newest, required := j.handler.Fleet.NewestVersion(j.call.Generation.Adapter)
 	query = pool.Query{
 		Service:    j.service,
-		Adapter:    j.call.Work.Adapter,
-		Tokens:     j.call.Work.PromptTokens,
-		Output:     j.call.Work.OutputTokens,
+		Adapter:    j.call.Generation.Adapter,
+		Tokens:     j.call.Generation.PromptTokens,
+		Output:     j.call.Generation.OutputTokens,
 		Exclude:    j.tried,
 		Candidates: candidates,
 		Alone:      j.alone,
@@ -56,7 +56,7 @@
 	if required {
 		query.Version = newest
 	}
-	j.handler.Advice.With(func(a *Advice) { choice, err = a.Pool.Choose(time.Now(), query) })
+	j.handler.State.WithLock(func(a *SharedState) { choice, err = a.Pool.Choose(time.Now(), query) })
 	return choice, query, err
 }
 
@@ -69,7 +69,7 @@
 	}
 	var retryAfter time.Duration
 	refused := false
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		retryAfter, refused = a.Pool.Refuse(time.Now(), query, choice, budget)
 	})
 	if !refused {
@@ -84,7 +84,7 @@
 // ensureReady has the adapter loaded at the chosen upstream, and waits for the prefill turn if prompts take turns
 // there.
 func (j *job) ensureReady(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
-	j.handler.Advice.With(func(a *Advice) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
+	j.handler.State.WithLock(func(a *SharedState) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
 	tokens := 0
 	if j.inTurn {
 		tokens = query.Tokens
@@ -117,7 +117,7 @@
 		return false
 	}
 	valid := false
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		if ok && query.Adapter.Model != "" {
 			a.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
 		}
@@ -133,7 +133,7 @@
 	if j.inTurn {
 		tokens = 0
 	}
-	j.handler.Advice.With(func(a *Advice) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
+	j.handler.State.WithLock(func(a *SharedState) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
 	if tokens > 0 {
 		j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 	}
@@ -142,7 +142,7 @@
 
 // endPreparing reverses beginPreparing.
 func (j *job) endPreparing(choice pool.Choice, waiting pool.Preparation) {
-	j.handler.Advice.With(func(*Advice) { waiting.Done() })
+	j.handler.State.WithLock(func(*SharedState) { waiting.Done() })
 	j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 }
 
@@ -154,7 +154,7 @@
 	if j.shortestWait == 0 || busy.RetryAfter < j.shortestWait {
 		j.shortestWait = busy.RetryAfter
 	}
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		switch {
 		case choice.Cold:
 			a.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
--- a/internal/gateway/serve/refusals_test.go
+++ b/internal/gateway/serve/refusals_test.go
@@ -26,7 +26,7 @@
 	is.Equal(response.Header.Get("X-Run"), "not-run")
 	is.True(response.Header.Get("Retry-After") != "")
 	is.True(time.Since(start) < time.Second)
-	is.Equal(h.handler.Advice.Ledger.OwnTotals()["own"], 0.0)
+	is.Equal(h.handler.State.Ledger.OwnTotals()["own"], 0.0)
 }
 
 // Each refusal has its own status, which tells the caller how to react.
@@ -212,8 +212,8 @@
 	for h.runs() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	h.handler.Leave()
-	h.handler.Close()
+	h.handler.StartDraining()
+	h.handler.RefuseRequests()
 	response, _, err := h.call("/once/", "second")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -32,7 +32,7 @@
 
 type relay struct {
 	job          *job
-	response     *forward.Answer
+	response     *forward.Response
 	attempt      *pool.Attempt
 	silenceTimer *time.Timer
 	// wroteAt is when the last events of the stream were written.
@@ -45,7 +45,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.response.Body, chunkBytes)) // drained, so that the connection can be reused
 		return resultFailed, errors.Errorf("upstream responded with status %d", r.response.Status)
 	}
-	if r.job.route.Repetition == traffic.Streaming && r.response.Status < http.StatusMultipleChoices {
+	if r.job.route.Execution == traffic.Streaming && r.response.Status < http.StatusMultipleChoices {
 		return r.stream()
 	}
 	return r.buffered()
@@ -58,7 +58,7 @@
 	if j.started {
 		return true // a failure in the middle of a stream cannot be forwarded
 	}
-	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts || time.Until(j.deadline) < minRetryTime {
+	if !j.route.IsRepeatable() || j.runs+1 >= j.route.MaxAttempts || time.Until(j.deadline) < minRetryTime {
 		return false
 	}
 	j.retryTaken = j.takeRetry()
@@ -126,11 +126,11 @@
 
 // recordPause records, once a stream has ended, whether it paused for longer than its route allows.
 func (r *relay) recordPause() {
-	if r.job.route.LongestPause <= 0 {
+	if r.job.route.MaxPause <= 0 {
 		return
 	}
-	late := r.job.longestPause > r.job.route.LongestPause
-	r.job.handler.Advice.With(func(*Advice) { r.attempt.RecordPause(late) })
+	late := r.job.longestPause > r.job.route.MaxPause
+	r.job.handler.State.WithLock(func(*SharedState) { r.attempt.RecordPause(late) })
 }
 
 // stream forwards events as they arrive. Only complete events are written: a partial event is sent again by the
@@ -146,7 +146,7 @@
 			complete := completeEvents(pending)
 			if complete > 0 {
 				r.recordEvent()
-				r.silenceTimer.Reset(max(minEventSilence, eventSilencePauses*r.job.route.LongestPause))
+				r.silenceTimer.Reset(max(minEventSilence, eventSilencePauses*r.job.route.MaxPause))
 				if err := r.writeEvents(pending[:complete]); err != nil {
 					return resultServed, errCallerDisconnected
 				}
@@ -161,7 +161,7 @@
 			return resultServed, nil
 		}
 		if err != nil {
-			return resultBroken, errors.WithMessage(forward.ErrBroken, err.Error())
+			return resultBroken, errors.WithMessage(forward.ErrBrokenResponse, err.Error())
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		r.job.firstByte = now
 	}
 	first := false
-	r.job.handler.Advice.With(func(*Advice) { first = r.attempt.RecordAnswer(now) })
+	r.job.handler.State.WithLock(func(*SharedState) { first = r.attempt.RecordAnswer(now) })
 	if first && r.job.inTurn {
 		r.job.handler.Fleet.NotifyHolder(r.job.upstream)
 	}
--- a/internal/gateway/serve/sends_test.go
+++ b/internal/gateway/serve/sends_test.go
@@ -100,7 +100,7 @@
 	h := newHarness(t, served)
 	fingerprint := suspect.Of("own", "POST a.example/once/", []byte("poison"))
 	for range 3 {
-		h.handler.Advice.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
+		h.handler.State.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
 	}
 	response, _, err := h.call("/once/", "poison")
 	is.NoErr(err)
@@ -117,7 +117,7 @@
 func TestNoRetryWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, failing, failing)
-	h.handler.Advice.Retries = &retry.Budgets{}
+	h.handler.State.Retries = &retry.Budgets{}
 	response, _, err := h.call("/idem/", "b")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusInternalServerError)
@@ -130,7 +130,7 @@
 func TestUnreachedUpstreamTakesNoRetry(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, served, served, served)
-	h.handler.Advice.Retries = &retry.Budgets{}
+	h.handler.State.Retries = &retry.Budgets{}
 	h.upstreams[0].server.Close()
 	h.upstreams[1].server.Close()
 	for _, path := range []string{"/idem/", "/once/", "/stream/", "/idem/", "/once/", "/stream/"} {
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -35,9 +35,9 @@
 	ConfirmedAge() time.Duration
 	// MayBeStale reports whether changes of the configuration may be missing that operators expect to be in force.
 	MayBeStale() bool
-	// Newest returns the newest declared version of an adapter, 0 if none was declared. If required is set, requests
+	// NewestVersion returns the newest declared version of an adapter, 0 if none was declared. If required is set, requests
 	// must not start on an older version any more.
-	Newest(adapter traffic.Adapter) (version int64, required bool)
+	NewestVersion(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare asks for an adapter to be loaded at an upstream and waits for the result.
 	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
 	// QueryHolder asks the holder of an upstream for the loaded adapters and the requests in flight there, for the next
@@ -51,9 +51,9 @@
 	ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
 }
 
-// Advice is the state that decisions about requests are based on. Its parts are not safe for concurrent use, so one
+// SharedState is the state that decisions about requests are based on. Its parts are not safe for concurrent use, so one
 // mutex guards all of them; each use takes microseconds.
-type Advice struct {
+type SharedState struct {
 	Pool     *pool.Pool
 	Ledger   *quota.Ledger
 	Suspects *suspect.Register
@@ -62,8 +62,8 @@
 	mutex sync.Mutex
 }
 
-// With calls a function with the mutex locked.
-func (a *Advice) With(use func(a *Advice)) {
+// WithLock calls a function with the mutex locked.
+func (a *SharedState) WithLock(use func(a *SharedState)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	use(a)
@@ -74,7 +74,7 @@
 	Dialect call.Dialect
 	Fleet   Fleet
 	Forward *forward.Client
-	Advice  *Advice
+	State   *SharedState
 	Log     zerolog.Logger
 	Scope   tally.Scope
 
@@ -82,14 +82,14 @@
 	refusing atomic.Bool
 }
 
-// Leave adds Connection: close to all further responses, so that callers move to another connection.
-func (h *Handler) Leave() { h.draining.Store(true) }
+// StartDraining adds Connection: close to all further responses, so that callers move to another connection.
+func (h *Handler) StartDraining() { h.draining.Store(true) }
 
-// Close refuses all further requests; running requests continue. Call it before idle connections are closed. A
+// RefuseRequests refuses all further requests; running requests continue. Call it before idle connections are closed. A
 // connection counts as idle until the complete header of its next request was read, so a connection can be closed while
 // a request is arriving on it. If that request were forwarded to an upstream, it would run and its response would be
 // lost.
-func (h *Handler) Close() { h.refusing.Store(true) }
+func (h *Handler) RefuseRequests() { h.refusing.Store(true) }
 
 // defaultBodyBytes bounds a body if the configuration states no limit.
 const defaultBodyBytes = 4 << 20
@@ -137,7 +137,7 @@
 	}
 	err = j.run(ctx)
 	if !j.mayHaveRun {
-		h.Advice.With(func(a *Advice) { a.Ledger.Refund(j.workspace.Name, j.cost) })
+		h.State.WithLock(func(a *SharedState) { a.Ledger.Refund(j.workspace.Name, j.cost) })
 	}
 	return err
 }
@@ -183,14 +183,14 @@
 		return j.refuseUnknown(refusal.NotFound, "no route matches the host and path")
 	}
 	j.route = route
-	j.service = route.Target()
+	j.service = route.PickService()
 	j.priority = route.Priority
 	j.deadline = j.startedAt.Add(route.Timeout)
-	if j.call.Patience > 0 && j.call.Patience < route.Timeout {
-		j.deadline = j.startedAt.Add(j.call.Patience)
+	if j.call.CallerTimeout > 0 && j.call.CallerTimeout < route.Timeout {
+		j.deadline = j.startedAt.Add(j.call.CallerTimeout)
 	}
 	j.setDeadlines(time.Until(j.deadline) + time.Since(j.startedAt))
-	if !j.table.NeedsKey(route) {
+	if !j.table.RequiresKey(route) {
 		return nil
 	}
 	if j.call.Key == "" {
@@ -250,7 +250,7 @@
 	admitted := false
 	shareSpent := false
 	verdict := suspect.Free
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		verdict, retryAfter = a.Suspects.Judge(now, j.fingerprint)
 		if verdict != suspect.Refused {
 			retryAfter, admitted = a.Ledger.Admit(now, j.workspace.Name, j.cost)
--- a/internal/gateway/socket/socket.go
+++ b/internal/gateway/socket/socket.go
@@ -23,10 +23,10 @@
 	keepAliveInterval = time.Second
 )
 
-// HandshakeWithin bounds the handshake on an accepted connection. Between instances a handshake takes some
+// HandshakeTimeout bounds the handshake on an accepted connection. Between instances a handshake takes some
 // milliseconds. A connection that is lost right after it was established never completes it, and a server that stops
 // waits for it.
-const HandshakeWithin = time.Second
+const HandshakeTimeout = time.Second
 
 // Dialer returns a dialer whose connections detect an unreachable peer. The parameter connect is the connect timeout.
 func Dialer(connectTimeout time.Duration) *net.Dialer {
--- a/internal/gateway/traffic/table.go
+++ b/internal/gateway/traffic/table.go
@@ -55,13 +55,13 @@
 	return workspace, found
 }
 
-// NeedsKey reports whether requests of the route must have a key.
-func (t *Table) NeedsKey(route Route) bool {
+// RequiresKey reports whether requests of the route must have a key.
+func (t *Table) RequiresKey(route Route) bool {
 	return len(t.Configuration.Workspaces) > 0 && !route.Public
 }
 
-// Target picks one of the route's services at random, by weight.
-func (r Route) Target() string {
+// PickService picks one of the route's services at random, by weight.
+func (r Route) PickService() string {
 	total := 0
 	for _, target := range r.Targets {
 		total += max(target.Weight, 0)
--- a/internal/gateway/traffic/traffic.go
+++ b/internal/gateway/traffic/traffic.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Fact is a Configuration, an Upstream or an AdapterVersion.
-type Fact interface{ isFact() }
+// Declaration is a Configuration, an Upstream or an AdapterVersion.
+type Declaration interface{ isDeclaration() }
 
 // Configuration is everything that operators declare. Version only increases.
 type Configuration struct {
@@ -18,18 +18,18 @@
 	Workspaces []Workspace
 }
 
-func (Configuration) isFact() {}
+func (Configuration) isDeclaration() {}
 
-// Repetition states how often a request may run.
-type Repetition string
+// Execution states how often a request may run.
+type Execution string
 
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repetition = "idempotent"
-	// Once requests run at most once.
-	Once Repetition = "once"
+	Idempotent Execution = "idempotent"
+	// AtMostOnce requests run at most once.
+	AtMostOnce Execution = "once"
 	// Streaming requests are answered with a stream of events and run at most once, unless the stream is resumable.
-	Streaming Repetition = "streaming"
+	Streaming Execution = "streaming"
 )
 
 // Route assigns the requests of a host below a path prefix to services.
@@ -38,27 +38,27 @@
 	Host   string
 	Prefix string
 	// Targets are the services that share the requests, by weight.
-	Targets    []Target
-	Repetition Repetition
+	Targets   []Target
+	Execution Execution
 	// Timeout is the maximum time that a request may take. Objective is the time within which a response, or the first
 	// event of a stream, is on time.
 	Timeout   time.Duration
 	Objective time.Duration
-	// LongestPause is the longest pause between two events of a stream that is on time.
-	LongestPause time.Duration
+	// MaxPause is the longest pause between two events of a stream that is on time.
+	MaxPause time.Duration
 	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Attempts is the maximum number of upstreams that one request may run at.
-	Attempts int
+	// MaxAttempts is the maximum number of upstreams that one request may run at.
+	MaxAttempts int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may continue at another upstream after the last event that was received.
 	Resumable bool
 }
 
-// MayRepeat reports whether a request of the route may run again after it may have run.
-func (r Route) MayRepeat() bool {
-	return r.Repetition == Idempotent || r.Repetition == Streaming && r.Resumable
+// IsRepeatable reports whether a request of the route may run again after it may have run.
+func (r Route) IsRepeatable() bool {
+	return r.Execution == Idempotent || r.Execution == Streaming && r.Resumable
 }
 
 // Target is a service and its weight in a route.
@@ -83,12 +83,12 @@
 
 // Engine states the capacity of the model engines of a service.
 type Engine struct {
-	BatchPlaces int
+	BatchSlots int
 	// MemoryTokens is the capacity for the prompts and outputs of running requests.
-	MemoryTokens  int
-	WeightsMB     float64
-	AdapterPlaces int
-	Models        []Model
+	MemoryTokens int
+	WeightsMB    float64
+	AdapterSlots int
+	Models       []Model
 }
 
 // Model is a base model that the engines of a service can load.
@@ -117,8 +117,8 @@
 	Burst float64
 	// ByTokens: one unit is one token, and a request that states no tokens costs PlainCost. Otherwise each request
 	// costs 1 unit.
-	ByTokens  bool
-	PlainCost float64
+	ByTokens    bool
+	DefaultCost float64
 }
 
 // Adapter identifies an adapter of a base model; an empty Name means the base model itself.
@@ -141,7 +141,7 @@
 	Version int64
 }
 
-func (AdapterVersion) isFact() {}
+func (AdapterVersion) isDeclaration() {}
 
 // Upstream is what an upstream declares about itself.
 type Upstream struct {
@@ -149,19 +149,19 @@
 	Service    string
 	Address    string
 	DataCentre string
-	Places     int
+	BatchSlots int
 	// Draining upstreams take no new requests.
 	Draining bool
-	// Born is the start time in Unix milliseconds. If it changes, the upstream has restarted and lost its state.
-	Born int64
-	// ColdFor is how much longer the upstream stays cold, counted from when it wrote its entry. A cold upstream is slow
+	// StartedMillis is the start time in Unix milliseconds. If it changes, the upstream has restarted and lost its state.
+	StartedMillis int64
+	// ColdRemaining is how much longer the upstream stays cold, counted from when it wrote its entry. A cold upstream is slow
 	// and must be sent few requests.
-	ColdFor time.Duration
+	ColdRemaining time.Duration
 	// Models lists the models that were loaded when the upstream last reported them.
 	Models []LoadedModel
 }
 
-func (Upstream) isFact() {}
+func (Upstream) isDeclaration() {}
 
 // LoadedModel is a base model in an upstream's memory, with its adapters.
 type LoadedModel struct {
