--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -33,7 +33,7 @@
 	LastEventID string
 }
 
-// Generation is the model and the size of a generation.
+// Generation describes what a request asks a model to generate: the model or adapter, and the token counts.
 type Generation struct {
 	// Adapter is empty for requests that need no model.
 	Adapter traffic.Adapter
@@ -62,7 +62,7 @@
 	return float64(c.Generation.PromptTokens + c.Generation.OutputTokens)
 }
 
-// Attempt holds what one attempt at an upstream states besides the call.
+// Attempt holds what one attempt to send a call to an upstream states besides the call.
 type Attempt struct {
 	// Upstream is the id of the only upstream that may run the request.
 	Upstream string
@@ -104,7 +104,7 @@
 	// Decode reads all but the body. It keeps no reference to the request's headers.
 	Decode(request *http.Request) (Call, error)
 	// RequestHeader returns the headers of an attempt: the call's own and those that the attempt adds.
-	RequestHeader(c Call, send Attempt) http.Header
+	RequestHeader(c Call, attempt Attempt) http.Header
 	// ParseResponse reads the headers of an upstream's response.
 	ParseResponse(response *http.Response) ResponseInfo
 	// SetRefusalHeader sets the headers of a response that the instance generates itself.
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -54,18 +54,18 @@
 	Info   call.ResponseInfo
 }
 
-// Do sends a call. If fresh is set, it opens a new connection: on a reused connection the call could cross with the
-// upstream's close, or read a late second response to an earlier call, and its outcome would be unknown.
+// Do sends a call. If newConnection is set, it opens a new connection: on a reused connection the call could cross with
+// the upstream's close, or read a late second response to an earlier call, and its outcome would be unknown.
 func (c *Client) Do(
-	ctx context.Context, upstream traffic.Upstream, outgoing call.Call, send call.Attempt, fresh bool,
+	ctx context.Context, upstream traffic.Upstream, outgoing call.Call, attempt call.Attempt, newConnection bool,
 ) (result *Response, err error) {
 	request := &http.Request{
 		Method:        outgoing.Method,
 		URL:           &url.URL{Scheme: "http", Host: upstream.Address, Opaque: outgoing.Target},
 		Host:          outgoing.Host,
-		Header:        c.Dialect.RequestHeader(outgoing, send),
+		Header:        c.Dialect.RequestHeader(outgoing, attempt),
 		ContentLength: int64(len(outgoing.Body)),
-		Close:         fresh,
+		Close:         newConnection,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
--- a/internal/gateway/serve/dialect_test.go
+++ b/internal/gateway/serve/dialect_test.go
@@ -72,12 +72,12 @@
 }
 
 // RequestHeader returns the headers of an attempt.
-func (dialect) RequestHeader(c call.Call, send call.Attempt) http.Header {
+func (dialect) RequestHeader(c call.Call, attempt call.Attempt) http.Header {
 	header := c.Header.Clone()
-	header.Set(headerUpstream, send.Upstream)
-	header.Set(headerWorkspace, send.Workspace)
-	header.Set(headerRemaining, strconv.FormatInt(send.Remaining.Milliseconds(), 10))
-	header.Set(headerLastEvent, send.LastEventID)
+	header.Set(headerUpstream, attempt.Upstream)
+	header.Set(headerWorkspace, attempt.Workspace)
+	header.Set(headerRemaining, strconv.FormatInt(attempt.Remaining.Milliseconds(), 10))
+	header.Set(headerLastEvent, attempt.LastEventID)
 	return header
 }
 
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -48,7 +48,7 @@
 // response.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
-	h.State.WithLock(func(a *SharedState) { a.Retries.Of(j.service).First() })
+	h.State.WithLock(func(state *SharedState) { state.Retries.Of(j.service).First() })
 	var last error
 	for j.attempts < maxAttempts && len(j.tried) < maxTried {
 		if ctx.Err() != nil {
@@ -114,7 +114,7 @@
 
 // takeRetry takes a retry from the retry budget of the service.
 func (j *job) takeRetry() (allowed bool) {
-	j.handler.State.WithLock(func(a *SharedState) { allowed = a.Retries.Of(j.service).Allow() })
+	j.handler.State.WithLock(func(state *SharedState) { allowed = state.Retries.Of(j.service).Allow() })
 	return allowed
 }
 
@@ -125,7 +125,7 @@
 	j.attempts++
 	now := time.Now()
 	var attempt *pool.Attempt
-	h.State.WithLock(func(a *SharedState) { attempt = a.Pool.Begin(now, choice, query) })
+	h.State.WithLock(func(state *SharedState) { attempt = state.Pool.Begin(now, choice, query) })
 	h.Fleet.NotifyHolder(choice.Upstream.ID)
 	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
 	exchangeCtx, cancel := context.WithCancelCause(ctx)
@@ -166,14 +166,14 @@
 	if outcome == resultBroken && ctx.Err() == nil && !errors.Is(err, errNoData) {
 		j.handler.Fleet.ReportBrokenResponse(upstream, j.fingerprint)
 	}
-	j.handler.State.WithLock(func(a *SharedState) {
+	j.handler.State.WithLock(func(state *SharedState) {
 		now := time.Now()
-		a.Pool.Finish(now, attempt, end)
+		state.Pool.Finish(now, attempt, end)
 		if outcome == resultMisdirected {
-			a.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
+			state.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
 		}
 		if outcome == resultServed {
-			a.Suspects.Completed(now, j.fingerprint)
+			state.Suspects.Completed(now, j.fingerprint)
 		}
 	})
 }
@@ -182,7 +182,7 @@
 func (j *job) exchange(
 	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, attempt *pool.Attempt,
 ) (result, error) {
-	send := call.Attempt{
+	info := call.Attempt{
 		Upstream:    choice.Upstream.ID,
 		Workspace:   j.workspace.Name,
 		Remaining:   time.Until(j.deadline),
@@ -191,11 +191,11 @@
 		LastEventID: j.call.LastEventID,
 	}
 	if j.lastEvent != "" {
-		send.LastEventID = j.lastEvent
+		info.LastEventID = j.lastEvent
 	}
 	silenceTimer := time.AfterFunc(j.silenceTimeout(choice), func() { cancel(errNoData) })
 	defer silenceTimer.Stop()
-	response, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.IsRepeatable())
+	response, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, info, !j.route.IsRepeatable())
 	if err != nil {
 		if errors.Is(err, forward.ErrNotConnected) {
 			return resultUnreached, err
@@ -262,7 +262,7 @@
 	}
 	if errors.Is(why, pool.ErrFull) {
 		var retryAfter time.Duration
-		j.handler.State.WithLock(func(a *SharedState) { retryAfter = a.Pool.RetryWhenFull(time.Now(), query) })
+		j.handler.State.WithLock(func(state *SharedState) { retryAfter = state.Pool.RetryWhenFull(time.Now(), query) })
 		j.step("full").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).
 			Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
 		return refusal.New(refusal.Busy, "the upstreams are full").WithRetryAfter(retryAfter)
--- a/internal/gateway/serve/first_event_test.go
+++ b/internal/gateway/serve/first_event_test.go
@@ -25,12 +25,12 @@
 func TestFirstEventNotifiesHolderIfPromptsTakeTurns(t *testing.T) {
 	for _, inTurn := range []bool{true, false} {
 		is := is.New(t)
-		advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+		state := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 		upstream := traffic.Upstream{ID: "u", Service: "s", StartedMillis: 1}
-		advice.Pool.Declare(time.Now(), upstream)
+		state.Pool.Declare(time.Now(), upstream)
 		fleet := &notifications{}
-		j := &job{handler: &Handler{Fleet: fleet, State: advice}, startedAt: time.Now(), upstream: "u", inTurn: inTurn}
-		attempt := advice.Pool.Begin(time.Now(), pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
+		j := &job{handler: &Handler{Fleet: fleet, State: state}, startedAt: time.Now(), upstream: "u", inTurn: inTurn}
+		attempt := state.Pool.Begin(time.Now(), pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
 		r := &relay{job: j, response: &forward.Response{}, attempt: attempt}
 		r.recordEvent()
 		r.recordEvent() // later events cause no notification
--- a/internal/gateway/serve/holder_busy_test.go
+++ b/internal/gateway/serve/holder_busy_test.go
@@ -47,13 +47,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Retries: &retry.Budgets{}}
-			advice.Pool.Configure(map[string]traffic.Service{"s": {Name: "s", Engine: &traffic.Engine{AdapterSlots: 5}}})
+			state := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Retries: &retry.Budgets{}}
+			state.Pool.Configure(map[string]traffic.Service{"s": {Name: "s", Engine: &traffic.Engine{AdapterSlots: 5}}})
 			for i := range 12 {
-				advice.Pool.Declare(time.Now(), traffic.Upstream{ID: fmt.Sprint("u", i), Service: "s", BatchSlots: 8})
+				state.Pool.Declare(time.Now(), traffic.Upstream{ID: fmt.Sprint("u", i), Service: "s", BatchSlots: 8})
 			}
 			fleet := &busyFleet{queried: make(map[string]bool), shortest: c.least}
-			h := &Handler{Fleet: fleet, State: advice, Log: zerolog.Nop()}
+			h := &Handler{Fleet: fleet, State: state, Log: zerolog.Nop()}
 			j := &job{
 				handler: h, startedAt: time.Now(), deadline: time.Now().Add(10 * time.Minute), service: "s",
 				call: call.Call{Generation: call.Generation{Adapter: traffic.Adapter{Model: "m", Name: "a"}, PromptTokens: 1000}},
--- a/internal/gateway/serve/placement.go
+++ b/internal/gateway/serve/placement.go
@@ -56,7 +56,7 @@
 	if required {
 		query.Version = newest
 	}
-	j.handler.State.WithLock(func(a *SharedState) { choice, err = a.Pool.Choose(time.Now(), query) })
+	j.handler.State.WithLock(func(state *SharedState) { choice, err = state.Pool.Choose(time.Now(), query) })
 	return choice, query, err
 }
 
@@ -69,8 +69,8 @@
 	}
 	var retryAfter time.Duration
 	refused := false
-	j.handler.State.WithLock(func(a *SharedState) {
-		retryAfter, refused = a.Pool.Refuse(time.Now(), query, choice, budget)
+	j.handler.State.WithLock(func(state *SharedState) {
+		retryAfter, refused = state.Pool.Refuse(time.Now(), query, choice, budget)
 	})
 	if !refused {
 		return nil
@@ -84,7 +84,9 @@
 // ensureReady has the adapter loaded at the chosen upstream, and waits for the prefill turn if prompts take turns
 // there.
 func (j *job) ensureReady(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
-	j.handler.State.WithLock(func(a *SharedState) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
+	j.handler.State.WithLock(func(state *SharedState) {
+		j.inTurn = query.Adapter.Model != "" && state.Pool.PromptsTakeTurns(query.Service)
+	})
 	tokens := 0
 	if j.inTurn {
 		tokens = query.Tokens
@@ -117,11 +119,11 @@
 		return false
 	}
 	valid := false
-	j.handler.State.WithLock(func(a *SharedState) {
+	j.handler.State.WithLock(func(state *SharedState) {
 		if ok && query.Adapter.Model != "" {
-			a.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
+			state.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
 		}
-		valid = a.Pool.IsChoiceValid(choice.Upstream)
+		valid = state.Pool.IsChoiceValid(choice.Upstream)
 	})
 	return valid
 }
@@ -133,7 +135,7 @@
 	if j.inTurn {
 		tokens = 0
 	}
-	j.handler.State.WithLock(func(a *SharedState) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
+	j.handler.State.WithLock(func(state *SharedState) { waiting = state.Pool.Prepare(choice.Upstream.ID, tokens) })
 	if tokens > 0 {
 		j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 	}
@@ -154,12 +156,12 @@
 	if j.shortestWait == 0 || busy.RetryAfter < j.shortestWait {
 		j.shortestWait = busy.RetryAfter
 	}
-	j.handler.State.WithLock(func(a *SharedState) {
+	j.handler.State.WithLock(func(state *SharedState) {
 		switch {
 		case choice.Cold:
-			a.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
+			state.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
 		case !choice.Loaded:
-			a.Pool.RecordSlotWait(choice.Upstream.ID, busy.RetryAfter)
+			state.Pool.RecordSlotWait(choice.Upstream.ID, busy.RetryAfter)
 		}
 	})
 }
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -42,22 +42,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+			state := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 			upstream := traffic.Upstream{ID: "u", Service: "s", StartedMillis: 1}
-			advice.Pool.Declare(time.Now(), upstream)
+			state.Pool.Declare(time.Now(), upstream)
 			query := pool.Query{Service: "s", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Tokens: 1000}
 			choice := pool.Choice{Upstream: upstream, Loaded: c.loaded}
-			attempt := advice.Pool.Begin(time.Now(), choice, query)
+			attempt := state.Pool.Begin(time.Now(), choice, query)
 			for range 50 {
 				attempt.RecordPause(true)
 			}
 			drain := func() {
 				if c.draining {
 					upstream.Draining = true
-					advice.Pool.Declare(time.Now(), upstream)
+					state.Pool.Declare(time.Now(), upstream)
 				}
 			}
-			h := &Handler{Fleet: holderless{beforeReply: drain}, State: advice, Log: zerolog.Nop()}
+			h := &Handler{Fleet: holderless{beforeReply: drain}, State: state, Log: zerolog.Nop()}
 			j := &job{handler: h, startedAt: time.Now(), deadline: time.Now().Add(time.Second)}
 			is.Equal(j.ensureReady(t.Context(), &choice, query), c.ready)
 		})
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -52,8 +52,8 @@
 }
 
 // mayRetryFailure reports whether a failure response of the upstream is dropped for another attempt, and takes that
-// retry from the budget. The decision is made first because after the response is dropped there is nothing else to send to
-// the caller.
+// retry from the budget. The decision is made first because after the response is dropped there is nothing else to send
+// to the caller.
 func (j *job) mayRetryFailure() bool {
 	if j.started {
 		return true // a failure in the middle of a stream cannot be forwarded
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -35,8 +35,8 @@
 	ConfirmedAge() time.Duration
 	// MayBeStale reports whether changes of the configuration may be missing that operators expect to be in force.
 	MayBeStale() bool
-	// NewestVersion returns the newest declared version of an adapter, 0 if none was declared. If required is set, requests
-	// must not start on an older version any more.
+	// NewestVersion returns the newest declared version of an adapter, 0 if none was declared. If required is set,
+	// requests must not start on an older version any more.
 	NewestVersion(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare asks for an adapter to be loaded at an upstream and waits for the result.
 	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
@@ -63,10 +63,10 @@
 }
 
 // WithLock calls a function with the mutex locked.
-func (a *SharedState) WithLock(use func(a *SharedState)) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	use(a)
+func (s *SharedState) WithLock(use func(s *SharedState)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	use(s)
 }
 
 // Handler serves callers. Set the exported fields before the first request.
@@ -137,7 +137,7 @@
 	}
 	err = j.run(ctx)
 	if !j.mayHaveRun {
-		h.State.WithLock(func(a *SharedState) { a.Ledger.Refund(j.workspace.Name, j.cost) })
+		h.State.WithLock(func(state *SharedState) { state.Ledger.Refund(j.workspace.Name, j.cost) })
 	}
 	return err
 }
@@ -250,13 +250,13 @@
 	admitted := false
 	shareSpent := false
 	verdict := suspect.Free
-	j.handler.State.WithLock(func(a *SharedState) {
-		verdict, retryAfter = a.Suspects.Judge(now, j.fingerprint)
+	j.handler.State.WithLock(func(state *SharedState) {
+		verdict, retryAfter = state.Suspects.Judge(now, j.fingerprint)
 		if verdict != suspect.Refused {
-			retryAfter, admitted = a.Ledger.Admit(now, j.workspace.Name, j.cost)
+			retryAfter, admitted = state.Ledger.Admit(now, j.workspace.Name, j.cost)
 		}
 		if admitted {
-			shareSpent = len(a.Ledger.TakeUrgentRecipients(now)) > 0
+			shareSpent = len(state.Ledger.TakeUrgentRecipients(now)) > 0
 		}
 	})
 	if shareSpent {
--- a/internal/gateway/traffic/traffic.go
+++ b/internal/gateway/traffic/traffic.go
@@ -152,10 +152,11 @@
 	BatchSlots int
 	// Draining upstreams take no new requests.
 	Draining bool
-	// StartedMillis is the start time in Unix milliseconds. If it changes, the upstream has restarted and lost its state.
+	// StartedMillis is the start time in Unix milliseconds. If it changes, the upstream has restarted and lost its
+	// state.
 	StartedMillis int64
-	// ColdRemaining is how much longer the upstream stays cold, counted from when it wrote its entry. A cold upstream is slow
-	// and must be sent few requests.
+	// ColdRemaining is how much longer the upstream stays cold, counted from when it wrote its entry. A cold upstream is
+	// slow and must be sent few requests.
 	ColdRemaining time.Duration
 	// Models lists the models that were loaded when the upstream last reported them.
 	Models []LoadedModel
