--- a/internal/admission/rate/simulation_test.go
+++ b/internal/admission/rate/simulation_test.go
@@ -113,13 +113,13 @@
 func (w *simulation) read(n *node) func() bool {
 	began := time.Now()
 	if !w.readable(n) {
-		n.tracker.ReadFailed(began)
+		n.tracker.RecordReadFailure(began)
 		return func() bool { return true }
 	}
 	seen := w.stored()
 	return w.toNode(n, func() {
 		n.install(seen)
-		n.tracker.ReadConfirmed(began, seen.head.Revision)
+		n.tracker.RecordRead(began, seen.head.Revision)
 	})
 }
 
@@ -130,9 +130,9 @@
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  asked, Revision: revision, ConfirmedAge: age,
+			SentAt: asked, Revision: revision, ConfirmedAge: age,
 		}
-		w.inTransit = append(w.inTransit, w.toNode(from, func() { from.tracker.Replied(reply) }))
+		w.inTransit = append(w.inTransit, w.toNode(from, func() { from.tracker.RecordReply(reply) }))
 	})
 }
 
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -45,8 +45,8 @@
 	return f.daemon.directory.Release(ctx, member.Address, request)
 }
 
-// AskTokens asks a member for a loan.
-func (f fleet) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
+// BorrowTokens asks a member for a loan.
+func (f fleet) BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
 	return f.daemon.directory.AskTokens(ctx, member.Address, request)
 }
 
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -25,7 +25,7 @@
 	d := h.daemon
 	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
 	d.ledger.ApplyReturns(sender, beat.Returns)
-	d.tracker.Told(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
+	d.tracker.RecordHeartbeat(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
 	d.learn(time.Now(), beat)
 	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
 	defer cancel()
@@ -53,7 +53,7 @@
 // Pins lists this instance's pins on an upstream.
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
-	pins, noted := d.pipeline.Pins.On(upstream, epoch)
+	pins, noted := d.pipeline.Pins.ForUpstream(upstream, epoch)
 	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: noted, Pins: pins}
 }
 
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -192,7 +192,7 @@
 	if r.Fresh() != nil {
 		return
 	}
-	err := u.engine.Role(u.context, roleServing, action.Fence)
+	err := u.engine.SetRole(u.context, roleServing, action.Fence)
 	if err == nil {
 		r.tell(u, holder.FenceNoted(action))
 		return
@@ -258,7 +258,7 @@
 			return false, err
 		}
 		if err := u.engine.Unload(ctx, r.order(action.Evict, action.Fence)); err != nil {
-			return errors.Is(err, engine.ErrUnknown), err
+			return errors.Is(err, engine.ErrOutcomeUnknown), err
 		}
 	}
 	if err := r.Fresh(); err != nil {
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -32,7 +32,7 @@
 type Engine interface {
 	Load(ctx context.Context, order engine.Order) error
 	Unload(ctx context.Context, order engine.Order) error
-	Role(ctx context.Context, role string, fence int64) error
+	SetRole(ctx context.Context, role string, fence int64) error
 	Report(ctx context.Context) (engine.Report, error)
 	Cancel(ctx context.Context, id string) error
 }
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (s *scene) Role(context.Context, string, int64) error { return nil }
+func (s *scene) SetRole(context.Context, string, int64) error { return nil }
 
 func (s *scene) Report(context.Context) (engine.Report, error) {
 	return engine.Report{Incarnation: "e", Age: time.Hour}, nil
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -75,7 +75,7 @@
 		}
 		now := time.Now()
 		n.advice.WithLock(func(a *serve.SharedState) {
-			a.Suspects.Crashed(now, fingerprints)
+			a.Suspects.RecordCrash(now, fingerprints)
 			a.Pool.RecordCrash(now, id)
 		})
 		n.Log.Warn().Str("Upstream", id).Int("Requests", len(fingerprints)).Msg("UpstreamCrashed")
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -36,7 +36,7 @@
 
 	mutex        sync.Mutex
 	planner      residence.Planner
-	prefillQueue turn.Line
+	prefillQueue turn.Queue
 	changed      chan struct{}
 	fenced       bool
 	hasReport    bool
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -259,7 +259,7 @@
 	for _, vacant := range free {
 		subjects = append(subjects, vacant.upstream.ID)
 	}
-	ranks := roster.Turns(subjects, names, held, n.self.Name)
+	ranks := roster.TakeoverRanks(subjects, names, held, n.self.Name)
 	for _, vacant := range free {
 		id := vacant.upstream.ID
 		since, found := n.heldUpstreams.vacantSince[id]
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -189,14 +189,14 @@
 	n.advice = &serve.SharedState{
 		Pool:     &pool.Pool{Settings: settings},
 		Ledger:   &quota.Ledger{Self: n.self.Name},
-		Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 		Retries:  retryBudgets(n.Settings.Retries),
 	}
 }
 
 // retryBudgets returns the share of this instance in the retry budget of the fleet.
 func retryBudgets(settings RetrySettings) *retry.Budgets {
-	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, Most: settings.Slack / roster.Parts(0)}
+	return &retry.Budgets{Ratio: settings.Ratio * retryRatioUsed, MaxUnused: settings.Slack / roster.LimitParts(0)}
 }
 
 // retryRatioUsed leaves a part of the retry budget of the fleet for requests that are counted at another instance or in
--- a/internal/entry/node/prefill_queue.go
+++ b/internal/entry/node/prefill_queue.go
@@ -17,7 +17,7 @@
 // expected wait immediately.
 func (h *heldUpstream) awaitPrefillTurn(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) (time.Duration, bool) {
 	prompt := &turn.Prompt{
-		Tokens: request.Tokens, Priority: request.Priority, OnTimeUntil: deadline,
+		Tokens: request.Tokens, Priority: request.Priority, LatestDispatch: deadline,
 	}
 	h.node.advice.WithLock(func(a *serve.SharedState) { prompt.Prefill = a.Pool.Prefill(h.upstream.ID, request.Tokens) })
 	h.enqueuePrompt(prompt)
@@ -46,16 +46,16 @@
 
 func (h *heldUpstream) enqueuePrompt(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.prefillQueue.Join(time.Now(), prompt)
-	tokens := h.prefillQueue.Tokens()
+	h.prefillQueue.Enqueue(time.Now(), prompt)
+	tokens := h.prefillQueue.QueuedTokens()
 	h.mutex.Unlock()
 	h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
 func (h *heldUpstream) dequeuePrompt(prompt *turn.Prompt) {
 	h.mutex.Lock()
-	h.prefillQueue.Leave(prompt)
-	tokens := h.prefillQueue.Tokens()
+	h.prefillQueue.Remove(prompt)
+	tokens := h.prefillQueue.QueuedTokens()
 	h.mutex.Unlock()
 	h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
@@ -68,11 +68,11 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if load.PromptTokens == 0 {
-		h.prefillQueue.Idle(now)
+		h.prefillQueue.PrefillDone(now)
 	}
-	nextTry, taken = h.prefillQueue.Take(now, prompt, load.Running > 0)
-	if !taken && h.prefillQueue.IsHopeless(now, prompt) {
+	nextTry, taken = h.prefillQueue.TryDispatch(now, prompt, load.Running > 0)
+	if !taken && h.prefillQueue.ShouldReject(now, prompt) {
 		nextTry = time.Time{}
 	}
-	return h.prefillQueue.Wait(now, prompt), nextTry, taken
+	return h.prefillQueue.QueueingDelay(now, prompt), nextTry, taken
 }
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -163,7 +163,7 @@
 // holder. The store view is locked. Without the report the new holder would treat adapters in use as idle and evict
 // them.
 func (n *Node) reportToNewHolder(key string) {
-	upstream, found := roster.HeldUpstream(key)
+	upstream, found := roster.UpstreamOfHolderKey(key)
 	holder, held := n.view.roster.Holder(upstream)
 	if !found || !held || holder.Instance == n.self.Name {
 		return
--- a/internal/entry/node/reports_test.go
+++ b/internal/entry/node/reports_test.go
@@ -32,7 +32,7 @@
 	n.peers = &mesh.Peers{Links: link.Links{Credentials: insecure.NewCredentials()}}
 	n.advice = &serve.SharedState{
 		Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Ledger: &quota.Ledger{Self: "self"},
-		Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 	}
 	for i := range others {
 		name := fmt.Sprint("peer", i)
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -115,7 +115,7 @@
 	holders := n.view.liveHolders()
 	n.advice.WithLock(func(a *serve.SharedState) {
 		state.Spent = a.Ledger.OwnTotals()
-		state.Suspects = a.Suspects.Own(now)
+		state.Suspects = a.Suspects.LocalCounts(now)
 		state.Evidence = a.Pool.Evidence()
 		state.Loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
 	})
@@ -174,7 +174,7 @@
 		if !outdated {
 			a.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
 		}
-		a.Suspects.Merge(now, record.Instance, state.Suspects)
+		a.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
 		a.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
 		a.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
 	})
--- a/internal/entry/pipeline/meter_charge_test.go
+++ b/internal/entry/pipeline/meter_charge_test.go
@@ -30,7 +30,7 @@
 		members := []rate.Identity{identity}
 		install := func(head rate.Head) {
 			ledger.Install(head)
-			tracker.ReadConfirmed(time.Now(), head.Revision)
+			tracker.RecordRead(time.Now(), head.Revision)
 			tracker.Install(freshness.Head{Revision: head.Revision, Epoch: 1, Members: []freshness.Member{self}})
 		}
 		install(rate.Head{Revision: 1, Since: 1, Members: members})
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -109,7 +109,7 @@
 		Spent:    quota.Totals{"w": 12.5},
 		Loads:    map[string]pool.Load{"u": {Running: 3, PromptTokens: 4000, MemoryTokens: 9000, InUse: []traffic.Adapter{a}}},
 		Suspects: []suspect.Count{{Fingerprint: "f", Crashes: 2, Cleared: 1}},
-		Evidence: map[string]forecast.Evidence{"s": engine.Own()},
+		Evidence: map[string]forecast.Evidence{"s": engine.LocalEvidence()},
 	}
 	content, err := mesh.EncodeState(state)
 	is.NoErr(err)
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -48,7 +48,7 @@
 // response.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
-	h.State.WithLock(func(state *SharedState) { state.Retries.Of(j.service).First() })
+	h.State.WithLock(func(state *SharedState) { state.Retries.For(j.service).CountFirstTry() })
 	var last error
 	for j.attempts < maxAttempts && len(j.tried) < maxTried {
 		if ctx.Err() != nil {
@@ -114,7 +114,7 @@
 
 // takeRetry takes a retry from the retry budget of the service.
 func (j *job) takeRetry() (allowed bool) {
-	j.handler.State.WithLock(func(state *SharedState) { allowed = state.Retries.Of(j.service).Allow() })
+	j.handler.State.WithLock(func(state *SharedState) { allowed = state.Retries.For(j.service).Allow() })
 	return allowed
 }
 
@@ -173,7 +173,7 @@
 			state.Pool.RecordMissingAdapter(upstream.ID, query.Adapter)
 		}
 		if outcome == resultServed {
-			state.Suspects.Completed(now, j.fingerprint)
+			state.Suspects.RecordCompletion(now, j.fingerprint)
 		}
 	})
 }
--- a/internal/gateway/serve/harness_test.go
+++ b/internal/gateway/serve/harness_test.go
@@ -130,9 +130,9 @@
 	}
 	ledger := &quota.Ledger{}
 	ledger.SetLimits(time.Now().Add(-time.Minute), map[string]quota.Limit{"own": {Rate: 1000, Burst: 1000}})
-	retries := &retry.Budgets{Ratio: 1, Most: 100}
+	retries := &retry.Budgets{Ratio: 1, MaxUnused: 100}
 	for range 100 {
-		retries.Of("app").First()
+		retries.For("app").CountFirstTry()
 	}
 	h.handler = &serve.Handler{
 		Dialect: dialect{},
@@ -140,7 +140,7 @@
 		Forward: &forward.Client{Dialect: dialect{}},
 		State: &serve.SharedState{
 			Pool: p, Ledger: ledger, Retries: retries,
-			Suspects: &suspect.Register{Settings: suspect.DefaultSettings()},
+			Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 		},
 		Log:   zerolog.Nop(),
 		Scope: tally.NoopScope,
--- a/internal/gateway/serve/sends_test.go
+++ b/internal/gateway/serve/sends_test.go
@@ -98,9 +98,9 @@
 func TestPoisonousRequestIsStopped(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, served)
-	fingerprint := suspect.Of("own", "POST a.example/once/", []byte("poison"))
+	fingerprint := suspect.FingerprintOf("own", "POST a.example/once/", []byte("poison"))
 	for range 3 {
-		h.handler.State.Suspects.Crashed(time.Now(), []suspect.Fingerprint{fingerprint})
+		h.handler.State.Suspects.RecordCrash(time.Now(), []suspect.Fingerprint{fingerprint})
 	}
 	response, _, err := h.call("/once/", "poison")
 	is.NoErr(err)
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -56,7 +56,7 @@
 type SharedState struct {
 	Pool     *pool.Pool
 	Ledger   *quota.Ledger
-	Suspects *suspect.Register
+	Suspects *suspect.Tracker
 	Retries  *retry.Budgets
 
 	mutex sync.Mutex
@@ -245,7 +245,7 @@
 func (j *job) admit() error {
 	now := time.Now()
 	j.cost = j.call.Cost(j.workspace)
-	j.fingerprint = suspect.Of(j.workspace.Name, j.call.Method+" "+j.call.Host+j.call.Target, j.call.Body)
+	j.fingerprint = suspect.FingerprintOf(j.workspace.Name, j.call.Method+" "+j.call.Host+j.call.Target, j.call.Body)
 	var retryAfter time.Duration
 	admitted := false
 	shareSpent := false
--- a/internal/measure/capacity/placement.go
+++ b/internal/measure/capacity/placement.go
@@ -37,7 +37,7 @@
 	}
 	r.SetUpstreams(declared)
 	for i := range size.Upstreams {
-		r.Learn(now, summary(i, now))
+		r.UpdateSummary(now, summary(i, now))
 	}
 	return r
 }
@@ -79,7 +79,7 @@
 		if i%2 == 1 {
 			s.Resident = told[(i+1)%len(told)].Resident
 		}
-		r.Learn(now, s)
+		r.UpdateSummary(now, s)
 	})
 }
 
--- a/internal/measure/policy/simulation.go
+++ b/internal/measure/policy/simulation.go
@@ -197,10 +197,10 @@
 
 func (s *simulation) shareSuspects() {
 	for _, from := range s.entries {
-		counts := from.suspects.Own(s.clock.now)
+		counts := from.suspects.LocalCounts(s.clock.now)
 		for _, to := range s.entries {
 			if to != from {
-				to.suspects.Merge(s.clock.now, from.name, counts)
+				to.suspects.SetPeerCounts(s.clock.now, from.name, counts)
 			}
 		}
 	}
--- a/internal/placement/deployment/policy.go
+++ b/internal/placement/deployment/policy.go
@@ -34,7 +34,7 @@
 		Broker:          broker.DefaultSettings(),
 		Suspect:         suspect.DefaultSettings(),
 		RetryRatio:      retry.DefaultRatio,
-		MaxSavedRetries: retry.DefaultMost,
+		MaxSavedRetries: retry.DefaultMaxUnused,
 	}
 }
 
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -67,8 +67,8 @@
 	inUse      map[traffic.Adapter]bool
 	recent     []traffic.Adapter
 	// fullLoads and reloads predict load times from the weight store and from a copy near the upstream.
-	fullLoads forecast.Load
-	reloads   forecast.Load
+	fullLoads forecast.LoadTime
+	reloads   forecast.LoadTime
 	grantedAt time.Time
 	grantPace time.Duration
 	// unanswered is the last order if it got no answer; repeats counts how often it was given.
@@ -250,7 +250,7 @@
 		p.residents = make(map[traffic.Adapter]*resident)
 		p.waiters = make(map[traffic.Adapter]*waiterGroup)
 		p.newest = make(map[traffic.Adapter]int64)
-		p.fullLoads.Guess = cmp.Or(p.LoadEstimate, forecast.GuessLoad)
-		p.reloads.Guess = cmp.Or(p.ReloadEstimate, forecast.GuessReload)
+		p.fullLoads.InitialEstimate = cmp.Or(p.LoadEstimate, forecast.InitialLoadTime)
+		p.reloads.InitialEstimate = cmp.Or(p.ReloadEstimate, forecast.InitialReloadTime)
 	}
 }
