--- /dev/null
+++ b/internal/gateway/serve/placement.go
@@ -0,0 +1,187 @@
+package serve
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"lacewingrock.example/lacewingrock/internal/caller/refusal"
+	"lacewingrock.example/lacewingrock/internal/fleet/mesh"
+	"lacewingrock.example/lacewingrock/internal/placement/pool"
+)
+
+// placement.go chooses the upstream for the next attempt and prepares it: the adapter is loaded, and the prompt has its
+// prefill turn.
+
+// maxQueries bounds the holders that are queried for one choice: each query costs a request some milliseconds, and
+// after a few upstreams the best of them is good enough.
+const maxQueries = 3
+
+// chooseWithFreshLoad chooses an upstream, and queries its holder if the reported load there is too old.
+//
+// This matters for popular adapters. Load reports between instances are a quarter of a second old in a small fleet and
+// some seconds old in a large one. All instances would send to the upstream that looked best at that time, where
+// prompts queue while the next upstream is idle.
+func (j *job) chooseWithFreshLoad(ctx context.Context) (choice pool.Choice, query pool.Query, err error) {
+	var queried []string
+	for len(queried) < maxQueries {
+		choice, query, err = j.choose(nil)
+		known := !choice.LoadStale || slices.Contains(queried, choice.Upstream.ID)
+		if err != nil || known {
+			return choice, query, err
+		}
+		j.handler.Fleet.QueryHolder(ctx, choice.Upstream.ID)
+		queried = append(queried, choice.Upstream.ID)
+	}
+	// An upstream that was not queried would look idle just because its load is stale, so choose among the queried
+	// ones.
+	return j.choose(queried)
+}
+
+// choose picks an upstream, from the candidates if any are given.
+func (j *job) choose(candidates []string) (choice pool.Choice, query pool.Query, err error) {
+	newest, required := j.handler.Fleet.NewestVersion(j.call.Generation.Adapter)
+	query = pool.Query{
+		Service:    j.service,
+		Adapter:    j.call.Generation.Adapter,
+		Tokens:     j.call.Generation.PromptTokens,
+		Output:     j.call.Generation.OutputTokens,
+		Exclude:    j.tried,
+		Candidates: candidates,
+		Alone:      j.alone,
+
+		OnTime:    time.Until(j.startedAt.Add(j.route.Objective)),
+		Objective: j.route.Objective,
+	}
+	if required {
+		query.Version = newest
+	}
+	j.handler.State.WithLock(func(state *SharedState) { choice, err = state.Pool.Choose(time.Now(), query) })
+	return choice, query, err
+}
+
+// shedLoad refuses a request that would be late because of the requests queued before it.
+func (j *job) shedLoad(choice pool.Choice, query pool.Query) error {
+	budget := pool.TimeBudget{
+		OnTime:    time.Until(j.startedAt.Add(j.route.Objective)),
+		Remaining: time.Until(j.deadline),
+		Objective: j.route.Objective,
+	}
+	var retryAfter time.Duration
+	refused := false
+	j.handler.State.WithLock(func(state *SharedState) {
+		retryAfter, refused = state.Pool.Refuse(time.Now(), query, choice, budget)
+	})
+	if !refused {
+		return nil
+	}
+	j.step("refused").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).Int("Waiting", choice.Waiting).
+		Int64("ExpectedMillis", choice.Expected.Milliseconds()).Int64("IdleMillis", choice.ExpectedIdle.Milliseconds()).
+		Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
+	return refusal.New(refusal.Busy, "the service has more to do than fits").WithRetryAfter(retryAfter)
+}
+
+// ensureReady has the adapter loaded at the chosen upstream, and waits for the prefill turn if prompts take turns
+// there.
+func (j *job) ensureReady(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
+	j.handler.State.WithLock(func(state *SharedState) {
+		j.inTurn = query.Adapter.Model != "" && state.Pool.PromptsTakeTurns(query.Service)
+	})
+	tokens := 0
+	if j.inTurn {
+		tokens = query.Tokens
+	}
+	return choice.Loaded && !j.inTurn && !choice.Cold || j.prepare(ctx, choice, query, tokens)
+}
+
+// prepare asks the holder of the chosen upstream for the adapter, and for a prefill turn if tokens is not 0.
+func (j *job) prepare(ctx context.Context, choice *pool.Choice, query pool.Query, tokens int) bool {
+	start := time.Now()
+	waiting := j.beginPreparing(*choice, query)
+	prepared := j.handler.Fleet.Prepare(ctx, mesh.PrepareRequest{
+		Upstream: choice.Upstream.ID,
+		Adapter:  query.Adapter,
+		Version:  query.Version,
+		Patience: j.holderTimeout(*choice),
+		OnTime:   j.onTimeFor(*choice),
+		Priority: j.priority,
+		Tokens:   tokens,
+	})
+	j.endPreparing(*choice, waiting)
+	loaded, ok := prepared.(mesh.Loaded)
+	j.step("prepared").Str("Upstream", choice.Upstream.ID).Str("Adapter", query.Adapter.String()).
+		Bool("Loaded", ok).Int64("WaitMillis", choice.SlotWait.Milliseconds()).Int64("TookMillis", time.Since(start).Milliseconds()).Msg("Decision")
+	if busy, refused := prepared.(mesh.Busy); refused {
+		j.recordBusy(*choice, busy)
+	}
+	_, notHeld := prepared.(mesh.NotHolder)
+	if !ok && (!notHeld || !choice.Loaded || choice.Cold) { // without a holder no turns are granted
+		return false
+	}
+	valid := false
+	j.handler.State.WithLock(func(state *SharedState) {
+		if ok && query.Adapter.Model != "" {
+			state.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
+		}
+		valid = state.Pool.IsChoiceValid(choice.Upstream)
+	})
+	return valid
+}
+
+// beginPreparing counts the prompt as in flight before it is sent, and reports it to the holder. If prompts take turns,
+// the holder counts it itself.
+func (j *job) beginPreparing(choice pool.Choice, query pool.Query) (waiting pool.Preparation) {
+	tokens := query.Tokens
+	if j.inTurn {
+		tokens = 0
+	}
+	j.handler.State.WithLock(func(state *SharedState) { waiting = state.Pool.Prepare(choice.Upstream.ID, tokens) })
+	if tokens > 0 {
+		j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
+	}
+	return waiting
+}
+
+// endPreparing reverses beginPreparing.
+func (j *job) endPreparing(choice pool.Choice, waiting pool.Preparation) {
+	j.handler.State.WithLock(func(*SharedState) { waiting.Done() })
+	j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
+}
+
+// recordBusy records the wait that a holder stated when its upstream had no free adapter slot or prefill turn.
+func (j *job) recordBusy(choice pool.Choice, busy mesh.Busy) {
+	if busy.RetryAfter <= 0 {
+		return
+	}
+	if j.shortestWait == 0 || busy.RetryAfter < j.shortestWait {
+		j.shortestWait = busy.RetryAfter
+	}
+	j.handler.State.WithLock(func(state *SharedState) {
+		switch {
+		case choice.Cold:
+			state.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
+		case !choice.Loaded:
+			state.Pool.RecordSlotWait(choice.Upstream.ID, busy.RetryAfter)
+		}
+	})
+}
+
+// onTimeFor returns how long the request can wait for its adapter and its prefill turn and still be on time. A request
+// that is late because of its own length may wait as long as other requests may be queued.
+func (j *job) onTimeFor(choice pool.Choice) time.Duration {
+	elapsed := time.Since(j.startedAt)
+	return max(j.route.Objective-choice.ExpectedIdle, j.route.Objective/2) - elapsed
+}
+
+// holderTimeout returns how long the holder may take to answer, since it may be frozen. If the adapter is loaded, the
+// request can continue without the holder.
+func (j *job) holderTimeout(choice pool.Choice) time.Duration {
+	remaining := time.Until(j.deadline)
+	if choice.Loaded {
+		return min(remaining, j.onTimeFor(choice)+turnGrace)
+	}
+	return remaining
+}
+
+// turnGrace is how much longer than its time to be on time a request may wait for a prefill turn.
+const turnGrace = 200 * time.Millisecond
--- a/internal/gateway/traffic/table_test.go
+++ b/internal/gateway/traffic/table_test.go
@@ -62,7 +62,7 @@
 	is.Equal(traffic.Route{Targets: []traffic.Target{{Service: "a"}}}.PickService(), "a")
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestIsRepeatable(t *testing.T) {
 	is := is.New(t)
 	is.True(traffic.Route{Execution: traffic.Idempotent}.IsRepeatable())
 	is.True(!traffic.Route{Execution: traffic.AtMostOnce, Resumable: true}.IsRepeatable())
