--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -45,7 +45,7 @@
 	}
 	scope, exposition, scopeCloser := metrics.New("lacewingd")
 	d.scope = scope
-	d.directory = &peer.Directory{Links: link.Links{Credentials: clientCredentials}}
+	d.directory = &peer.Client{Links: link.Links{Credentials: clientCredentials}}
 	d.assembleConfiguration()
 	policy := d.policy()
 	d.assemblePlacement(policy)
@@ -95,12 +95,12 @@
 func (d *Daemon) assemblePlacement(policy deployment.Policy) {
 	members := peerClient{daemon: d, local: handler{daemon: d}}
 	d.holding = &holding.Runner{
-		Settings: policy.Holder,
-		Peers:    members,
-		Engine:   func(address string) holding.Engine { return d.engines.clientFor(address, d.engineLimits()) },
-		Source:   d.weightSource,
-		Fresh:    d.tracker.Fresh,
-		Log:      d.Log,
+		Settings:       policy.Holder,
+		Peers:          members,
+		Engine:         func(address string) holding.Engine { return d.engines.clientFor(address, d.engineLimits()) },
+		Source:         d.weightSource,
+		CheckFreshness: d.tracker.Fresh,
+		Log:            d.Log,
 	}
 	d.holding.Prepare()
 	d.brokering = &brokering.Runner{Settings: policy.Broker}
--- a/internal/entry/pipeline/token_reservation.go
+++ b/internal/entry/pipeline/token_reservation.go
@@ -95,7 +95,7 @@
 		Workspace: request.Workspace,
 		Tokens:    request.Tokens,
 		Borrower:  p.Self,
-		Spare:     request.SpareOnly,
+		SpareOnly: request.SpareOnly,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
--- a/internal/gateway/serve/holder_busy_test.go
+++ b/internal/gateway/serve/holder_busy_test.go
@@ -28,7 +28,7 @@
 func (f *busyFleet) QueryHolder(context.Context, string)         {}
 func (f *busyFleet) NotifyHolder(string)                         {}
 
-func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
+func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.PrepareResult {
 	f.queried[request.Upstream] = true
 	return mesh.Busy{RetryAfter: f.shortest + 100*time.Millisecond*time.Duration(len(f.queried)-1)}
 }
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -39,7 +39,7 @@
 	// requests must not start on an older version any more.
 	NewestVersion(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare asks for an adapter to be loaded at an upstream and waits for the result.
-	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
+	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.PrepareResult
 	// QueryHolder asks the holder of an upstream for the loaded adapters and the requests in flight there, for the next
 	// choice.
 	QueryHolder(ctx context.Context, upstream string)
