--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -11,19 +11,19 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/roster"
 )
 
-// beat is how often each link carries a message in these tests, in simulated time.
-const beat = 250 * time.Millisecond
+// heartbeatInterval is how often each link carries a message in these tests, in simulated time.
+const heartbeatInterval = 250 * time.Millisecond
 
 // member is an instance of a simulated fleet.
 type member struct {
 	instance roster.Instance
 	table    gossip.Table
-	dead     bool
+	failed   bool
 	messages int
 	received map[string]int
 }
 
-// fleet is instances that all know each other, with a message each way over each link at every step.
+// fleet simulates instances that all know each other. Each call of exchange sends a message in each direction over each link.
 type fleet struct {
 	now     time.Time
 	members []*member
@@ -34,76 +34,76 @@
 	f := &fleet{now: time.Unix(1000, 0), links: make(map[[2]string][2]*gossip.Link)}
 	for i := range instances {
 		name := fmt.Sprintf("instance%04d", i)
-		one := &member{
+		m := &member{
 			instance: roster.Instance{Name: name, DataCentre: fmt.Sprint("dc", i%dataCentres)},
 			received: make(map[string]int),
 		}
-		one.table.Self = name
-		one.table.SetOwn(gossip.PartGeneral, []byte("first"), false)
-		f.members = append(f.members, one)
+		m.table.Self = name
+		m.table.SetOwn(gossip.PartGeneral, []byte("first"), false)
+		f.members = append(f.members, m)
 	}
 	return f
 }
 
 func (f *fleet) live() (instances []roster.Instance, byName map[string]*member) {
 	byName = make(map[string]*member)
-	for _, one := range f.members {
-		if !one.dead {
-			instances = append(instances, one.instance)
-			byName[one.instance.Name] = one
+	for _, m := range f.members {
+		if !m.failed {
+			instances = append(instances, m.instance)
+			byName[m.instance.Name] = m
 		}
 	}
 	return instances, byName
 }
 
-// step carries a message each way over each link of the fleet that lives.
-func (f *fleet) step() {
-	f.now = f.now.Add(beat)
+// exchange sends a message in each direction over each link between live instances.
+func (f *fleet) exchange() {
+	f.now = f.now.Add(heartbeatInterval)
 	instances, byName := f.live()
 	topology := gossip.NewTopology(instances)
 	kept := make(map[[2]string][2]*gossip.Link)
-	for _, one := range f.members {
-		if one.dead {
+	for _, m := range f.members {
+		if m.failed {
 			continue
 		}
-		for _, peer := range topology.Links(one.instance, func(string) bool { return true }) {
-			bothRelays := topology.IsRelay(one.instance.Name) && topology.IsRelay(peer.Name)
-			if bothRelays && one.instance.Name > peer.Name {
+		for _, peer := range topology.Links(m.instance, func(string) bool { return true }) {
+			bothRelays := topology.IsRelay(m.instance.Name) && topology.IsRelay(peer.Name)
+			if bothRelays && m.instance.Name > peer.Name {
 				continue
 			}
-			key := [2]string{one.instance.Name, peer.Name}
+			key := [2]string{m.instance.Name, peer.Name}
 			ends, found := f.links[key]
 			if !found {
 				ends = [2]*gossip.Link{{}, {Attached: !bothRelays}}
 			}
 			kept[key] = ends
-			f.carry(one, byName[peer.Name], ends[0], ends[1])
-			f.carry(byName[peer.Name], one, ends[1], ends[0])
+			f.send(m, byName[peer.Name], ends[0], ends[1])
+			f.send(byName[peer.Name], m, ends[1], ends[0])
 		}
 	}
 	f.links = kept
 }
 
-func (f *fleet) carry(from, to *member, near, far *gossip.Link) {
+func (f *fleet) send(from, to *member, near, far *gossip.Link) {
 	from.messages++
 	for _, record := range to.table.Merge(f.now, far, from.table.Due(f.now, near, to.instance.Name)) {
 		to.received[record.Instance]++
 	}
 }
 
-// Guards against states that do not reach everybody, or reach the same instance more than once: with copies over
-// each link the bytes between data centres would grow with the number of links.
+// Guards against states that do not reach every instance, or reach an instance more than once: with a copy over each
+// link, the bytes between data centres would grow with the number of links.
 func TestEveryStateReachesEveryInstanceOnce(t *testing.T) {
 	for _, c := range []struct{ instances, dataCentres int }{{2, 1}, {7, 3}, {12, 3}, {81, 3}, {195, 5}, {330, 11}} {
 		t.Run(fmt.Sprint(c.instances), func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(c.instances, c.dataCentres)
 			for range 4 {
-				f.step()
+				f.exchange()
 			}
-			for _, one := range f.members {
-				is.Equal(len(one.received), c.instances-1)
-				for _, count := range one.received {
+			for _, m := range f.members {
+				is.Equal(len(m.received), c.instances-1)
+				for _, count := range m.received {
 					is.Equal(count, 1)
 				}
 			}
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against a cost of one instance that grows as the fleet does.
+// Guards against a number of links per instance that grows in proportion to the fleet.
 func TestLinksOfOneInstanceGrowSlowerThanTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ instances, dataCentres, mostRelay, mostOther int }{
@@ -121,12 +121,12 @@
 		instances, _ := f.live()
 		topology := gossip.NewTopology(instances)
 		links := make(map[string]int)
-		for _, one := range instances {
-			for _, peer := range topology.Links(one, func(string) bool { return true }) {
-				if topology.IsRelay(one.Name) && topology.IsRelay(peer.Name) && one.Name > peer.Name {
+		for _, m := range instances {
+			for _, peer := range topology.Links(m, func(string) bool { return true }) {
+				if topology.IsRelay(m.Name) && topology.IsRelay(peer.Name) && m.Name > peer.Name {
 					continue
 				}
-				links[one.Name]++
+				links[m.Name]++
 				links[peer.Name]++
 			}
 		}
@@ -142,44 +142,44 @@
 	}
 }
 
-// Guards against instances that are not heard of any more because the relay between them is gone.
+// Guards against states that no longer reach an instance after the relay between them has failed.
 func TestStatesArriveAfterRelaysAreLost(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(195, 5)
 	for range 4 {
-		f.step()
+		f.exchange()
 	}
 	instances, _ := f.live()
 	topology := gossip.NewTopology(instances)
 	lost := 0
-	for _, one := range f.members {
-		if topology.IsRelay(one.instance.Name) && lost < 8 {
-			one.dead = true
+	for _, m := range f.members {
+		if topology.IsRelay(m.instance.Name) && lost < 8 {
+			m.failed = true
 			lost++
 		}
 	}
-	for _, one := range f.members {
-		one.table.SetOwn(gossip.PartGeneral, []byte("second"), true)
+	for _, m := range f.members {
+		m.table.SetOwn(gossip.PartGeneral, []byte("second"), true)
 	}
 	for range 4 {
-		f.step()
+		f.exchange()
 	}
-	for _, one := range f.members {
-		if one.dead {
+	for _, m := range f.members {
+		if m.failed {
 			continue
 		}
 		for _, other := range f.members {
-			if other.dead || other == one {
+			if other.failed || other == m {
 				continue
 			}
-			is.True(one.received[other.instance.Name] >= 2)
-			is.True(f.now.Sub(one.table.LastHeard(other.instance.Name)) <= time.Second)
+			is.True(m.received[other.instance.Name] >= 2)
+			is.True(f.now.Sub(m.table.LastHeard(other.instance.Name)) <= time.Second)
 		}
 	}
 }
 
-// Guards against an instance that restarts with a clock set back, whose new state would count as older than the one
-// that the others remember.
+// Guards against an instance that restarts with its clock set back: its new state would have a lower version than the
+// state that the others have stored, and would be ignored.
 func TestStateOfARestartedInstanceIsNewer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/gossip/table.go
+++ b/internal/fleet/gossip/table.go
@@ -1,59 +1,60 @@
-// Package gossip has each instance know the latest state of all others, at a cost that hardly grows with the fleet.
-// Some instances are relays; each of the others is attached to one (see Topology). The state of an attached instance
-// goes to its relay, from there to all relays, and from each of them to those attached to it, so that every instance
-// receives it once. What a state holds is not looked at. The package decides without sockets; the caller reads the
-// runtime's clock and passes the time in.
+// Package gossip distributes the latest state of each instance to all others, at a cost per instance that grows slower
+// than the fleet. Some instances are relays; each of the others is attached to one relay (see Topology). An attached
+// instance sends its state to its relay, the relay sends it to all relays, and each of them sends it to its attached
+// instances, so that every instance receives it once. The content of a state is opaque. The package has no sockets and
+// reads no clock; the caller passes the time in.
 package gossip
 
 import "time"
 
 const (
-	// pulseEvery is how often it is passed on that an instance lives whose state has not changed.
-	pulseEvery = 500 * time.Millisecond
-	// attachedFor is how long an instance counts as attached here after it was last heard over such a link. Its
-	// state is passed on to the other relays for as long.
-	attachedFor = 2 * time.Second
+	// livenessInterval is how often the liveness of an instance whose state has not changed is forwarded.
+	livenessInterval = 500 * time.Millisecond
+	// attachmentTTL is how long an instance counts as attached after its last record over a link of an attached
+	// instance. This instance forwards its state to the other relays during that time.
+	attachmentTTL = 2 * time.Second
 )
 
-// Part of an instance's state that has versions of its own.
+// Part is a part of an instance's state that is versioned on its own.
 type Part int
 
-// The parts.
+// Parts of the state.
 const (
-	// PartGeneral changes all the time, and is refreshed the less often the larger the fleet. Whether an instance lives
-	// goes with it.
+	// PartGeneral changes continuously. The larger the fleet, the less often it is refreshed. It also carries the
+	// liveness of the instance.
 	PartGeneral Part = iota
-	// PartHeld is about the upstreams that the instance holds.
+	// PartHeld describes the upstreams that the instance holds.
 	PartHeld
-	// PartSpent is what the instance has admitted for the workspaces for which it did so lately.
+	// PartSpent is what the instance has admitted for the workspaces that it admitted requests of recently.
 	PartSpent
 
-	parts = iota
+	partCount = iota
 )
 
-// Record is a part of the state of an instance.
+// Record is one part of the state of an instance.
 type Record struct {
 	Instance string
 	Part     Part
-	// Version rises with each change, also over restarts.
+	// Version increases with each change, also across restarts.
 	Version int64
-	// Age is how long ago the instance was last known to be alive.
+	// Age is the time since the instance was last known to be alive.
 	Age time.Duration
-	// Urgent records are passed on at once.
+	// Urgent records are forwarded immediately.
 	Urgent bool
 	// Content is nil if only the age has changed.
 	Content []byte
 }
 
-// Table is what one instance knows of all others. Set Self and Version before use; it is not safe for use by several
-// goroutines.
+// Table holds the latest known state of every instance. Set Self and Version before use. It is not safe for concurrent
+// use.
 type Table struct {
 	Self string
-	// Version of the instance's own state; starts above any that an earlier incarnation used.
+	// Version is the version of the instance's own state. It must start above all versions that an earlier incarnation
+	// used.
 	Version int64
 
-	entries map[key]*entry
-	lives   map[string]*life
+	entries  map[key]*entry
+	liveness map[string]*liveness
 }
 
 type key struct {
@@ -63,132 +64,133 @@
 
 // entry is the latest version of one part.
 type entry struct {
-	version int64
-	urgent  bool
-	content []byte
-	life    *life
+	version  int64
+	urgent   bool
+	content  []byte
+	liveness *liveness
 }
 
-// life is when an instance was last known to be alive, and when something of it last came over a link of an attached
-// instance.
-type life struct {
-	heard    time.Time
-	attached time.Time
+// liveness is when an instance was last known to be alive, and when a record of it last arrived over a link of an
+// attached instance.
+type liveness struct {
+	lastAlive    time.Time
+	lastAttached time.Time
 }
 
-// Link is what went over one connection. The zero value is a new one.
+// Link is the state of one end of a link: what the other end has. The zero value is a new link.
 type Link struct {
-	// Attached: the other end is attached to this instance.
+	// Attached is set if the other end is attached to this instance.
 	Attached bool
 
-	passed  map[key]passed
-	transit transit
+	peerRecords map[key]peerRecord
+	transit     transit
 }
 
-// passed is what the other end knows of a part.
-type passed struct {
-	version int64
-	heard   time.Time
+// peerRecord is the version and liveness of a part that the other end has.
+type peerRecord struct {
+	version   int64
+	lastAlive time.Time
 }
 
-// SetOwn replaces a part of the own state.
+// SetOwn replaces a part of this instance's state.
 func (t *Table) SetOwn(part Part, content []byte, urgent bool) {
 	t.Version++
-	own := t.entry(key{instance: t.Self, part: part})
+	own := t.entryOf(key{instance: t.Self, part: part})
 	own.version = t.Version
 	own.content = content
 	own.urgent = urgent
 }
 
-// Heard takes note that an instance was alive at a moment.
+// Heard records that an instance was alive at a given time.
 func (t *Table) Heard(name string, at time.Time) {
-	if one := t.life(name); at.After(one.heard) {
-		one.heard = at
+	if live := t.livenessOf(name); at.After(live.lastAlive) {
+		live.lastAlive = at
 	}
 }
 
-// LastHeard is when an instance was last known to be alive, zero if never.
+// LastHeard returns when an instance was last known to be alive, or the zero time.
 func (t *Table) LastHeard(name string) time.Time {
-	if one := t.lives[name]; one != nil {
-		return one.heard
+	if live := t.liveness[name]; live != nil {
+		return live.lastAlive
 	}
 	return time.Time{}
 }
 
-// Each calls a function with each other instance and when it was last known to be alive.
+// Each calls visit with each other instance and the time when it was last known to be alive.
 func (t *Table) Each(visit func(name string, heard time.Time)) {
-	for name, one := range t.lives {
+	for name, live := range t.liveness {
 		if name != t.Self {
-			visit(name, one.heard)
+			visit(name, live.lastAlive)
 		}
 	}
 }
 
-// Forget drops the instances that were last alive before a moment.
+// Forget removes the instances that were last known to be alive before a given time.
 func (t *Table) Forget(before time.Time) {
-	for name, one := range t.lives {
-		if name != t.Self && one.heard.Before(before) {
-			delete(t.lives, name)
-			for part := range Part(parts) {
+	for name, live := range t.liveness {
+		if name != t.Self && live.lastAlive.Before(before) {
+			delete(t.liveness, name)
+			for part := range Part(partCount) {
 				delete(t.entries, key{instance: name, part: part})
 			}
 		}
 	}
 }
 
-// Due gives what the other end of a link lacks, and takes it that it will get it.
+// Due returns the records that the other end of a link lacks, and marks them as sent.
 func (t *Table) Due(now time.Time, link *Link, peer string) (records []Record) {
-	if link.passed == nil {
-		link.passed = make(map[key]passed)
+	if link.peerRecords == nil {
+		link.peerRecords = make(map[key]peerRecord)
 	}
 	t.Heard(t.Self, now)
-	for of, one := range t.entries {
-		if of.instance == peer || one.version == 0 || !link.Attached && !t.isAttached(now, of.instance, one.life) {
+	for id, current := range t.entries {
+		if id.instance == peer || current.version == 0 || !link.Attached && !t.forwardsToRelays(now, id.instance, current.liveness) {
 			continue
 		}
-		before := link.passed[of]
-		newer := one.version > before.version
-		pulse := of.part == PartGeneral && one.life.heard.Sub(before.heard) >= pulseEvery
-		if !newer && !pulse {
+		previous := link.peerRecords[id]
+		newer := current.version > previous.version
+		livenessDue := id.part == PartGeneral && current.liveness.lastAlive.Sub(previous.lastAlive) >= livenessInterval
+		if !newer && !livenessDue {
 			continue
 		}
-		record := Record{Instance: of.instance, Part: of.part, Version: one.version, Age: now.Sub(one.life.heard)}
+		record := Record{Instance: id.instance, Part: id.part, Version: current.version, Age: now.Sub(current.liveness.lastAlive)}
 		if newer {
-			record.Content = one.content
-			record.Urgent = one.urgent
+			record.Content = current.content
+			record.Urgent = current.urgent
 		}
 		records = append(records, record)
-		link.passed[of] = passed{version: one.version, heard: one.life.heard}
+		link.peerRecords[id] = peerRecord{version: current.version, lastAlive: current.liveness.lastAlive}
 	}
 	return records
 }
 
-// Merge takes over what came over a link, and gives the parts that are new, own ones left out.
+// Merge applies the records received over a link, and returns those with new content. Records of this instance are
+// left out; they only raise its version.
 func (t *Table) Merge(now time.Time, link *Link, records []Record) (changed []Record) {
-	if link.passed == nil {
-		link.passed = make(map[key]passed)
+	if link.peerRecords == nil {
+		link.peerRecords = make(map[key]peerRecord)
 	}
 	for _, record := range records {
 		if record.Instance == t.Self {
 			t.Version = max(t.Version, record.Version)
 			continue
 		}
-		of := key{instance: record.Instance, part: record.Part}
-		one := t.entry(of)
+		id := key{instance: record.Instance, part: record.Part}
+		current := t.entryOf(id)
 		heard := now.Add(-record.Age)
 		t.Heard(record.Instance, heard)
 		if link.Attached {
-			one.life.attached = now
+			current.liveness.lastAttached = now
 		}
-		if known := link.passed[of]; record.Version >= known.version {
-			link.passed[of] = passed{version: record.Version, heard: heard}
+		if known := link.peerRecords[id]; record.Version >= known.version {
+			link.peerRecords[id] = peerRecord{version: record.Version, lastAlive: heard}
 		}
-		if record.Content == nil || record.Version <= one.version {
+		if record.Content == nil || record.Version <= current.version {
 			continue
 		}
-		one.version = record.Version
-		one.content = record.Content
-		one.urgent = record.Urgent
+		current.version = record.Version
+		current.content = record.Content
+		current.urgent = record.Urgent
 		changed = append(changed, record)
 	}
 	return changed
@@ -196,31 +198,31 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// isAttached tells whether a state is this instance's to pass on to other relays.
-func (t *Table) isAttached(now time.Time, name string, of *life) bool {
-	return name == t.Self || now.Sub(of.attached) < attachedFor
+// forwardsToRelays reports whether this instance forwards a state to the other relays.
+func (t *Table) forwardsToRelays(now time.Time, name string, live *liveness) bool {
+	return name == t.Self || now.Sub(live.lastAttached) < attachmentTTL
 }
 
-func (t *Table) entry(of key) *entry {
+func (t *Table) entryOf(id key) *entry {
 	if t.entries == nil {
 		t.entries = make(map[key]*entry)
 	}
-	one := t.entries[of]
-	if one == nil {
-		one = &entry{life: t.life(of.instance)}
-		t.entries[of] = one
+	current := t.entries[id]
+	if current == nil {
+		current = &entry{liveness: t.livenessOf(id.instance)}
+		t.entries[id] = current
 	}
-	return one
+	return current
 }
 
-func (t *Table) life(name string) *life {
-	if t.lives == nil {
-		t.lives = make(map[string]*life)
+func (t *Table) livenessOf(name string) *liveness {
+	if t.liveness == nil {
+		t.liveness = make(map[string]*liveness)
 	}
-	one := t.lives[name]
-	if one == nil {
-		one = &life{}
-		t.lives[name] = one
+	live := t.liveness[name]
+	if live == nil {
+		live = &liveness{}
+		t.liveness[name] = live
 	}
-	return one
+	return live
 }
--- a/internal/fleet/gossip/topology.go
+++ b/internal/fleet/gossip/topology.go
@@ -8,37 +8,38 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/roster"
 )
 
-// relays.go decides which instances keep a link.
+// topology.go decides which instances are relays and which instances keep a link.
 
-// fewestRelays is how many instances are relays at least. A fleet of as many has no others, and each instance has
-// a link to each other one.
-const fewestRelays = 11
+// minRelays is the smallest number of relays. In a fleet of at most this size every instance is a relay and has a
+// link to every other instance.
+const minRelays = 11
 
-// relaySubject is what relays are spread by.
+// relaySubject is the rendezvous-hashing subject that picks relays within a data centre.
 const relaySubject = "relay"
 
-// Topology is who is a relay among some instances.
+// Topology says which of the given instances are relays.
 type Topology struct {
 	instances []roster.Instance
 	relays    map[string]bool
 }
 
-// relaysPerRoot is how many relays there are for each one of the square root of the fleet. What a relay sends goes mostly
-// to those attached to it, who get the states of all; what it sends to another relay is of its own few.
+// relaysPerRoot is the number of relays divided by the square root of the fleet size. Most of what a relay sends goes to
+// the instances attached to it, which receive all states; to another relay it sends only its own state and those of its
+// attached instances.
 const relaysPerRoot = 2
 
-// NewTopology picks the relays: twice as many as the square root of the fleet, so that neither the links between relays
-// nor those of one relay to the instances attached to it grow as the fleet does, and spread over the data centres by
-// their sizes. Instances are in the order of their names; whoever knows the same ones picks the same relays.
+// NewTopology picks the relays. Their number is twice the square root of the fleet size, so that both the links of a
+// relay to other relays and its links to attached instances grow slower than the fleet. Each data centre gets a share
+// by its size. Instances must be sorted by name; every instance that has the same list picks the same relays.
 func NewTopology(instances []roster.Instance) Topology {
 	t := Topology{instances: instances, relays: make(map[string]bool)}
 	inDataCentre := make(map[string][]string)
 	for _, instance := range instances {
 		inDataCentre[instance.DataCentre] = append(inDataCentre[instance.DataCentre], instance.Name)
 	}
-	all := max(fewestRelays, math.Ceil(relaysPerRoot*math.Sqrt(float64(len(instances)))))
+	relayCount := max(minRelays, math.Ceil(relaysPerRoot*math.Sqrt(float64(len(instances)))))
 	for _, names := range inDataCentre {
-		count := int(math.Ceil(all * float64(len(names)) / float64(len(instances))))
+		count := int(math.Ceil(relayCount * float64(len(names)) / float64(len(instances))))
 		order := roster.Order(relaySubject, names)
 		for _, name := range order[:min(count, len(order))] {
 			t.relays[name] = true
@@ -47,12 +48,12 @@
 	return t
 }
 
-// IsRelay tells whether an instance is a relay.
+// IsRelay reports whether an instance is a relay.
 func (t Topology) IsRelay(name string) bool { return t.relays[name] }
 
-// Links lists the instances to which one keeps a link: a relay to all other relays, any other instance to one relay.
-// That is the first in its own order that is reachable, those of its data centre first. A relay besides keeps links to
-// the instances that are its own to look for, see Sought.
+// Links lists the instances to which an instance keeps a link: a relay to all other relays, any other instance to one
+// relay. That is the first reachable relay in the instance's own order, with relays of its data centre first. A relay
+// also opens links to the silent instances that it has to probe, see Sought.
 func (t Topology) Links(self roster.Instance, reachable func(name string) bool) (links []roster.Instance) {
 	var relays []roster.Instance
 	for _, instance := range t.instances {
@@ -70,7 +71,7 @@
 	order := roster.Order(self.Name, names)
 	slices.SortStableFunc(relays, func(a, b roster.Instance) int {
 		return cmp.Or(
-			falseFirst(a.DataCentre != self.DataCentre, b.DataCentre != self.DataCentre),
+			compareBools(a.DataCentre != self.DataCentre, b.DataCentre != self.DataCentre),
 			cmp.Compare(slices.Index(order, a.Name), slices.Index(order, b.Name)),
 		)
 	})
@@ -82,24 +83,24 @@
 	return relays[:1]
 }
 
-// Sought tells whether a relay is the one that looks for an instance of which nothing is heard.
+// Sought reports whether a relay is the one that has to probe a silent instance.
 //
-// Made for an instance that restarts while the store turns it away: it knows nobody, so that nobody would hear of it
-// and it would serve nobody, until the store takes it again.
-func (t Topology) Sought(self, lost string) bool {
+// This covers an instance that restarts while the store rejects it. It knows no peers and cannot open a link. Without
+// the probe no peer would learn that it is alive, and it would serve no requests until the store accepts it again.
+func (t Topology) Sought(self, silent string) bool {
 	if !t.relays[self] {
 		return false
 	}
 	var relays []string
 	for name := range t.relays {
-		if name != lost {
+		if name != silent {
 			relays = append(relays, name)
 		}
 	}
-	return roster.Rank(lost, self, relays) == 0
+	return roster.Rank(silent, self, relays) == 0
 }
 
-func falseFirst(a, b bool) int {
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// transit.go bounds how long messages over a link have been on their way. Clocks of instances differ, so neither end
-// can tell from the other's time when a message was made; but a message that answers one of its own cannot have been on
-// its way for longer than the round trip took.
+// transit.go bounds the transit time of messages over a link. The clocks of instances differ, so a receiver cannot
+// compute from the sender's time when a message was created. But a message that echoes a message of the receiver cannot
+// have been in transit for longer than the round trip.
 //
-// Made for an instance that is short of its processor: what it sends and what it is sent lies in buffers for seconds,
-// and what a message says of ages would be taken as of now.
+// Messages from and to an instance that is short of CPU wait in buffers for seconds. Without the bound, the ages in them
+// would be read as if the message had just been created.
 
-// Stamp goes with each message over a link. Its times count from when the sender, for Echo the receiver, made its end of
-// the link.
+// Stamp is part of each message over a link. Sent is measured from when the sender created its end of the link, Echo
+// from when the receiver created its end.
 type Stamp struct {
-	// Sent is when the message was made.
+	// Sent is when the message was created.
 	Sent time.Duration
-	// Echo is the Sent of the last message that the sender had received, and EchoAge is how long before this message
-	// it came. Echo is 0 if none has come.
+	// Echo is Sent of the last message that the sender received, 0 if there was none. EchoAge is the time between the
+	// arrival of that message and the creation of this one.
 	Echo    time.Duration
 	EchoAge time.Duration
 }
 
-// transit is what an end of a link keeps of the other's stamps.
+// transit holds the last stamp received at one end of a link.
 type transit struct {
-	sent     time.Duration
-	received time.Duration
+	lastSent   time.Duration
+	receivedAt time.Duration
 }
 
-// Stamp gives the stamp of a message that is made now.
+// Stamp returns the stamp of a message that is created now.
 func (l *Link) Stamp(now time.Duration) Stamp {
-	stamp := Stamp{Sent: now, Echo: l.transit.sent}
+	stamp := Stamp{Sent: now, Echo: l.transit.lastSent}
 	if stamp.Echo > 0 {
-		stamp.EchoAge = now - l.transit.received
+		stamp.EchoAge = now - l.transit.receivedAt
 	}
 	return stamp
 }
 
-// Receive takes note of the stamp of a message that has come, and gives the longest that the message can have been on
-// its way. It is not known until a message of this end has been answered.
-func (l *Link) Receive(now time.Duration, stamp Stamp) (longest time.Duration, known bool) {
-	l.transit = transit{sent: stamp.Sent, received: now}
+// Receive records the stamp of a received message, and returns an upper bound on the message's transit time. The bound
+// is unknown until the other end has echoed a message of this end.
+func (l *Link) Receive(now time.Duration, stamp Stamp) (maxTransit time.Duration, known bool) {
+	l.transit = transit{lastSent: stamp.Sent, receivedAt: now}
 	if stamp.Echo <= 0 {
 		return 0, false
 	}
--- a/internal/fleet/gossip/transit_test.go
+++ b/internal/fleet/gossip/transit_test.go
@@ -9,34 +9,34 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/gossip"
 )
 
-// Guards against an age that counts from when a message is taken up: messages lie in buffers at either end, and the two
-// clocks say nothing of each other.
+// Guards against ages that are computed from when a message is read: messages wait in buffers at both ends, and the two
+// clocks are unrelated.
 func TestMessageIsNeverTakenForYoungerThanItIs(t *testing.T) {
 	const clocksApart = time.Hour
 	for _, c := range []struct {
-		name        string
-		there, back time.Duration
-		// pause is how long the other end has the question before it makes its message.
+		name              string
+		outbound, inbound time.Duration
+		// pause is the time between the arrival of the request and the creation of the reply at the other end.
 		pause time.Duration
 	}{
-		{"both ways are short", time.Millisecond, time.Millisecond, 200 * time.Millisecond},
-		{"the answer lies in a buffer", time.Millisecond, 3 * time.Second, 200 * time.Millisecond},
-		{"the question lies in a buffer", 3 * time.Second, time.Millisecond, 200 * time.Millisecond},
-		{"both do", 2 * time.Second, 2 * time.Second, 0},
+		{"short delays", time.Millisecond, time.Millisecond, 200 * time.Millisecond},
+		{"reply waits in a buffer", time.Millisecond, 3 * time.Second, 200 * time.Millisecond},
+		{"request waits in a buffer", 3 * time.Second, time.Millisecond, 200 * time.Millisecond},
+		{"both wait in a buffer", 2 * time.Second, 2 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var near, far gossip.Link
 			sent := 10 * time.Second
-			question := near.Stamp(sent)
-			_, known := far.Receive(sent+c.there+clocksApart, question)
-			is.True(!known) // it answers nothing
-			made := sent + c.there + c.pause
-			answer := far.Stamp(made + clocksApart)
-			longest, known := near.Receive(made+c.back, answer)
+			request := near.Stamp(sent)
+			_, known := far.Receive(sent+c.outbound+clocksApart, request)
+			is.True(!known) // the request echoes no message
+			created := sent + c.outbound + c.pause
+			reply := far.Stamp(created + clocksApart)
+			maxTransit, known := near.Receive(created+c.inbound, reply)
 			is.True(known)
-			is.True(longest >= c.back)
-			is.True(longest <= c.there+c.back) // the pause is not counted
+			is.True(maxTransit >= c.inbound)
+			is.True(maxTransit <= c.outbound+c.inbound) // the pause is not counted
 		})
 	}
 }
