--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -1,4 +1,4 @@
-// Package link keeps the connections between instances: one to each peer, over which all calls to it go.
+// Package link manages the gRPC connections between instances: one to each peer, shared by all calls to it.
 package link
 
 import (
@@ -15,38 +15,39 @@
 )
 
 const (
-	// pingAfterIdle, the least that the library takes, and pingTimeout find a connection that has gone silent
-	// while new ones work, if nothing else does. Calls on it would time out one after the other.
-	pingAfterIdle = 10 * time.Second
-	pingTimeout   = 1 * time.Second
-	// pingAtMostEvery is how often a server lets a peer ping; the library takes more for an attack.
-	pingAtMostEvery = 500 * time.Millisecond
-	// firstRedial and longestRedial bound how late a restarted peer is heard again.
-	firstRedial   = 50 * time.Millisecond
-	longestRedial = 300 * time.Millisecond
-	// longestAnswer bounds what a peer may answer: a whole copy of the store, with the declared versions of
-	// some ten thousand adapters, is about ten megabytes.
-	longestAnswer = 64 << 20
-	// windowBytes is how much a peer may send ahead: a whole configuration. A window that is stated keeps the library
-	// from measuring one, for which it sends a ping with each message that comes.
+	// keepaliveInterval and keepaliveTimeout detect a dead connection while new connections to the peer work, if the
+	// failure counting in Heard does not. Each call on it would time out. The interval is the shortest that gRPC accepts.
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 1 * time.Second
+	// minKeepaliveInterval is the shortest ping interval that a server accepts; gRPC closes the connection of a peer
+	// that pings more often.
+	minKeepaliveInterval = 500 * time.Millisecond
+	// minReconnectBackoff and maxReconnectBackoff bound the delay until a restarted peer is connected again.
+	minReconnectBackoff = 50 * time.Millisecond
+	maxReconnectBackoff = 300 * time.Millisecond
+	// maxResponseBytes bounds a response of a peer. A snapshot of the store with the declared versions of about
+	// 10,000 adapters is about 10 MB.
+	maxResponseBytes = 64 << 20
+	// windowBytes is the flow-control window: room for a whole configuration. With a static window gRPC does not
+	// estimate the bandwidth-delay product, for which it sends a ping with each message received.
 	windowBytes = 1 << 20
-	// bufferBytes holds a usual heartbeat. The library's buffers of 32 KB, two for each connection, are several
-	// megabytes at an instance with eighty peers.
+	// bufferBytes has room for a typical heartbeat. gRPC's default buffers of 32 KB, two for each connection, take
+	// several megabytes at an instance with 80 peers.
 	bufferBytes = 4 << 10
-	// idleFor is how long a connection stays without a call on it. An instance of a large fleet reports to a few of
-	// the others at a time; kept for good, its connections would be most of its memory.
-	idleFor = 5 * time.Second
-	// silentCalls is how many heartbeats in a row may time out until the connection is replaced: they go out
-	// several times a second, so a silent connection costs under a second.
-	silentCalls = 2
+	// idleTimeout is how long a connection without calls stays open. An instance of a large fleet reports to a few
+	// others at a time; without the timeout, its connections would take most of its memory.
+	idleTimeout = 5 * time.Second
+	// maxFailedHeartbeats is the number of consecutive failed heartbeats after which the connection is replaced.
+	// Heartbeats are sent several times a second, so a dead connection is replaced in less than a second.
+	maxFailedHeartbeats = 2
 )
 
-// NewServer makes the server of the peers' calls. Register its services before it serves.
+// NewServer creates the gRPC server for calls from peers. Register its services before calling Serve.
 func NewServer(secured credentials.TransportCredentials) *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(secured),
 		grpc.ConnectionTimeout(socket.HandshakeWithin),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAtMostEvery, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}),
 		grpc.StaticStreamWindowSize(windowBytes),
 		grpc.StaticConnWindowSize(windowBytes),
 		grpc.ReadBufferSize(bufferBytes),
@@ -54,7 +55,7 @@
 	)
 }
 
-// Links are the connections to the peers, by their addresses. Set Credentials before the first call.
+// Links holds the connections to peers by address. Set Credentials before the first call.
 type Links struct {
 	Credentials credentials.TransportCredentials
 
@@ -63,11 +64,11 @@
 }
 
 type connection struct {
-	client *grpc.ClientConn
-	silent int
+	client           *grpc.ClientConn
+	failedHeartbeats int
 }
 
-// To gives the connection to a peer. It is made when the first call needs it.
+// To returns the connection to a peer. It is established by the first call that uses it.
 func (l *Links) To(address string) (client grpc.ClientConnInterface, err error) {
 	defer func() { err = errors.WithMessage(err, "link: connect") }()
 	l.mutex.Lock()
@@ -75,37 +76,37 @@
 	if known, found := l.connections[address]; found {
 		return known.client, nil
 	}
-	made, err := grpc.NewClient("passthrough:///"+address, l.options()...)
+	created, err := grpc.NewClient("passthrough:///"+address, l.options()...)
 	if err != nil {
 		return nil, err
 	}
 	if l.connections == nil {
 		l.connections = make(map[string]*connection)
 	}
-	l.connections[address] = &connection{client: made}
-	return made, nil
+	l.connections[address] = &connection{client: created}
+	return created, nil
 }
 
 func (l *Links) options() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(l.Credentials),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDisableRetry(), // a call that was sent may have taken effect; whoever calls decides about retries
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(longestAnswer)),
+		grpc.WithDisableRetry(), // a call that was sent may have taken effect; the caller decides on retries
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)),
 		grpc.WithStaticStreamWindowSize(windowBytes),
 		grpc.WithStaticConnWindowSize(windowBytes),
 		grpc.WithReadBufferSize(bufferBytes),
 		grpc.WithWriteBufferSize(bufferBytes),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfterIdle, Timeout: pingTimeout}),
-		grpc.WithIdleTimeout(idleFor),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstRedial, Multiplier: 2, Jitter: 0.2, MaxDelay: longestRedial},
-			MinConnectTimeout: pingTimeout,
+			Backoff:           backoff.Config{BaseDelay: minReconnectBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnectBackoff},
+			MinConnectTimeout: keepaliveTimeout,
 		}),
 	}
 }
 
-// Heard takes note of how a heartbeat ended, and replaces a connection on which they time out one after the other.
+// Heard records the result of a heartbeat. It closes the connection after maxFailedHeartbeats consecutive failures.
 func (l *Links) Heard(address string, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,31 +115,31 @@
 		return
 	}
 	if err == nil {
-		known.silent = 0
+		known.failedHeartbeats = 0
 		return
 	}
-	known.silent++
-	if known.silent >= silentCalls {
-		l.drop(address)
+	known.failedHeartbeats++
+	if known.failedHeartbeats >= maxFailedHeartbeats {
+		l.dropLocked(address)
 	}
 }
 
-// Drop closes the connection to a peer, if there is one, so that the next call makes a new one.
+// Drop closes the connection to a peer, if there is one. The next call opens a new one.
 func (l *Links) Drop(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.drop(address)
+	l.dropLocked(address)
 }
 
-// drop is Drop where the lock is held.
-func (l *Links) drop(address string) {
+// dropLocked is Drop for callers that hold the lock.
+func (l *Links) dropLocked(address string) {
 	if known := l.connections[address]; known != nil {
 		known.client.Close()
 		delete(l.connections, address)
 	}
 }
 
-// Keep closes the connections to all addresses but the given ones.
+// Keep closes the connections to all addresses except the given ones.
 func (l *Links) Keep(addresses map[string]bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
