--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -17,7 +17,7 @@
 	"lacewingrock.example/lacewingrock/internal/wire/meshpb"
 )
 
-// codec.go maps domain values to messages and back.
+// codec.go converts domain values to wire messages and back.
 
 func messageToWire(m Message) *meshpb.GossipMessage {
 	wire := &meshpb.GossipMessage{
@@ -93,7 +93,7 @@
 	}
 }
 
-// EncodeState gives the content of the general record of an instance.
+// EncodeState encodes the content of an instance's general record.
 func EncodeState(s State) ([]byte, error) {
 	wire := &meshpb.State{
 		Incarnation:      s.Incarnation,
@@ -117,9 +117,9 @@
 	return proto.Marshal(wire)
 }
 
-// DecodeState reads the content of the general record of an instance.
+// DecodeState decodes the content of an instance's general record.
 func DecodeState(content []byte) (s State, err error) {
-	defer func() { err = errors.WithMessage(err, "mesh: state") }()
+	defer func() { err = errors.WithMessage(err, "mesh: decode state") }()
 	var wire meshpb.State
 	if err := proto.Unmarshal(content, &wire); err != nil {
 		return s, err
@@ -163,7 +163,7 @@
 func evidenceFromWire(wire *meshpb.Evidence) (e forecast.Evidence, err error) {
 	terms := len(e.Moments)
 	if len(wire.GetMoments()) != terms || len(wire.GetSquares()) != terms*terms {
-		return e, errors.Errorf("evidence of %s has other terms", wire.GetService())
+		return e, errors.Errorf("evidence of service %s has the wrong number of terms", wire.GetService())
 	}
 	e.Answers = wire.GetAnswers()
 	copy(e.Moments[:], wire.GetMoments())
@@ -172,18 +172,18 @@
 	}
 	for _, value := range append(wire.GetSquares(), append(wire.GetMoments(), e.Answers)...) {
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return e, errors.Errorf("evidence of %s is no sum of squares", wire.GetService())
+			return e, errors.Errorf("evidence of service %s contains a negative, infinite or NaN value", wire.GetService())
 		}
 	}
 	return e, nil
 }
 
-// EncodeHeld gives the content of a record about the upstreams that an instance holds.
+// EncodeHeld encodes the content of a record about the upstreams that an instance holds.
 func EncodeHeld(r HeldReport) ([]byte, error) { return proto.Marshal(heldToWire(r)) }
 
-// DecodeHeld reads the content of a record about the upstreams that an instance holds.
+// DecodeHeld decodes the content of a record about the upstreams that an instance holds.
 func DecodeHeld(content []byte) (r HeldReport, err error) {
-	defer func() { err = errors.WithMessage(err, "mesh: held upstreams") }()
+	defer func() { err = errors.WithMessage(err, "mesh: decode held upstreams") }()
 	var wire meshpb.HeldReport
 	if err := proto.Unmarshal(content, &wire); err != nil {
 		return r, err
@@ -320,7 +320,7 @@
 
 func batchFromWire(wire *meshpb.CatchUpReply) (batch replica.Batch, err error) {
 	batch = replica.Batch{After: wire.GetAfter(), Through: wire.GetThrough(), Snapshot: wire.GetSnapshot()}
-	batch.Items, err = unpack(wire)
+	batch.Items, err = decompress(wire)
 	return batch, err
 }
 
--- a/internal/fleet/mesh/compression.go
+++ b/internal/fleet/mesh/compression.go
@@ -13,93 +13,94 @@
 	"lacewingrock.example/lacewingrock/internal/wire/meshpb"
 )
 
-// packing.go compresses what peers lack of the store, once for all that ask for the same.
+// compression.go compresses batches of the store's changes, once for all peers that request the same batch.
 
 const (
-	// packAbove is how large a batch is at least to be compressed.
-	packAbove = 1 << 10
-	// packedKept is how many compressed batches are kept. The peers of a relay are a few revisions apart.
-	packedKept = 8
-	// longestPacked bounds what a compressed batch may hold, as longestAnswer of the links does.
-	longestPacked = 64 << 20
+	// minCompressedBytes is the smallest batch that is compressed.
+	minCompressedBytes = 1 << 10
+	// maxCachedBatches is how many compressed batches are cached. The revisions of a relay's peers differ by a few.
+	maxCachedBatches = 8
+	// maxDecompressedBytes bounds the size of a decompressed batch, like maxResponseBytes of package link.
+	maxDecompressedBytes = 64 << 20
 )
 
-// packer is safe for use by several goroutines. The zero value is ready for use.
+// batchCompressor compresses batches and caches the results. It is safe for concurrent use. The zero value is ready for
+// use.
 //
-// Made for a relay, from which dozens of peers fetch the same changes at once. Compressed for each of them, a change of
-// a large fleet would take the relay's processor for seconds, and those that come last would go on by the old state.
-type packer struct {
+// Dozens of peers fetch the same changes from a relay at once. If the relay compressed them for each peer, a change of a
+// large fleet would take its CPU for seconds, and the peers served last would use the old state until then.
+type batchCompressor struct {
 	mutex  sync.Mutex
 	writer *gzip.Writer
-	kept   []packedBatch
+	cached []compressedBatch
 }
 
-type packedBatch struct {
-	after    int64
-	through  int64
-	snapshot bool
-	packed   []byte
+type compressedBatch struct {
+	after      int64
+	through    int64
+	snapshot   bool
+	compressed []byte
 }
 
-// reply gives the answer to a peer that lacks a batch.
-func (p *packer) reply(batch replica.Batch) (*meshpb.CatchUpReply, error) {
+// reply returns the response to a peer that lacks a batch.
+func (c *batchCompressor) reply(batch replica.Batch) (*meshpb.CatchUpReply, error) {
 	reply := &meshpb.CatchUpReply{After: batch.After, Through: batch.Through, Snapshot: batch.Snapshot}
 	size := 0
 	for _, item := range batch.Items {
 		size += len(item.Key) + len(item.Value)
 	}
-	if size < packAbove {
+	if size < minCompressedBytes {
 		reply.Items = itemsToWire(batch.Items)
 		return reply, nil
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for _, one := range p.kept {
-		if one.after == batch.After && one.through == batch.Through && one.snapshot == batch.Snapshot {
-			reply.Packed = one.packed
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, candidate := range c.cached {
+		if candidate.after == batch.After && candidate.through == batch.Through && candidate.snapshot == batch.Snapshot {
+			reply.Packed = candidate.compressed
 			return reply, nil
 		}
 	}
-	packed, err := p.pack(batch.Items)
+	compressed, err := c.compress(batch.Items)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.kept) == packedKept {
-		p.kept = p.kept[1:]
+	if len(c.cached) == maxCachedBatches {
+		c.cached = c.cached[1:]
 	}
-	p.kept = append(p.kept, packedBatch{
-		after: batch.After, through: batch.Through, snapshot: batch.Snapshot, packed: packed,
+	c.cached = append(c.cached, compressedBatch{
+		after: batch.After, through: batch.Through, snapshot: batch.Snapshot, compressed: compressed,
 	})
-	reply.Packed = packed
+	reply.Packed = compressed
 	return reply, nil
 }
 
-// pack compresses items; the lock is held.
-func (p *packer) pack(items []replica.Item) (packed []byte, err error) {
-	defer func() { err = errors.WithMessage(err, "mesh: pack") }()
+// compress compresses items. The caller holds the lock.
+func (c *batchCompressor) compress(items []replica.Item) (compressed []byte, err error) {
+	defer func() { err = errors.WithMessage(err, "mesh: compress batch") }()
 	content, err := proto.Marshal(&meshpb.Items{Items: itemsToWire(items)})
 	if err != nil {
 		return nil, err
 	}
 	var buffer bytes.Buffer
-	if p.writer == nil {
-		if p.writer, err = gzip.NewWriterLevel(&buffer, gzip.BestSpeed); err != nil {
+	if c.writer == nil {
+		if c.writer, err = gzip.NewWriterLevel(&buffer, gzip.BestSpeed); err != nil {
 			return nil, err
 		}
 	}
-	p.writer.Reset(&buffer)
-	if _, err := p.writer.Write(content); err != nil {
+	c.writer.Reset(&buffer)
+	if _, err := c.writer.Write(content); err != nil {
 		return nil, err
 	}
-	if err := p.writer.Close(); err != nil {
+	if err := c.writer.Close(); err != nil {
 		return nil, err
 	}
 	return buffer.Bytes(), nil
 }
 
-// unpack reads the items of a reply.
-func unpack(reply *meshpb.CatchUpReply) (items []replica.Item, err error) {
-	defer func() { err = errors.WithMessage(err, "mesh: unpack") }()
+// decompress returns the items of a reply, which may be compressed or not.
+func decompress(reply *meshpb.CatchUpReply) (items []replica.Item, err error) {
+	defer func() { err = errors.WithMessage(err, "mesh: decompress batch") }()
 	if len(reply.GetPacked()) == 0 {
 		return itemsFromWire(reply.GetItems()), nil
 	}
@@ -107,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	content, err := io.ReadAll(io.LimitReader(reader, longestPacked))
+	content, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -12,23 +12,23 @@
 	"lacewingrock.example/lacewingrock/internal/wire/meshpb"
 )
 
-// mesh.go makes and serves the peers' calls.
+// mesh.go contains the client and the server of the Mesh service.
 
-// NewServer makes the server of the peers' calls.
+// NewServer creates the gRPC server for calls from peers.
 func NewServer(handler Handler) *grpc.Server {
 	server := link.NewServer(insecure.NewCredentials())
-	meshpb.RegisterMeshServer(server, service{handler: handler, packer: &packer{}})
+	meshpb.RegisterMeshServer(server, service{handler: handler, compressor: &batchCompressor{}})
 	return server
 }
 
 type service struct {
 	meshpb.UnimplementedMeshServer
-	handler Handler
-	packer  *packer
+	handler    Handler
+	compressor *batchCompressor
 }
 
 func (s service) Gossip(stream grpc.BidiStreamingServer[meshpb.GossipMessage, meshpb.GossipMessage]) error {
-	return s.handler.Gossip(stream.Context(), streamOf{wire: stream})
+	return s.handler.Gossip(stream.Context(), wireGossipStream{wire: stream})
 }
 
 func (s service) Report(_ context.Context, wire *meshpb.LoadReport) (*meshpb.HeldReport, error) {
@@ -37,7 +37,7 @@
 }
 
 func (s service) CatchUp(_ context.Context, wire *meshpb.CatchUpRequest) (*meshpb.CatchUpReply, error) {
-	return s.packer.reply(s.handler.CatchUp(wire.GetAfter()))
+	return s.compressor.reply(s.handler.CatchUp(wire.GetAfter()))
 }
 
 func (s service) Prepare(ctx context.Context, wire *meshpb.PrepareRequest) (*meshpb.PrepareReply, error) {
@@ -46,10 +46,10 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Peers makes calls by address. Set Links.Credentials before the first call.
+// Peers calls peers by address. Set Links.Credentials before the first call.
 type Peers struct{ link.Links }
 
-// Gossip opens a link, which lasts until the context ends or the peer has enough of it.
+// Gossip opens a link. It stays open until the context ends or the peer closes it.
 func (p *Peers) Gossip(ctx context.Context, address string) (_ Stream, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: gossip") }()
 	client, err := p.client(address)
@@ -60,18 +60,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return streamOf{wire: stream}, nil
+	return wireGossipStream{wire: stream}, nil
 }
 
-// Report sends a holder what is in flight at its upstreams, and gives what others have there. A connection on which
-// reports time out one after the other is replaced.
+// Report sends a holder what this instance has in flight at its upstreams, and returns what the other instances have in
+// flight there. After consecutive failed reports the connection is replaced.
 func (p *Peers) Report(ctx context.Context, address string, report LoadReport) (HeldReport, error) {
-	answer, err := p.Ask(ctx, address, report)
+	held, err := p.Ask(ctx, address, report)
 	p.Heard(address, err)
-	return answer, err
+	return held, err
 }
 
-// Ask is a Report with little time for the answer. One that comes late says nothing of the connection.
+// Ask is Report for callers with a short deadline. A time-out does not count as a failure of the connection.
 func (p *Peers) Ask(ctx context.Context, address string, report LoadReport) (_ HeldReport, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: report") }()
 	client, err := p.client(address)
@@ -85,8 +85,8 @@
 	return heldFromWire(wire), nil
 }
 
-// CatchUp asks a peer for the changes after a revision. The answer is compressed: a configuration of thousands of
-// routes shrinks to a tenth, and each instance fetches it over a link of about a megabyte a second.
+// CatchUp requests the changes after a revision from a peer. The response is compressed: a configuration of thousands of
+// routes shrinks to a tenth, and each instance fetches it over a link of about 1 MB/s.
 func (p *Peers) CatchUp(ctx context.Context, address string, after int64) (_ replica.Batch, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: catch up") }()
 	client, err := p.client(address)
@@ -100,7 +100,7 @@
 	return batchFromWire(wire)
 }
 
-// Prepare asks the holder at address for an adapter and waits for it.
+// Prepare asks the holder at address to load an adapter, and waits until it is loaded.
 func (p *Peers) Prepare(ctx context.Context, address string, request PrepareRequest) (_ Prepared, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: prepare") }()
 	client, err := p.client(address)
@@ -124,19 +124,19 @@
 	return meshpb.NewMeshClient(connection), nil
 }
 
-// wireStream is either end of the library's stream.
+// wireStream is the part of a gRPC stream that both its client end and its server end have.
 type wireStream interface {
 	Send(message *meshpb.GossipMessage) error
 	Recv() (*meshpb.GossipMessage, error)
 }
 
-type streamOf struct{ wire wireStream }
+type wireGossipStream struct{ wire wireStream }
 
 // Send sends a message.
-func (s streamOf) Send(message Message) error { return s.wire.Send(messageToWire(message)) }
+func (s wireGossipStream) Send(message Message) error { return s.wire.Send(messageToWire(message)) }
 
-// Receive waits for a message.
-func (s streamOf) Receive() (Message, error) {
+// Receive waits for the next message.
+func (s wireGossipStream) Receive() (Message, error) {
 	wire, err := s.wire.Recv()
 	if err != nil {
 		return Message{}, err
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -23,15 +23,15 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// echo is a peer that keeps what it gets and answers as it is set.
+// echo is a peer that records the calls it receives and returns the configured responses.
 type echo struct {
-	messages []mesh.Message
-	report   mesh.LoadReport
-	held     mesh.HeldReport
-	asked    mesh.PrepareRequest
-	after    int64
-	batch    replica.Batch
-	prepared mesh.Prepared
+	messages       []mesh.Message
+	report         mesh.LoadReport
+	held           mesh.HeldReport
+	prepareRequest mesh.PrepareRequest
+	after          int64
+	batch          replica.Batch
+	prepared       mesh.Prepared
 }
 
 func (e *echo) Gossip(_ context.Context, stream mesh.Stream) error {
@@ -58,7 +58,7 @@
 }
 
 func (e *echo) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
-	e.asked = request
+	e.prepareRequest = request
 	return e.prepared
 }
 
@@ -77,7 +77,7 @@
 	return peer, peers, listener.Addr().String()
 }
 
-func TestMessagesArriveWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	peer, peers, address := serveEcho(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,14 +92,14 @@
 	}
 	for _, message := range messages {
 		is.NoErr(stream.Send(message))
-		answer, err := stream.Receive()
+		reply, err := stream.Receive()
 		is.NoErr(err)
-		is.Equal(answer, message)
+		is.Equal(reply, message)
 	}
 	is.Equal(peer.messages, messages)
 }
 
-func TestStateArrivesWhole(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	is := is.New(t)
 	a := traffic.Adapter{Model: "m", Name: "a"}
 	var engine forecast.Engine
@@ -120,7 +120,7 @@
 	is.True(err != nil)
 }
 
-func TestReportsArriveWhole(t *testing.T) {
+func TestReportsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	peer, peers, address := serveEcho(t)
 	a := traffic.Adapter{Model: "m", Name: "a"}
@@ -147,7 +147,7 @@
 	is.True(err != nil)
 }
 
-func TestChangesArriveWhole(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	is := is.New(t)
 	peer, peers, address := serveEcho(t)
 	peer.batch = replica.Batch{After: 3, Through: 9, Snapshot: true, Items: []replica.Item{
@@ -159,9 +159,10 @@
 	is.Equal(batch, peer.batch)
 }
 
-// An instance begins with a whole copy of a large store from a peer. The library's bound of four megabytes
-// would refuse it each time, and the instance would never know a configuration.
-func TestLargeCopyArrives(t *testing.T) {
+// Guards against snapshots of a large store that exceed the message size limit. An instance that starts fetches a
+// snapshot from a peer; gRPC's default limit of 4 MB would reject it each time, and the instance would never get a
+// configuration.
+func TestLargeSnapshotIsReceived(t *testing.T) {
 	is := is.New(t)
 	peer, peers, address := serveEcho(t)
 	peer.batch = replica.Batch{Snapshot: true, Through: 1, Items: []replica.Item{{Key: "a", Value: make([]byte, 6<<20), Revision: 1}}}
@@ -191,28 +192,28 @@
 			prepared, err := peers.Prepare(context.Background(), address, request)
 			is.NoErr(err)
 			is.Equal(prepared, test.prepared)
-			is.Equal(peer.asked, request)
+			is.Equal(peer.prepareRequest, request)
 		})
 	}
 }
 
-// slow is a peer that answers late.
-type slow struct{ echo }
+// slowPeer is a peer that responds late.
+type slowPeer struct{ echo }
 
-func (s *slow) Report(mesh.LoadReport) mesh.HeldReport {
+func (s *slowPeer) Report(mesh.LoadReport) mesh.HeldReport {
 	time.Sleep(60 * time.Millisecond)
 	return mesh.HeldReport{}
 }
 
-// A holder is short of processor time and answers questions a little too late for those who ask. Its connection
-// is sound; replaced after each few questions, it would cost both ends more than the answers, just when there
-// is the least to spare.
-func TestLateAnswersToQuestionsKeepTheConnection(t *testing.T) {
+// Guards against replacing a working connection because responses are late. A holder that is short of CPU responds
+// slightly after the callers' deadlines; a new connection every few calls would cost both ends more than the responses,
+// at the time of the highest load.
+func TestLateResponsesKeepTheConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	counting := &countedListener{Listener: listener}
-	server := mesh.NewServer(&slow{})
+	counting := &countingListener{Listener: listener}
+	server := mesh.NewServer(&slowPeer{})
 	go func() { _ = server.Serve(counting) }()
 	defer server.Stop()
 	peers := &mesh.Peers{Links: link.Links{Credentials: insecure.NewCredentials()}}
@@ -228,37 +229,37 @@
 	is.Equal(counting.accepted.Load(), int64(1))
 }
 
-// counted is a connection that counts what the server writes.
-type counted struct {
+// countingConn is a connection that counts what the server writes.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Write(content []byte) (int, error) {
+func (c countingConn) Write(content []byte) (int, error) {
 	c.bytes.Add(int64(len(content)))
 	return c.Conn.Write(content)
 }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
 	bytes    atomic.Int64
 	accepted atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	l.accepted.Add(1)
-	return counted{Conn: accepted, bytes: &l.bytes}, err
+	return countingConn{Conn: accepted, bytes: &l.bytes}, err
 }
 
-// The operators put some thousand routes into force, half a megabyte that each instance fetches from another.
-// Their links carry about a megabyte a second, and many fetch at once; sent as it is, the configuration is
-// late at those that come last, who refuse requests on the new routes.
+// Guards against configurations that are sent uncompressed. The operators apply some thousand routes, 0.5 MB that each
+// instance fetches from another. The links carry about 1 MB/s and many instances fetch at once; uncompressed, the
+// configuration arrives late at the last ones, which refuse requests on the new routes.
 func TestConfigurationIsSentSmall(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	counting := &countedListener{Listener: listener}
+	counting := &countingListener{Listener: listener}
 	var value strings.Builder
 	for number := range 1640 {
 		fmt.Fprintf(&value, `{"name":"r%d","host":"a%d.example","prefix":"/p%d/","route-kind":"idempotent","timeout-ms":5000,`+
@@ -277,9 +278,8 @@
 	is.True(counting.bytes.Load() < int64(value.Len())/5)
 }
 
-// A peer's connection is opened and then lost on the way, before it said a word. The instance is told to
-// stop. It must not wait for that connection: whoever replaces instances one by one waits with it, and in the
-// end the process is killed.
+// Guards against a stop that waits for a connection on which a peer sent nothing, because it was lost right after it
+// was opened. A rolling replacement of instances would wait too, and the process would be killed in the end.
 func TestStopDoesNotWaitForASilentConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -299,7 +299,7 @@
 	select {
 	case <-stopped:
 	case <-time.After(5 * time.Second):
-		t.Fatal("still stopping")
+		t.Fatal("the server did not stop within 5 s")
 	}
 	is.NoErr(<-served)
 }
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -1,5 +1,6 @@
-// Package mesh carries what instances send each other: their states, loads at upstreams, the store's changes, and
-// requests to load adapters. It maps domain values to the wire and back.
+// Package mesh is the protocol between instances: gossip of their states, load reports to the holders of upstreams,
+// replication of the store's changes, and requests to load adapters. It converts domain values to wire messages and
+// back.
 package mesh
 
 import (
@@ -15,34 +16,34 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-// Message is what goes over a link between two instances.
+// Message is a gossip message over a link between two instances.
 type Message struct {
-	// Instance, Address and Attached say who sends; only in the first message of a link. Attached: the receiver passes
-	// on what concerns the sender.
+	// Instance, Address and Attached describe the sender; they are set in the first message of a link only. Attached
+	// means that the receiver is the sender's relay.
 	Instance string
 	Address  string
 	Attached bool
-	// Revision of the sender's copy of the store, and ConfirmedAge, how long ago the store confirmed it as its newest;
-	// negative if not known.
+	// Revision is the revision of the sender's copy of the store. ConfirmedAge is the time since the store confirmed it
+	// as the newest; negative if unknown.
 	Revision     int64
 	ConfirmedAge time.Duration
-	// News is the revision of the last change that the sender knows and that all have to know at once.
+	// News is the revision of the last urgent change in the sender's copy: one that all instances need immediately.
 	News    int64
 	Stamp   gossip.Stamp
 	Records []gossip.Record
 }
 
-// State is what each instance lets all others know of itself.
+// State is the general record that each instance publishes to all others.
 type State struct {
 	Incarnation string
-	// Address is where the instance talks to the others.
+	// Address is the instance's address for calls from peers.
 	Address          string
 	StoreUnreachable bool
 	Spent            quota.Spent
-	// Loads is what the instance has in flight at upstreams without a holder.
+	// Loads is what the instance has in flight at upstreams without a holder, by upstream.
 	Loads    map[string]pool.Load
 	Suspects []suspect.Count
-	// Evidence is what the instance has seen of the engines of each service.
+	// Evidence is the instance's least-squares sums over the answers of each service's engines, by service.
 	Evidence map[string]forecast.Evidence
 }
 
@@ -52,53 +53,54 @@
 	Loads    map[string]pool.Load
 }
 
-// HeldReport is what is in flight at the upstreams that the sender holds, and what is loaded there. As a part of the
-// sender's state it counts all instances, in answer to a report all but the receiver.
+// HeldReport is what is in flight at the upstreams that the sender holds, and which adapters are loaded there. As a part
+// of the sender's state it covers all instances; as the response to a LoadReport it covers all except the reporter.
 type HeldReport struct {
 	Held        map[string]pool.Load
 	Residencies []pool.Residency
 }
 
-// Stream is one end of a link. Each side is used by one goroutine at a time.
+// Stream is one end of a link. At most one goroutine may send at a time, and at most one may receive.
 type Stream interface {
 	Send(message Message) error
-	// Receive waits for the next message; the error is io.EOF after the last one.
+	// Receive waits for the next message. It returns io.EOF after the last one.
 	Receive() (Message, error)
 }
 
-// PrepareRequest asks the holder of an upstream for an adapter, and for the turn to send a prompt there.
+// PrepareRequest asks the holder of an upstream to load an adapter, and for a turn in the prefill queue.
 type PrepareRequest struct {
 	Upstream string
 	Adapter  traffic.Adapter
-	// Version that has to be there at least; 0 for any.
-	Version  int64
+	// Version is the oldest acceptable version; 0 for any.
+	Version int64
+	// Patience is how long the caller waits at most.
 	Patience time.Duration
-	// OnTime is how long the request can wait and still be on time.
+	// OnTime is how long the request can wait and still be answered on time.
 	OnTime   time.Duration
 	Priority int
-	// Tokens is the length of the request's prompt, 0 if it needs no turn.
+	// Tokens is the length of the request's prompt; 0 if it needs no turn.
 	Tokens int
 }
 
-// Prepared is the answer to a PrepareRequest: Loaded, NotHolder or Busy.
+// Prepared is the response to a PrepareRequest: Loaded, NotHolder or Busy.
 type Prepared interface{ isPrepared() }
 
-// Loaded says that the adapter is there, and that the prompt may be sent.
+// Loaded means that the adapter is loaded, in the given version, and the prompt may be sent.
 type Loaded struct{ Version int64 }
 
-// NotHolder says that the receiver does not order at the upstream.
+// NotHolder means that the receiver does not hold the upstream.
 type NotHolder struct{}
 
-// Busy says that no place, or no turn, comes in time.
+// Busy means that no adapter slot or no turn becomes free in time.
 type Busy struct{ RetryAfter time.Duration }
 
 func (Loaded) isPrepared()    {}
 func (NotHolder) isPrepared() {}
 func (Busy) isPrepared()      {}
 
-// Handler answers the peers' calls.
+// Handler handles calls from peers.
 type Handler interface {
-	// Gossip serves a link that a peer has opened, until it breaks or the handler has enough of it.
+	// Gossip serves a link that a peer has opened, until the link breaks or the handler closes it.
 	Gossip(ctx context.Context, stream Stream) error
 	Report(report LoadReport) HeldReport
 	CatchUp(after int64) replica.Batch
