--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -13,9 +13,9 @@
 	"lacewingrock.example/lacewingrock/internal/wire/fleetpb"
 )
 
-// directory.go makes the calls to peers.
+// client.go makes calls to peers.
 
-// Directory makes calls to peers by address. Set Links.Credentials before the first call.
+// Directory calls peers by address. Set Links.Credentials before the first call.
 type Directory struct{ link.Links }
 
 func (d *Directory) client(address string) (fleetpb.FleetClient, error) {
@@ -28,7 +28,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Ping sends a heartbeat and returns what the peer knows.
+// Ping sends a heartbeat and returns the peer's.
 func (d *Directory) Ping(ctx context.Context, address string, beat Beat) (_ Beat, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: ping") }()
 	client, err := d.client(address)
@@ -42,10 +42,10 @@
 	return beatFromWire(wire), nil
 }
 
-// AskTokens asks a peer for a loan. After an error tokens may have been deducted there; the lender
-// takes them back once they can't be spent any more.
+// AskTokens borrows tokens from a peer. After an error the tokens may have been deducted there; the lender takes them
+// back once they can no longer be spent.
 func (d *Directory) AskTokens(ctx context.Context, address string, request TokenRequest) (_ rate.Loan, err error) {
-	defer func() { err = errors.WithMessage(err, "peer: ask for tokens") }()
+	defer func() { err = errors.WithMessage(err, "peer: borrow tokens") }()
 	client, err := d.client(address)
 	if err != nil {
 		return rate.Loan{}, err
@@ -68,10 +68,10 @@
 	}, nil
 }
 
-// Place asks the holder at address to place a request, and waits in its queue. After an error a pin
-// may have been granted there; release it by the request's identity.
+// Place asks the holder at address to place a request, and waits in its queue. After an error a pin may have been granted
+// there; release it by the ID of the request.
 func (d *Directory) Place(ctx context.Context, address string, request PlaceRequest) (_ Placement, err error) {
-	defer func() { err = errors.WithMessage(err, "peer: place") }()
+	defer func() { err = errors.WithMessage(err, "peer: place request") }()
 	client, err := d.client(address)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 
 // Release ends a pin.
 func (d *Directory) Release(ctx context.Context, address string, request ReleaseRequest) (err error) {
-	defer func() { err = errors.WithMessage(err, "peer: release") }()
+	defer func() { err = errors.WithMessage(err, "peer: release pin") }()
 	client, err := d.client(address)
 	if err != nil {
 		return err
@@ -94,9 +94,9 @@
 	return err
 }
 
-// Pins asks a member for its pins on an upstream.
+// Pins requests the list of a member's pins on an upstream.
 func (d *Directory) Pins(ctx context.Context, address, upstream string, epoch int64) (_ PinList, err error) {
-	defer func() { err = errors.WithMessage(err, "peer: pins") }()
+	defer func() { err = errors.WithMessage(err, "peer: list pins") }()
 	client, err := d.client(address)
 	if err != nil {
 		return PinList{}, err
@@ -108,14 +108,14 @@
 	return pinsFromWire(wire), nil
 }
 
-// PermitLoad asks the load broker at address for leave to load, and waits for its answer.
-func (d *Directory) PermitLoad(ctx context.Context, address string, asked broker.Asked) (_ LoadPermit, err error) {
-	defer func() { err = errors.WithMessage(err, "peer: permit a load") }()
+// PermitLoad requests a load permit from the load broker at address, and waits for its decision.
+func (d *Directory) PermitLoad(ctx context.Context, address string, request broker.Asked) (_ LoadPermit, err error) {
+	defer func() { err = errors.WithMessage(err, "peer: request load permit") }()
 	client, err := d.client(address)
 	if err != nil {
 		return LoadPermit{}, err
 	}
-	wire, err := client.PermitLoad(ctx, askedToWire(asked))
+	wire, err := client.PermitLoad(ctx, permitRequestToWire(request))
 	if err != nil {
 		return LoadPermit{}, err
 	}
@@ -127,9 +127,9 @@
 	}, nil
 }
 
-// EndLoad tells the load broker that a load has ended, or that its permit is given back unused.
+// EndLoad notifies the load broker that a load has ended, or that its permit is returned unused.
 func (d *Directory) EndLoad(ctx context.Context, address string, load broker.Load, unused bool) (err error) {
-	defer func() { err = errors.WithMessage(err, "peer: end a load") }()
+	defer func() { err = errors.WithMessage(err, "peer: end load") }()
 	client, err := d.client(address)
 	if err != nil {
 		return err
@@ -143,9 +143,9 @@
 	return err
 }
 
-// BurnCounts asks a peer for its counts behind the burn report.
+// BurnCounts requests the counts that a peer contributes to the burn report.
 func (d *Directory) BurnCounts(ctx context.Context, address string) (_ []burn.Count, err error) {
-	defer func() { err = errors.WithMessage(err, "peer: burn counts") }()
+	defer func() { err = errors.WithMessage(err, "peer: get burn counts") }()
 	client, err := d.client(address)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -12,7 +12,7 @@
 	"lacewingrock.example/lacewingrock/internal/wire/fleetpb"
 )
 
-// codec.go maps domain values to wire messages and back, a pair of functions for each.
+// codec.go converts domain values to wire messages and back, with a pair of functions for each type.
 
 func beatToWire(b Beat) *fleetpb.Beat {
 	wire := &fleetpb.Beat{
@@ -26,7 +26,7 @@
 		OldestRevision:     b.OldestRevision,
 	}
 	if b.ConfirmedAge < 0 {
-		wire.ConfirmedAgeMicros = -1 // shorter than a microsecond would otherwise turn into 0: "just now"
+		wire.ConfirmedAgeMicros = -1 // a negative age below 1 microsecond would become 0, which means "just confirmed"
 	}
 	wire.Told = b.Told
 	for _, summary := range b.Upstreams {
@@ -39,12 +39,12 @@
 			Cleared:     int32(count.Cleared),
 		})
 	}
-	for _, back := range b.Returns {
+	for _, loanReturn := range b.Returns {
 		wire.Returns = append(wire.Returns, &fleetpb.LoanReturn{
-			Workspace: back.Workspace,
-			Loan:      back.Loan,
-			Remaining: back.Remaining,
-			Unspent:   back.Unspent,
+			Workspace: loanReturn.Workspace,
+			Loan:      loanReturn.Loan,
+			Remaining: loanReturn.Remaining,
+			Unspent:   loanReturn.Unspent,
 		})
 	}
 	return wire
@@ -72,12 +72,12 @@
 			Cleared:     int(count.GetCleared()),
 		})
 	}
-	for _, back := range wire.GetReturns() {
+	for _, loanReturn := range wire.GetReturns() {
 		b.Returns = append(b.Returns, rate.Return{
-			Workspace: back.GetWorkspace(),
-			Loan:      back.GetLoan(),
-			Remaining: back.GetRemaining(),
-			Unspent:   back.GetUnspent(),
+			Workspace: loanReturn.GetWorkspace(),
+			Loan:      loanReturn.GetLoan(),
+			Remaining: loanReturn.GetRemaining(),
+			Unspent:   loanReturn.GetUnspent(),
 		})
 	}
 	return b
@@ -268,19 +268,19 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func askedToWire(asked broker.Asked) *fleetpb.PermitLoadRequest {
+func permitRequestToWire(request broker.Asked) *fleetpb.PermitLoadRequest {
 	return &fleetpb.PermitLoadRequest{
-		Upstream:       asked.Load.Upstream,
-		Adapter:        asked.Load.Model.Adapter,
-		Version:        asked.Load.Model.Version,
-		Workspace:      asked.Workspace,
-		Demand:         asked.Demand,
-		WaitedMillis:   asked.Waited.Milliseconds(),
-		PatienceMillis: asked.Patience.Milliseconds(),
+		Upstream:       request.Load.Upstream,
+		Adapter:        request.Load.Model.Adapter,
+		Version:        request.Load.Model.Version,
+		Workspace:      request.Workspace,
+		Demand:         request.Demand,
+		WaitedMillis:   request.Waited.Milliseconds(),
+		PatienceMillis: request.Patience.Milliseconds(),
 	}
 }
 
-func askedFromWire(wire *fleetpb.PermitLoadRequest) broker.Asked {
+func permitRequestFromWire(wire *fleetpb.PermitLoadRequest) broker.Asked {
 	return broker.Asked{
 		Load: broker.Load{
 			Upstream: wire.GetUpstream(),
--- a/internal/fleet/peer/credentials.go
+++ b/internal/fleet/peer/credentials.go
@@ -12,8 +12,8 @@
 	"lacewingrock.example/lacewingrock/internal/entry/settings"
 )
 
-// Credentials reads the certificates that the settings name: both sides of a connection must show one
-// that the authority signed. Without them connections are in the clear, for trials on one machine.
+// Credentials loads the certificates named in the settings, for mutual TLS: both ends of a connection must present a
+// certificate that the authority signed. If none is configured, connections are plaintext, for trials on one machine.
 func Credentials(files settings.Peers) (server, client credentials.TransportCredentials, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: certificates") }()
 
@@ -30,7 +30,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(text) {
-		return nil, nil, errors.Errorf("%s holds no certificate", files.Authority)
+		return nil, nil, errors.Errorf("%s contains no PEM certificate", files.Authority)
 	}
 	server = credentials.NewTLS(&tls.Config{
 		Certificates: []tls.Certificate{certificate},
--- a/internal/fleet/peer/credentials_test.go
+++ b/internal/fleet/peer/credentials_test.go
@@ -25,7 +25,7 @@
 	"lacewingrock.example/lacewingrock/internal/fleet/peer"
 )
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	t           *testing.T
 	key         *ecdsa.PrivateKey
@@ -73,8 +73,8 @@
 	return encoded
 }
 
-// instance gives the certificate of an instance at an address, valid until then, to one that trusts the
-// authority trusted.
+// instance returns the credentials of an instance: its certificate is for address, valid until the given time and signed
+// by a; it accepts peers with certificates that trusted signed.
 func (a *authority) instance(address string, until time.Time, trusted *authority) (server, client credentials.TransportCredentials) {
 	a.t.Helper()
 	key := newKey(a.t)
@@ -106,37 +106,37 @@
 	return server, client
 }
 
-// Somebody who is on the instances' network, without a certificate of their authority, asks an instance
-// for tokens or for pins, or answers heartbeats in the place of one. Let through, it could spend any
-// workspace's rate, or keep withdrawn keys working.
-func TestStrangersAreRefused(t *testing.T) {
+// Guards against accepting peers without a valid certificate of the instances' authority. A client on the instances'
+// network could request tokens or pins, or answer heartbeats as an instance: it could spend any workspace's rate, or keep
+// withdrawn keys working.
+func TestPeersWithoutValidCertificatesAreRejected(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	const here, elsewhere = "127.0.0.1", "127.0.0.2"
 	valid, past := time.Now().Add(time.Hour), time.Now().Add(-time.Minute)
 	server, client := ours.instance(here, valid, ours)
-	strangeServer, strangeClient := theirs.instance(here, valid, theirs)
-	// These trust our authority, so that the other side alone can refuse them.
+	foreignServer, foreignClient := theirs.instance(here, valid, theirs)
+	// These trust our authority, so that only the other end can reject them.
 	impostorServer, impostorClient := theirs.instance(here, valid, ours)
-	lapsedServer, lapsedClient := ours.instance(here, past, ours)
-	movedServer, _ := ours.instance(elsewhere, valid, ours)
+	expiredServer, expiredClient := ours.instance(here, past, ours)
+	otherAddressServer, _ := ours.instance(elsewhere, valid, ours)
 	open := insecure.NewCredentials()
-	nameless := credentials.NewTLS(&tls.Config{RootCAs: ours.pool(), MinVersion: tls.VersionTLS13})
+	withoutCertificate := credentials.NewTLS(&tls.Config{RootCAs: ours.pool(), MinVersion: tls.VersionTLS13})
 	cases := []struct {
 		name           string
 		server, client credentials.TransportCredentials
 		answered       bool
 	}{
-		{"both of the authority", server, client, true},
-		{"client in the clear", server, open, false},
-		{"client without a certificate", server, nameless, false},
-		{"client of another authority", server, strangeClient, false},
+		{"both certificates of the authority", server, client, true},
+		{"client without TLS", server, open, false},
+		{"client without a certificate", server, withoutCertificate, false},
+		{"client of another authority", server, foreignClient, false},
 		{"client of another authority that trusts ours", server, impostorClient, false},
-		{"client whose certificate has run out", server, lapsedClient, false},
-		{"server in the clear", open, client, false},
-		{"server of another authority", strangeServer, client, false},
+		{"client with an expired certificate", server, expiredClient, false},
+		{"server without TLS", open, client, false},
+		{"server of another authority", foreignServer, client, false},
 		{"server of another authority that trusts ours", impostorServer, client, false},
-		{"server whose certificate has run out", lapsedServer, client, false},
-		{"server with the certificate of another address", movedServer, client, false},
+		{"server with an expired certificate", expiredServer, client, false},
+		{"server with the certificate of another address", otherAddressServer, client, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 			defer cancel()
 			_, err := directory.Ping(ctx, address, peer.Beat{Instance: "i1"})
 			is.Equal(err == nil, c.answered)
-			is.Equal(handler.asked != nil, c.answered)
+			is.Equal(handler.request != nil, c.answered)
 		})
 	}
 }
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -1,6 +1,6 @@
-// Package peer is how instances talk to each other: gRPC over TCP, with certificates where the
-// settings give them. It maps the domain values of the deciding packages to the messages of
-// proto/fleet.proto and back by hand, so that neither side knows the other. It decides nothing.
+// Package peer is the client and server of the Fleet service between instances: gRPC over TCP, with mutual TLS if the
+// settings name certificates. It converts the values of the domain packages to the messages of proto/fleet.proto and back
+// by hand, so that neither depends on the other. It makes no decisions.
 package peer
 
 import (
@@ -14,8 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Beat is a heartbeat, and equally the answer to one: what an instance knows. ConfirmedAge is how
-// long ago a read of the store showed Revision as the newest, negative when unknown.
+// Beat is a heartbeat and also the response to one: the state that an instance reports to its peers. ConfirmedAge is the
+// time since a read of the store showed Revision as the newest; negative if unknown.
 type Beat struct {
 	Instance     string
 	Incarnation  string
@@ -27,14 +27,14 @@
 	Leaving      []string
 	Stopping     bool
 	Returns      []rate.Return
-	// OldestRevision is the oldest head under which a reservation or loan still open was made.
+	// OldestRevision is the oldest head under which a reservation or loan that is still open was made.
 	OldestRevision int64
-	// Told has a bit for each member of the head of Revision: who is known to have it in force.
+	// Told is a bitmap over the members of the head of Revision: set for the members known to have it in force.
 	Told []byte
 }
 
-// TokenRequest asks a peer for tokens of a workspace's share; the answer is a rate.Loan. Spare asks only
-// for what the peer's bucket can hardly hold any longer.
+// TokenRequest asks a peer for tokens from its share of a workspace's rate; the response is a rate.Loan. With Spare set,
+// only tokens above the level at which the peer's token bucket nearly overflows are lent.
 type TokenRequest struct {
 	Workspace string
 	Tokens    float64
@@ -42,25 +42,25 @@
 	Spare     bool
 }
 
-// PlaceRequest asks the holder of Upstream to place a request; Request.Deadline travels as the time
-// left, since clocks differ. Epoch is the newest the asker knows.
+// PlaceRequest asks the holder of Upstream to place a request. Request.Deadline is sent as the remaining time, because
+// the clocks of instances differ. Epoch is the newest epoch that the caller knows.
 type PlaceRequest struct {
 	Upstream string
 	Epoch    int64
 	Request  holder.Request
 }
 
-// Placement answers a PlaceRequest. It is sealed: Granted or Refused.
+// Placement is the response to a PlaceRequest. It is sealed: Granted or Refused.
 type Placement interface{ placement() }
 
 type (
-	// Granted lets the request run; Pin has to be released.
+	// Granted allows the request to run. Pin has to be released.
 	Granted struct {
 		Pin         string
 		WaitedLoad  time.Duration
 		WaitedQueue time.Duration
 	}
-	// Refused tells that the request was not placed and will not run.
+	// Refused means that the request was not placed and will not run.
 	Refused struct {
 		Reason     holder.Reason
 		RetryAfter time.Duration
@@ -78,8 +78,8 @@
 	Released    holder.Released
 }
 
-// PinList is what a member tells a new holder: all its pins on the upstream. Noted is false while the
-// member has not installed the epoch; its list may then still grow.
+// PinList lists all pins of a member on an upstream, for the upstream's new holder. Noted is false until the member has
+// installed the epoch; until then the list may still grow.
 type PinList struct {
 	Instance    string
 	Incarnation string
@@ -87,8 +87,8 @@
 	Pins        []holder.Pin
 }
 
-// LoadPermit answers a broker.Asked. Replaced means that a newer ask for the same load took this one's
-// place, and that the answer goes to that one.
+// LoadPermit is the response to a request for a load permit. Replaced means that a newer request for the same load
+// superseded this one and receives the decision.
 type LoadPermit struct {
 	Granted    bool
 	Replaced   bool
@@ -96,8 +96,7 @@
 	RetryAfter time.Duration
 }
 
-// Handler serves what peers ask. Calls with a context may wait; the context ends when the asker has
-// gone.
+// Handler handles calls from peers. Calls with a context may block; the context ends when the caller disconnects.
 type Handler interface {
 	Beat(beat Beat) Beat
 	LendTokens(request TokenRequest) rate.Loan
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -24,9 +24,9 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// recorder is a peer that notes what it was asked and answers what it was told to.
+// recorder is a peer that records the last request and returns the configured responses.
 type recorder struct {
-	asked     any
+	request   any
 	beat      peer.Beat
 	loan      rate.Loan
 	placement peer.Placement
@@ -35,53 +35,53 @@
 	burn      []burn.Count
 }
 
-// pinsAsked is what Pins was asked.
-type pinsAsked struct {
+// pinsRequest holds the arguments of a call of Pins.
+type pinsRequest struct {
 	upstream string
 	epoch    int64
 }
 
 func (r *recorder) Beat(beat peer.Beat) peer.Beat {
-	r.asked = beat
+	r.request = beat
 	return r.beat
 }
 
 func (r *recorder) LendTokens(request peer.TokenRequest) rate.Loan {
-	r.asked = request
+	r.request = request
 	return r.loan
 }
 
 func (r *recorder) Place(_ context.Context, request peer.PlaceRequest) peer.Placement {
-	// The time left travels, and loses what the call took and parts of a millisecond.
-	left := time.Until(request.Request.Deadline)
-	request.Request.Deadline = time.Unix(0, 0).Add(left.Round(time.Hour))
-	r.asked = request
+	// The remaining time is sent. It is shorter by the duration of the call and has no fractions of a millisecond.
+	remaining := time.Until(request.Request.Deadline)
+	request.Request.Deadline = time.Unix(0, 0).Add(remaining.Round(time.Hour))
+	r.request = request
 	return r.placement
 }
 
-func (r *recorder) Release(request peer.ReleaseRequest) { r.asked = request }
+func (r *recorder) Release(request peer.ReleaseRequest) { r.request = request }
 
 func (r *recorder) Pins(upstream string, epoch int64) peer.PinList {
-	r.asked = pinsAsked{upstream: upstream, epoch: epoch}
+	r.request = pinsRequest{upstream: upstream, epoch: epoch}
 	return r.pins
 }
 
-func (r *recorder) PermitLoad(_ context.Context, asked broker.Asked) peer.LoadPermit {
-	r.asked = asked
+func (r *recorder) PermitLoad(_ context.Context, permitRequest broker.Asked) peer.LoadPermit {
+	r.request = permitRequest
 	return r.permit
 }
 
-func (r *recorder) EndLoad(load broker.Load, unused bool) { r.asked = ended{load, unused} }
+func (r *recorder) EndLoad(load broker.Load, unused bool) { r.request = endLoadRequest{load, unused} }
 
-// ended is what EndLoad was asked.
-type ended struct {
+// endLoadRequest holds the arguments of a call of EndLoad.
+type endLoadRequest struct {
 	load   broker.Load
 	unused bool
 }
 
 func (r *recorder) BurnCounts() []burn.Count { return r.burn }
 
-// serve starts a peer on loopback and returns its address.
+// serve starts a peer on the loopback interface and returns its address.
 func serve(t *testing.T, handler peer.Handler, secured credentials.TransportCredentials, options ...grpc.ServerOption) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,19 +95,19 @@
 	return listener.Addr().String()
 }
 
-// fromTheFuture puts a field that this version does not know into every message, both ways.
-func fromTheFuture(
+// addUnknownFields is an interceptor that adds an unknown field to each request and response, as a newer version could.
+func addUnknownFields(
 	ctx context.Context, request any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler,
 ) (reply any, err error) {
-	addUnknown(request)
+	addUnknownField(request)
 	reply, err = handle(ctx, request)
 	if err == nil {
-		addUnknown(reply)
+		addUnknownField(reply)
 	}
 	return reply, err
 }
 
-func addUnknown(message any) {
+func addUnknownField(message any) {
 	const later = 1000
 	field := protowire.AppendString(protowire.AppendTag(nil, later, protowire.BytesType), "new")
 	reflected := message.(proto.Message).ProtoReflect()
@@ -115,7 +115,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// What is drawn. Durations are whole in the unit that they travel in.
+// Generators. Durations are multiples of the unit in which they are sent.
 
 var (
 	name   = rapid.StringMatching(`[a-z0-9-]{0,8}`)
@@ -134,27 +134,27 @@
 	summary = rapid.Custom(func(t *rapid.T) holder.Summary {
 		return holder.Summary{
 			Upstream: name.Draw(t, "upstream"), Epoch: number.Draw(t, "epoch"), FreePlaces: count.Draw(t, "free"),
-			Backlog: millis.Draw(t, "backlog"), Resident: list(t, reference), Healthy: rapid.Bool().Draw(t, "healthy"),
+			Backlog: millis.Draw(t, "backlog"), Resident: listOf(t, reference), Healthy: rapid.Bool().Draw(t, "healthy"),
 			Coldest: amount.Draw(t, "coldest"),
 		}
 	})
-	suspected = rapid.Custom(func(t *rapid.T) suspect.Count {
+	suspectCount = rapid.Custom(func(t *rapid.T) suspect.Count {
 		return suspect.Count{
 			Fingerprint: suspect.Fingerprint(name.Draw(t, "fingerprint")),
 			Crashes:     count.Draw(t, "crashes"), Cleared: count.Draw(t, "cleared"),
 		}
 	})
-	returned = rapid.Custom(func(t *rapid.T) rate.Return {
+	loanReturn = rapid.Custom(func(t *rapid.T) rate.Return {
 		return rate.Return{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
 	})
 	beat = rapid.Custom(func(t *rapid.T) peer.Beat {
 		return peer.Beat{
 			Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"), Revision: number.Draw(t, "revision"),
 			ConfirmedAge: time.Duration(rapid.Int64Range(-1, 1<<40).Draw(t, "age")) * time.Microsecond,
-			InForceSince: time.UnixMicro(number.Draw(t, "since")), Upstreams: list(t, summary), Suspects: list(t, suspected),
-			Leaving: list(t, name), Stopping: rapid.Bool().Draw(t, "stopping"), Returns: list(t, returned),
+			InForceSince: time.UnixMicro(number.Draw(t, "since")), Upstreams: listOf(t, summary), Suspects: listOf(t, suspectCount),
+			Leaving: listOf(t, name), Stopping: rapid.Bool().Draw(t, "stopping"), Returns: listOf(t, loanReturn),
 			OldestRevision: number.Draw(t, "oldest"),
-			Told:           list(t, rapid.Byte()),
+			Told:           listOf(t, rapid.Byte()),
 		}
 	})
 	pin = rapid.Custom(func(t *rapid.T) holder.Pin {
@@ -163,7 +163,7 @@
 			Incarnation: name.Draw(t, "incarnation"), Workspace: name.Draw(t, "workspace"), Model: reference.Draw(t, "model"),
 		}
 	})
-	counted = rapid.Custom(func(t *rapid.T) burn.Count {
+	burnCount = rapid.Custom(func(t *rapid.T) burn.Count {
 		return burn.Count{
 			Workspace: name.Draw(t, "workspace"), Objective: burn.Objective(name.Draw(t, "objective")),
 			Start:  time.Unix(rapid.Int64Range(0, 1<<33).Draw(t, "start"), 0),
@@ -180,41 +180,41 @@
 	})
 )
 
-// list is nil when it is empty, as it arrives.
-func list[T any](t *rapid.T, of *rapid.Generator[T]) []T {
-	drawn := rapid.SliceOfN(of, 0, 3).Draw(t, "list")
-	if len(drawn) == 0 {
+// listOf returns nil instead of an empty list, as the decoder does.
+func listOf[T any](t *rapid.T, of *rapid.Generator[T]) []T {
+	elements := rapid.SliceOfN(of, 0, 3).Draw(t, "list")
+	if len(elements) == 0 {
 		return nil
 	}
-	return drawn
+	return elements
 }
 
-// A field that a codec forgets is zero at the other end, and is noticed long after: a holder that is told
-// no workspace, an upstream that costs nothing to load into. An instance of the next version, which says
-// more than this one knows, must be understood as far as this one goes.
-func TestMessagesArriveAsTheyWereSent(t *testing.T) {
+// Guards against fields that a codec omits. They are zero at the receiver and are noticed late: a holder that gets no
+// workspace, an upstream whose loads cost nothing. Also guards against messages of a newer version that are not decoded
+// because they have unknown fields.
+func TestMessagesRoundTrip(t *testing.T) {
 	handler := &recorder{}
-	now := serve(t, handler, insecure.NewCredentials())
-	later := serve(t, handler, insecure.NewCredentials(), grpc.UnaryInterceptor(fromTheFuture))
+	current := serve(t, handler, insecure.NewCredentials())
+	newer := serve(t, handler, insecure.NewCredentials(), grpc.UnaryInterceptor(addUnknownFields))
 	directory := &peer.Directory{Links: link.Links{Credentials: insecure.NewCredentials()}}
 	t.Cleanup(directory.Close)
 	rapid.Check(t, func(t *rapid.T) {
-		exchange(t, directory, handler, rapid.SampledFrom([]string{now, later}).Draw(t, "address"))
+		callAll(t, directory, handler, rapid.SampledFrom([]string{current, newer}).Draw(t, "address"))
 	})
 }
 
-// exchange makes every call once.
-func exchange(t *rapid.T, directory *peer.Directory, handler *recorder, address string) {
+// callAll makes each call once.
+func callAll(t *rapid.T, directory *peer.Directory, handler *recorder, address string) {
 	ctx := context.Background()
 	same := func(call string, err error, sent, wanted, got any) {
 		if err != nil {
 			t.Fatalf("%s: %v", call, err)
 		}
-		if !reflect.DeepEqual(handler.asked, sent) {
-			t.Fatalf("%s: asked %#v, arrived %#v", call, sent, handler.asked)
+		if !reflect.DeepEqual(handler.request, sent) {
+			t.Fatalf("%s: sent request %#v, received %#v", call, sent, handler.request)
 		}
 		if !reflect.DeepEqual(got, wanted) {
-			t.Fatalf("%s: answered %#v, arrived %#v", call, wanted, got)
+			t.Fatalf("%s: sent response %#v, received %#v", call, wanted, got)
 		}
 	}
 	sentBeat := beat.Draw(t, "beat")
@@ -245,26 +245,26 @@
 	}}
 	same("Release", directory.Release(ctx, address, release), release, nil, nil)
 
-	pins := pinsAsked{upstream: name.Draw(t, "upstream"), epoch: number.Draw(t, "epoch")}
+	pins := pinsRequest{upstream: name.Draw(t, "upstream"), epoch: number.Draw(t, "epoch")}
 	handler.pins = peer.PinList{
 		Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"),
-		Noted: rapid.Bool().Draw(t, "noted"), Pins: list(t, pin),
+		Noted: rapid.Bool().Draw(t, "noted"), Pins: listOf(t, pin),
 	}
-	told, err := directory.Pins(ctx, address, pins.upstream, pins.epoch)
-	same("Pins", err, pins, handler.pins, told)
+	pinList, err := directory.Pins(ctx, address, pins.upstream, pins.epoch)
+	same("Pins", err, pins, handler.pins, pinList)
 
 	load := broker.Load{Upstream: name.Draw(t, "upstream"), Model: reference.Draw(t, "model")}
-	asked := broker.Asked{
+	permitRequest := broker.Asked{
 		Load: load, Workspace: name.Draw(t, "workspace"), Demand: amount.Draw(t, "demand"),
 		Waited: millis.Draw(t, "waited"), Patience: millis.Draw(t, "patience"),
 	}
 	handler.permit = peer.LoadPermit{Granted: rapid.Bool().Draw(t, "granted"), Replaced: rapid.Bool().Draw(t, "replaced"), UseWithin: millis.Draw(t, "use"), RetryAfter: millis.Draw(t, "retry")}
-	permit, err := directory.PermitLoad(ctx, address, asked)
-	same("PermitLoad", err, asked, handler.permit, permit)
-	end := ended{load, rapid.Bool().Draw(t, "unused")}
+	permit, err := directory.PermitLoad(ctx, address, permitRequest)
+	same("PermitLoad", err, permitRequest, handler.permit, permit)
+	end := endLoadRequest{load, rapid.Bool().Draw(t, "unused")}
 	same("EndLoad", directory.EndLoad(ctx, address, end.load, end.unused), end, nil, nil)
 
-	handler.burn = list(t, counted)
+	handler.burn = listOf(t, burnCount)
 	counts, err := directory.BurnCounts(ctx, address)
 	same("BurnCounts", err, end, handler.burn, counts)
 }
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/wire/fleetpb"
 )
 
-// server.go serves the peers' calls by handing them, as domain values, to the Handler.
+// server.go converts calls from peers to domain values and passes them to the Handler.
 
-// Register adds the fleet's service to a gRPC server.
+// Register registers the Fleet service on a gRPC server.
 func Register(server *grpc.Server, handler Handler) {
 	fleetpb.RegisterFleetServer(server, service{handler: handler})
 }
@@ -58,7 +58,7 @@
 }
 
 func (s service) PermitLoad(ctx context.Context, wire *fleetpb.PermitLoadRequest) (*fleetpb.PermitLoadReply, error) {
-	permit := s.handler.PermitLoad(ctx, askedFromWire(wire))
+	permit := s.handler.PermitLoad(ctx, permitRequestFromWire(wire))
 	return &fleetpb.PermitLoadReply{
 		Granted:          permit.Granted,
 		UseWithinMillis:  permit.UseWithin.Milliseconds(),
