--- a/internal/entry/inbox/inbox.go
+++ b/internal/entry/inbox/inbox.go
@@ -1,6 +1,6 @@
-// Package inbox is the bounded ring between the goroutine that owns some state and those that ask it
-// for something. Once the owner has ended, senders and those who wait for an answer are let go: in a
-// stop they would otherwise wait for good for somebody who reads no more.
+// Package inbox is a bounded message queue to a goroutine that owns some state. When the owner returns, blocked senders
+// and waits for a response return too; otherwise they would block forever during a stop, because nothing reads the queue
+// any more.
 package inbox
 
 import (
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// Inbox takes messages of one kind. Make it with New; one goroutine reads it.
+// Inbox is a queue of messages of type M with one reader. Create it with New.
 type Inbox[M any] struct {
 	messages chan M
-	ended    chan struct{}
+	done     chan struct{}
 }
 
-// New makes an inbox in which that many messages may wait; beyond them senders wait.
+// New creates an inbox with room for the given number of messages. Senders block while it is full.
 func New[M any](length int) *Inbox[M] {
-	return &Inbox[M]{messages: make(chan M, length), ended: make(chan struct{})}
+	return &Inbox[M]{messages: make(chan M, length), done: make(chan struct{})}
 }
 
-// Loop is the owner's work: it takes each message, and each time that the interval has passed lets time
-// pass. It returns when the context ends, and lets all who still wait go. It is called once.
-func (i *Inbox[M]) Loop(ctx context.Context, every time.Duration, take func(M), tick func()) {
-	defer close(i.ended)
-	ticker := time.NewTicker(every)
+// Loop is the event loop of the owner: it calls handle for each message and tick at each interval. It returns when the
+// context ends, and unblocks all senders and waits. Call it once.
+func (i *Inbox[M]) Loop(ctx context.Context, interval time.Duration, handle func(M), tick func()) {
+	defer close(i.done)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-i.messages:
-			take(m)
+		case message := <-i.messages:
+			handle(message)
 		case <-ticker.C:
 			tick()
 		}
 	}
 }
 
-// Send hands a message over. It fails when the owner has ended or the context ends first.
-func (i *Inbox[M]) Send(ctx context.Context, m M) bool {
+// Send enqueues a message. It returns false if the owner has returned or the context ends first.
+func (i *Inbox[M]) Send(ctx context.Context, message M) bool {
 	select {
-	case i.messages <- m:
+	case i.messages <- message:
 		return true
-	case <-i.ended:
+	case <-i.done:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Await waits for the answer to a message that was sent. It fails as Send does.
-func Await[M, A any](ctx context.Context, i *Inbox[M], answer <-chan A) (came A, ok bool) {
+// Await waits for the response to a message that was sent. It returns false in the same cases as Send.
+func Await[M, A any](ctx context.Context, i *Inbox[M], responses <-chan A) (response A, ok bool) {
 	select {
-	case came = <-answer:
-		return came, true
-	case <-i.ended:
+	case response = <-responses:
+		return response, true
+	case <-i.done:
 	case <-ctx.Done():
 	}
-	return came, false
+	return response, false
 }
