--- a/internal/entry/brokering/runner.go
+++ b/internal/entry/brokering/runner.go
@@ -1,6 +1,5 @@
-// Package brokering runs the load broker where this instance is the one that the head appoints: it
-// feeds broker.Broker what holders ask and hands its answers back to them. The decisions stand in
-// package broker.
+// Package brokering runs the load broker on the instance that the head appoints: it passes the requests of holders to
+// broker.Broker and returns its decisions to them. The decisions are made in package broker.
 package brokering
 
 import (
@@ -13,57 +12,57 @@
 )
 
 const (
-	// inboxLength bounds what waits for the loop; beyond it askers wait.
+	// inboxLength bounds the messages that wait for the loop. Senders block while the inbox is full.
 	inboxLength = 256
-	// tickEvery is the longest a free permit waits to be given out.
-	tickEvery = 25 * time.Millisecond
+	// tickInterval is the longest time until a free permit is granted.
+	tickInterval = 25 * time.Millisecond
 )
 
-// refused is the answer when the broker can't be asked.
+// refused is the response if the broker cannot be reached.
 var refused = peer.LoadPermit{RetryAfter: 250 * time.Millisecond}
 
-// Runner owns the broker. Set the exported field before Run.
+// Runner owns the broker. Set the exported field before Prepare.
 type Runner struct {
 	Settings broker.Settings
 
 	broker  *broker.Broker
 	inbox   *inbox.Inbox[message]
-	waiting map[broker.Load]chan peer.LoadPermit
+	waiters map[broker.Load]chan peer.LoadPermit
 }
 
 type message struct {
-	event  broker.Event
-	answer chan peer.LoadPermit
+	event    broker.Event
+	response chan peer.LoadPermit
 }
 
-// Prepare makes the runner ready to be called before Run has begun.
+// Prepare initializes the runner. Its methods may be called from then on, also before Run.
 func (r *Runner) Prepare() {
 	r.broker = &broker.Broker{Settings: r.Settings}
 	r.inbox = inbox.New[message](inboxLength)
-	r.waiting = map[broker.Load]chan peer.LoadPermit{}
+	r.waiters = map[broker.Load]chan peer.LoadPermit{}
 }
 
 // Run owns the broker until the context ends.
 func (r *Runner) Run(ctx context.Context) error {
-	r.inbox.Loop(ctx, tickEvery, r.take, func() { r.feed(broker.Tick{}) })
+	r.inbox.Loop(ctx, tickInterval, r.handleMessage, func() { r.handleEvent(broker.Tick{}) })
 	return nil
 }
 
-// Permit asks for leave to load, and waits for the answer.
-func (r *Runner) Permit(ctx context.Context, asked broker.Asked) peer.LoadPermit {
-	answer := make(chan peer.LoadPermit, 1)
-	if !r.inbox.Send(ctx, message{event: asked, answer: answer}) {
+// Permit requests a load permit, and waits for the decision.
+func (r *Runner) Permit(ctx context.Context, request broker.Asked) peer.LoadPermit {
+	response := make(chan peer.LoadPermit, 1)
+	if !r.inbox.Send(ctx, message{event: request, response: response}) {
 		return refused
 	}
-	permit, ok := inbox.Await(ctx, r.inbox, answer)
+	permit, ok := inbox.Await(ctx, r.inbox, response)
 	if !ok {
-		r.inbox.Send(context.WithoutCancel(ctx), message{event: broker.Withdrawn{Load: asked.Load}})
+		r.inbox.Send(context.WithoutCancel(ctx), message{event: broker.Withdrawn{Load: request.Load}})
 		return refused
 	}
 	return permit
 }
 
-// End tells that a load is done or has failed, or that its permit is given back unused.
+// End records that a load has completed or failed, or that its permit is returned unused.
 func (r *Runner) End(ctx context.Context, load broker.Load, unused bool) {
 	var event broker.Event = broker.Ended{Load: load}
 	if unused {
@@ -72,35 +71,35 @@
 	r.inbox.Send(ctx, message{event: event})
 }
 
-// take hands one message on. Asking again for the same load replaces the earlier ask, so whoever
-// waited for that one is told so; taken for a refusal, it would make the holder ask on and on.
-func (r *Runner) take(m message) {
-	if asked, ok := m.event.(broker.Asked); ok {
-		r.answer(asked.Load, peer.LoadPermit{Replaced: true})
-		r.waiting[asked.Load] = m.answer
+// handleMessage passes a message to the broker. A new request for the same load replaces the earlier one, whose caller
+// gets a response with Replaced set. If that were a refusal, the holder would retry endlessly.
+func (r *Runner) handleMessage(m message) {
+	if request, ok := m.event.(broker.Asked); ok {
+		r.respond(request.Load, peer.LoadPermit{Replaced: true})
+		r.waiters[request.Load] = m.response
 	}
 	if withdrawn, ok := m.event.(broker.Withdrawn); ok {
-		delete(r.waiting, withdrawn.Load)
+		delete(r.waiters, withdrawn.Load)
 	}
-	r.feed(m.event)
+	r.handleEvent(m.event)
 }
 
-func (r *Runner) feed(event broker.Event) {
+func (r *Runner) handleEvent(event broker.Event) {
 	for _, action := range r.broker.Handle(time.Now(), event) {
 		switch a := action.(type) {
 		case broker.Permit:
-			r.answer(a.Load, peer.LoadPermit{Granted: true, UseWithin: a.UseWithin})
+			r.respond(a.Load, peer.LoadPermit{Granted: true, UseWithin: a.UseWithin})
 		case broker.Refuse:
-			r.answer(a.Load, peer.LoadPermit{RetryAfter: a.RetryAfter})
+			r.respond(a.Load, peer.LoadPermit{RetryAfter: a.RetryAfter})
 		}
 	}
 }
 
-func (r *Runner) answer(load broker.Load, permit peer.LoadPermit) {
-	answer, ok := r.waiting[load]
+func (r *Runner) respond(load broker.Load, permit peer.LoadPermit) {
+	response, ok := r.waiters[load]
 	if !ok {
 		return
 	}
-	delete(r.waiting, load)
-	answer <- permit
+	delete(r.waiters, load)
+	response <- permit
 }
--- a/internal/entry/brokering/runner_test.go
+++ b/internal/entry/brokering/runner_test.go
@@ -14,7 +14,7 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-func asked(adapter string) broker.Asked {
+func permitRequest(adapter string) broker.Asked {
 	return broker.Asked{
 		Load:     broker.Load{Upstream: "engine-1", Model: model.Reference{Adapter: adapter, Version: "1"}},
 		Demand:   100,
@@ -22,7 +22,7 @@
 	}
 }
 
-// run runs a broker that allows one load in two seconds and one in flight.
+// run runs a broker that permits one load per two seconds and one in flight.
 func run(t *testing.T, test func(ctx context.Context, r *brokering.Runner)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -38,37 +38,38 @@
 	})
 }
 
-// A holder asks again for the same load because its demand has grown. Were the first ask told that it is
-// refused, the holder would wait and ask a third time, and so on for as long as the load waits.
-func TestReplacedAskIsToldSo(t *testing.T) {
+// Guards against a replaced request that is reported as refused. A holder requests the same load again because its demand
+// has grown. If its first request were refused, the holder would wait and request the load a third time, and so on for as
+// long as the load waits.
+func TestReplacedPermitRequestIsReportedAsReplaced(t *testing.T) {
 	run(t, func(ctx context.Context, r *brokering.Runner) {
 		is := is.New(t)
-		is.True(r.Permit(ctx, asked("first")).Granted) // takes the only place
-		answers := make(chan peer.LoadPermit, 2)
-		go func() { answers <- r.Permit(ctx, asked("second")) }()
+		is.True(r.Permit(ctx, permitRequest("first")).Granted) // takes the only permit in flight
+		responses := make(chan peer.LoadPermit, 2)
+		go func() { responses <- r.Permit(ctx, permitRequest("second")) }()
 		time.Sleep(100 * time.Millisecond)
-		go func() { answers <- r.Permit(ctx, asked("second")) }()
-		is.Equal(<-answers, peer.LoadPermit{Replaced: true})
-		r.End(ctx, asked("first").Load, false)
-		is.True((<-answers).Granted)
+		go func() { responses <- r.Permit(ctx, permitRequest("second")) }()
+		is.Equal(<-responses, peer.LoadPermit{Replaced: true})
+		r.End(ctx, permitRequest("first").Load, false)
+		is.True((<-responses).Granted)
 	})
 }
 
-// A holder has got a permit and needs it no more. Counted as used, the loads of half a second would be
-// lost to everybody else.
-func TestUnusedPermitIsGivenBack(t *testing.T) {
+// Guards against counting a returned permit as used. A holder has a permit that it no longer needs; counted as used, it
+// would cost the other holders the loads of half a second.
+func TestUnusedPermitIsReturned(t *testing.T) {
 	run(t, func(ctx context.Context, r *brokering.Runner) {
 		is := is.New(t)
-		for took := time.Duration(0); took < time.Second; { // until the store's rate is used up
-			began := time.Now()
-			is.True(r.Permit(ctx, asked("first")).Granted)
-			r.End(ctx, asked("first").Load, false)
-			took = time.Since(began)
+		for elapsed := time.Duration(0); elapsed < time.Second; { // until the rate of the weight store is used up
+			start := time.Now()
+			is.True(r.Permit(ctx, permitRequest("first")).Granted)
+			r.End(ctx, permitRequest("first").Load, false)
+			elapsed = time.Since(start)
 		}
-		is.True(r.Permit(ctx, asked("first")).Granted)
-		r.End(ctx, asked("first").Load, true)
-		began := time.Now()
-		is.True(r.Permit(ctx, asked("second")).Granted)
-		is.True(time.Since(began) < time.Second)
+		is.True(r.Permit(ctx, permitRequest("first")).Granted)
+		r.End(ctx, permitRequest("first").Load, true)
+		start := time.Now()
+		is.True(r.Permit(ctx, permitRequest("second")).Granted)
+		is.True(time.Since(start) < time.Second)
 	})
 }
