--- a/internal/entry/holding/held_upstream.go
+++ b/internal/entry/holding/held_upstream.go
@@ -11,26 +11,26 @@
 	"lacewingrock.example/lacewingrock/internal/placement/holder"
 )
 
-// held_upstream.go is one held upstream: its holder, the requests that wait for its answer, and how the
-// holder's actions are carried out.
+// held_upstream.go contains a held upstream: its holder, the requests that wait for a decision, and the execution of the
+// holder's actions.
 
 // heldUpstream is one upstream that this instance holds.
 type heldUpstream struct {
 	holder    *holder.Holder
 	engine    Engine
-	waiting   map[waiterKey]chan peer.Placement
+	waiters   map[waiterKey]chan peer.Placement
 	appointed bool
 	context   context.Context
 	stop      context.CancelFunc
 }
 
-// waiterKey tells waiting requests apart: instances choose request identities on their own.
+// waiterKey identifies a waiting request. Request IDs are unique per instance only.
 type waiterKey struct {
 	instance string
 	request  string
 }
 
-// notHolder is the answer when this instance does not hold the upstream; another one does by now.
+// notHolder is the response if this instance does not hold the upstream; another one does by then.
 var notHolder = peer.Refused{Reason: holder.ReasonNotHolder, RetryAfter: time.Second}
 
 func (u *heldUpstream) name() string {
@@ -38,11 +38,11 @@
 }
 
 func (r *Runner) newHeld(upstream resource.Upstream) *heldUpstream {
-	ctx, cancel := context.WithCancel(r.done)
+	ctx, cancel := context.WithCancel(r.runContext)
 	u := &heldUpstream{
 		holder:  &holder.Holder{Upstream: upstream, Settings: r.Settings},
 		engine:  r.Engine(upstream.Address),
-		waiting: map[waiterKey]chan peer.Placement{},
+		waiters: map[waiterKey]chan peer.Placement{},
 		context: ctx,
 		stop:    cancel,
 	}
@@ -56,54 +56,54 @@
 func (r *Runner) place(m placeMessage) {
 	u, ok := r.held[m.request.Upstream]
 	if !ok {
-		m.answer <- notHolder
+		m.response <- notHolder
 		return
 	}
 	key := waiterKey{instance: m.request.Request.Instance, request: m.request.Request.ID}
-	u.waiting[key] = m.answer
-	r.feed(u, holder.Arrived{Request: m.request.Request})
+	u.waiters[key] = m.response
+	r.handleEvent(u, holder.Arrived{Request: m.request.Request})
 }
 
-// leave ends the wait of a request whose caller has gone. If it was granted meanwhile, its answer lies
-// unread in the channel and the pin has to be given back.
-func (r *Runner) leave(request peer.PlaceRequest) {
+// cancel ends the wait of a request whose caller has disconnected. If the request was granted meanwhile, the response is
+// unread in the channel and the pin has to be released.
+func (r *Runner) cancel(request peer.PlaceRequest) {
 	u, ok := r.held[request.Upstream]
 	if !ok {
 		return
 	}
 	key := waiterKey{instance: request.Request.Instance, request: request.Request.ID}
-	if _, waits := u.waiting[key]; waits {
-		delete(u.waiting, key)
-		r.feed(u, holder.Cancelled{RequestID: request.Request.ID})
+	if _, waits := u.waiters[key]; waits {
+		delete(u.waiters, key)
+		r.handleEvent(u, holder.Cancelled{RequestID: request.Request.ID})
 		return
 	}
 	for _, pin := range u.holder.Pins() {
 		if pin.RequestID == request.Request.ID && pin.Instance == request.Request.Instance {
-			r.feed(u, holder.Released{Pin: pin.ID})
+			r.handleEvent(u, holder.Released{Pin: pin.ID})
 		}
 	}
 }
 
-// feed hands an event to the holder and carries out what it decides.
+// handleEvent passes an event to the holder and executes the resulting actions.
 //
-// An instance that was paused finds old events in its inbox when it wakes up, and by then another may
-// hold the upstream. Granting or ordering on them would run a request on an adapter version that the
-// other is just evicting. So whatever would have an effect outside asks for freshness first.
-func (r *Runner) feed(u *heldUpstream, event holder.Event) {
+// A process that was paused finds old events in its inbox when it resumes; by then another instance may hold the
+// upstream. A grant or an order based on them would run a request on an adapter version that the other instance is
+// evicting. Therefore each action with an external effect checks freshness first.
+func (r *Runner) handleEvent(u *heldUpstream, event holder.Event) {
 	for _, action := range u.holder.Handle(time.Now(), event) {
-		r.carryOut(u, action)
+		r.execute(u, action)
 	}
 }
 
-func (r *Runner) carryOut(u *heldUpstream, action holder.Action) {
+func (r *Runner) execute(u *heldUpstream, action holder.Action) {
 	switch a := action.(type) {
 	case holder.Grant:
 		r.grant(u, a)
 	case holder.Refuse:
-		r.answer(u, waiterKey{instance: a.Instance, request: a.RequestID},
+		r.respond(u, waiterKey{instance: a.Instance, request: a.RequestID},
 			peer.Refused{Reason: a.Reason, RetryAfter: a.RetryAfter})
 	case holder.AskPins:
-		r.askPins(u, a)
+		r.requestPins(u, a)
 	case holder.OrderFence:
 		go r.runFence(u, a)
 	case holder.AskPermit:
@@ -118,38 +118,38 @@
 func (r *Runner) grant(u *heldUpstream, grant holder.Grant) {
 	key := waiterKey{instance: grant.Pin.Instance, request: grant.Pin.RequestID}
 	if r.Fresh() != nil {
-		r.answer(u, key, notHolder)
-		r.feed(u, holder.Released{Pin: grant.Pin.ID})
+		r.respond(u, key, notHolder)
+		r.handleEvent(u, holder.Released{Pin: grant.Pin.ID})
 		return
 	}
 	granted := peer.Granted{Pin: grant.Pin.ID, WaitedLoad: grant.WaitedLoad, WaitedQueue: grant.WaitedQueue}
-	if !r.answer(u, key, granted) {
-		r.feed(u, holder.Released{Pin: grant.Pin.ID})
+	if !r.respond(u, key, granted) {
+		r.handleEvent(u, holder.Released{Pin: grant.Pin.ID})
 	}
 }
 
-func (r *Runner) answer(u *heldUpstream, key waiterKey, placement peer.Placement) bool {
-	answer, ok := u.waiting[key]
+func (r *Runner) respond(u *heldUpstream, key waiterKey, placement peer.Placement) bool {
+	response, ok := u.waiters[key]
 	if !ok {
 		return false
 	}
-	delete(u.waiting, key)
-	answer <- placement
+	delete(u.waiters, key)
+	response <- placement
 	return true
 }
 
-// tell brings an event from a goroutine of the held upstream to the loop.
-func (r *Runner) tell(u *heldUpstream, event holder.Event) {
+// sendEvent sends an event from a goroutine of the held upstream to the loop.
+func (r *Runner) sendEvent(u *heldUpstream, event holder.Event) {
 	r.inbox.Send(u.context, eventMessage{held: u, event: event})
 }
 
-// member finds an instance among the members of the newest tenure.
+// member looks up an instance among the members of the current tenure.
 func (r *Runner) member(u *heldUpstream, instance string) (member head.Member, ok bool) {
-	answer := make(chan []head.Member, 1)
-	if !r.inbox.Send(u.context, membersMessage{answer: answer}) {
+	response := make(chan []head.Member, 1)
+	if !r.inbox.Send(u.context, membersMessage{response: response}) {
 		return head.Member{}, false
 	}
-	members, _ := inbox.Await(u.context, r.inbox, answer)
+	members, _ := inbox.Await(u.context, r.inbox, response)
 	for _, m := range members {
 		if m.Name == instance {
 			return m, true
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -15,52 +15,52 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// orders.go makes the calls that a holder decided on, each in a goroutine that ends by telling the
-// loop what came of it.
+// orders.go makes the calls that a holder decided on, each in its own goroutine, which sends the result to the loop as an
+// event.
 
 const (
-	// reportEvery is how often an engine is asked for its report. Three that fail make an upstream
-	// unhealthy, which has to show within a few seconds; asked more often, reports would take most of
-	// what an instance may spend on control.
-	reportEvery = time.Second
-	// unhealthyAfter is how many reports in a row may fail before the upstream gets no new work: one or
-	// two are lost to a slow connection, and a leaving upstream has to be noticed within seconds.
+	// reportInterval is how often an engine's report is fetched. After three failed reports an upstream is unhealthy,
+	// which has to be detected within a few seconds. With a shorter interval, reports would take most of an instance's
+	// budget for control traffic.
+	reportInterval = time.Second
+	// unhealthyAfter is the number of consecutive failed reports after which the upstream gets no new work. One or two
+	// fail on a slow connection, but an upstream that is leaving has to be detected within seconds.
 	unhealthyAfter = 3
-	// askAgain is the pause before a member that has not noted the epoch, or did not answer, is asked
+	// retryInterval is the pause before a failed call is retried, or a member that has not installed the epoch is asked
 	// again for its pins.
-	askAgain = 100 * time.Millisecond
-	// reconcileEvery is how often pins are compared with what their instances know. A release that was
-	// lost would otherwise take a batch place and a slot away for good.
-	reconcileEvery = 5 * time.Second
-	// roleServing is the role that engines have already; ordering it only makes them note the fence.
+	retryInterval = 100 * time.Millisecond
+	// reconcileInterval is how often pins are compared with the lists of their instances. Without the comparison, a lost
+	// release would occupy a batch slot and an adapter slot permanently.
+	reconcileInterval = 5 * time.Second
+	// roleServing is the role that engines already have. Ordering it only makes them record the fence.
 	roleServing = "serve"
 )
 
-// runReports polls the engine's report.
+// runReports polls the report of the engine.
 func (r *Runner) runReports(u *heldUpstream) {
 	incarnation := ""
 	failed := 0
-	for pause.For(u.context, reportEvery) {
+	for pause.For(u.context, reportInterval) {
 		report, err := u.engine.Report(u.context)
 		if err != nil {
 			failed++
 			if failed == unhealthyAfter {
 				r.Log.Warn().Str("Upstream", u.name()).Err(err).Msg("UpstreamUnreachable")
-				r.tell(u, holder.UpstreamHealth{Healthy: false})
+				r.sendEvent(u, holder.UpstreamHealth{Healthy: false})
 			}
 			continue
 		}
 		if failed >= unhealthyAfter {
 			r.Log.Info().Str("Upstream", u.name()).Msg("UpstreamReachable")
-			r.tell(u, holder.UpstreamHealth{Healthy: true})
+			r.sendEvent(u, holder.UpstreamHealth{Healthy: true})
 		}
 		failed = 0
 		if incarnation != "" && incarnation != report.Incarnation {
 			r.Log.Warn().Str("Upstream", u.name()).Msg("UpstreamRestarted")
-			r.tell(u, holder.UpstreamRestarted{Incarnation: report.Incarnation})
+			r.sendEvent(u, holder.UpstreamRestarted{Incarnation: report.Incarnation})
 		}
 		incarnation = report.Incarnation
-		r.tell(u, holder.Reported{
+		r.sendEvent(u, holder.Reported{
 			Incarnation: report.Incarnation,
 			Resident:    references(report.Resident),
 			Running:     references(report.RunningModels),
@@ -82,37 +82,37 @@
 // ---------------------------------------------------------------------------------------------
 // Pins.
 
-func (r *Runner) askPins(u *heldUpstream, action holder.AskPins) {
+func (r *Runner) requestPins(u *heldUpstream, action holder.AskPins) {
 	for _, member := range r.tenure.Members {
-		go r.runAskPins(u, member, action.Epoch)
+		go r.runRequestPins(u, member, action.Epoch)
 	}
 }
 
-// runAskPins asks one member until it has noted the epoch and told its pins. A member that has died is
-// taken off the holder's list by InstanceGone.
-func (r *Runner) runAskPins(u *heldUpstream, member head.Member, epoch int64) {
+// runRequestPins requests the pins of a member until the member has installed the epoch and responds. A member that has
+// stopped is removed from the holder's list by InstanceGone.
+func (r *Runner) runRequestPins(u *heldUpstream, member head.Member, epoch int64) {
 	for {
 		list, err := r.Peers.Pins(u.context, member, u.name(), epoch)
 		if err == nil && list.Noted && list.Incarnation == member.Incarnation {
-			r.tell(u, holder.PinsTold{Instance: member.Name, Epoch: epoch, Pins: list.Pins})
+			r.sendEvent(u, holder.PinsTold{Instance: member.Name, Epoch: epoch, Pins: list.Pins})
 			return
 		}
-		if !pause.For(u.context, askAgain) {
+		if !pause.For(u.context, retryInterval) {
 			return
 		}
 	}
 }
 
-// runReconcile releases pins that their instance does not know any more.
+// runReconcile releases pins that their instance no longer has.
 func (r *Runner) runReconcile(u *heldUpstream) {
 	before := map[string]bool{}
-	for pause.For(u.context, reconcileEvery) {
-		pins, ok := r.list(u)
+	for pause.For(u.context, reconcileInterval) {
+		pins, ok := r.listPins(u)
 		if !ok {
 			return
 		}
 		now := map[string]bool{}
-		for instance, known := range byInstance(pins) {
+		for instance, known := range groupByInstance(pins) {
 			r.reconcileInstance(u, instance, known, before)
 		}
 		for _, pin := range pins {
@@ -122,8 +122,8 @@
 	}
 }
 
-// reconcileInstance asks one instance. Only pins that were there a round before count: the answer with
-// a younger one may still be on its way to the instance.
+// reconcileInstance compares pins with the list of their instance. It releases only pins that already existed in the
+// previous round: the response that grants a newer one may still be in transit to the instance.
 func (r *Runner) reconcileInstance(u *heldUpstream, instance string, pins []holder.Pin, before map[string]bool) {
 	member, ok := r.member(u, instance)
 	if !ok {
@@ -140,30 +140,30 @@
 	for _, pin := range pins {
 		if before[pin.ID] && !known[pin.ID] {
 			r.Log.Warn().Str("Upstream", u.name()).Str("Instance", instance).Msg("PinReleaseWasLost")
-			r.tell(u, holder.Released{Pin: pin.ID})
+			r.sendEvent(u, holder.Released{Pin: pin.ID})
 		}
 	}
 }
 
-func (r *Runner) list(u *heldUpstream) ([]holder.Pin, bool) {
-	answer := make(chan []holder.Pin, 1)
-	if !r.inbox.Send(u.context, listMessage{held: u, answer: answer}) {
+func (r *Runner) listPins(u *heldUpstream) ([]holder.Pin, bool) {
+	response := make(chan []holder.Pin, 1)
+	if !r.inbox.Send(u.context, listPinsMessage{held: u, response: response}) {
 		return nil, false
 	}
-	return inbox.Await(u.context, r.inbox, answer)
+	return inbox.Await(u.context, r.inbox, response)
 }
 
-func byInstance(pins []holder.Pin) map[string][]holder.Pin {
-	sorted := map[string][]holder.Pin{}
+func groupByInstance(pins []holder.Pin) map[string][]holder.Pin {
+	groups := map[string][]holder.Pin{}
 	for _, pin := range pins {
-		sorted[pin.Instance] = append(sorted[pin.Instance], pin)
+		groups[pin.Instance] = append(groups[pin.Instance], pin)
 	}
-	return sorted
+	return groups
 }
 
-// cancelStreams ends, at the engine, the requests of an instance that does nothing any more, and only
-// then lets the holder forget their pins. The engine does not know that the instance has died: its
-// requests would run on, and their adapter version could be evicted under them.
+// cancelStreams cancels the requests of a stopped instance at the engine, and only then has the holder remove their pins.
+// The engine does not know that the instance has stopped: without the cancellation the requests would continue, and their
+// adapter version could be evicted while they run.
 func (r *Runner) cancelStreams(u *heldUpstream, instance, incarnation string) {
 	var pins []holder.Pin
 	for _, pin := range u.holder.Pins() {
@@ -174,15 +174,15 @@
 	go r.runCancelStreams(u, pins, holder.InstanceGone{Instance: instance, Incarnation: incarnation})
 }
 
-func (r *Runner) runCancelStreams(u *heldUpstream, pins []holder.Pin, gone holder.InstanceGone) {
+func (r *Runner) runCancelStreams(u *heldUpstream, pins []holder.Pin, event holder.InstanceGone) {
 	for _, pin := range pins {
 		for u.engine.Cancel(u.context, pin.RequestID) != nil {
-			if !pause.For(u.context, askAgain) {
+			if !pause.For(u.context, retryInterval) {
 				return
 			}
 		}
 	}
-	r.tell(u, gone)
+	r.sendEvent(u, event)
 }
 
 // ---------------------------------------------------------------------------------------------
@@ -194,7 +194,7 @@
 	}
 	err := u.engine.Role(u.context, roleServing, action.Fence)
 	if err == nil {
-		r.tell(u, holder.FenceNoted(action))
+		r.sendEvent(u, holder.FenceNoted(action))
 		return
 	}
 	r.Log.Warn().Str("Upstream", u.name()).Int64("Fence", action.Fence).Err(err).Msg("FenceNotNoted")
@@ -212,29 +212,29 @@
 	})
 	switch {
 	case err == nil && permit.Replaced:
-		return // the newer ask tells what came of it
+		return // the newer request sends the result
 	case err != nil:
-		r.tell(u, holder.PermitRefused{Model: action.Model, RetryAfter: askAgain})
+		r.sendEvent(u, holder.PermitRefused{Model: action.Model, RetryAfter: retryInterval})
 	case permit.Granted:
-		r.tell(u, holder.PermitGranted{Model: action.Model, UseWithin: permit.UseWithin})
+		r.sendEvent(u, holder.PermitGranted{Model: action.Model, UseWithin: permit.UseWithin})
 	default:
-		r.tell(u, holder.PermitRefused{Model: action.Model, RetryAfter: permit.RetryAfter})
+		r.sendEvent(u, holder.PermitRefused{Model: action.Model, RetryAfter: permit.RetryAfter})
 	}
 }
 
-// runEndLoad tells the broker that a load has ended, or that its permit is given back unused. When that
-// is lost the permit lapses by itself.
+// runEndLoad notifies the broker that a load has ended, or that its permit is returned unused. If the call fails, the
+// permit expires.
 func (r *Runner) runEndLoad(u *heldUpstream, ref model.Reference, unused bool) {
 	err := r.Peers.EndLoad(u.context, broker.Load{Upstream: u.name(), Model: ref}, unused)
 	if err != nil {
-		r.Log.Debug().Str("Upstream", u.name()).Err(err).Msg("PermitNotReturned")
+		r.Log.Debug().Str("Upstream", u.name()).Err(err).Msg("EndLoadFailed")
 	}
 }
 
 func (r *Runner) runLoad(u *heldUpstream, action holder.OrderLoad) {
 	ctx, cancel := context.WithTimeout(u.context, r.Settings.LongestOrder)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	evicted, err := r.load(ctx, u, action)
 	r.runEndLoad(u, action.Load, false)
 	event := r.Log.Info()
@@ -242,16 +242,16 @@
 		event = r.Log.Warn().Err(err)
 	}
 	event.Str("Upstream", u.name()).Str("Load", action.Load.String()).Str("Evict", evictText(action.Evict)).
-		Int64("Fence", action.Fence).Dur("Took", time.Since(began)).Msg("AdapterLoad")
+		Int64("Fence", action.Fence).Dur("Took", time.Since(start)).Msg("AdapterLoad")
 	if err != nil {
-		r.tell(u, holder.LoadFailed{Load: action.Load, Evicted: evicted, Cause: causeOf(err)})
+		r.sendEvent(u, holder.LoadFailed{Load: action.Load, Evicted: evicted, Cause: causeOf(err)})
 		return
 	}
-	r.tell(u, holder.LoadDone{Load: action.Load})
+	r.sendEvent(u, holder.LoadDone{Load: action.Load})
 }
 
-// load unloads what has to make room and loads. An instance that was paused before the order asks for
-// freshness at the last moment: by then another may be the holder.
+// load unloads the adapter version to evict, if there is one, and then loads. It checks freshness immediately before each
+// order: the process may have been paused, and another instance may be the holder by then.
 func (r *Runner) load(ctx context.Context, u *heldUpstream, action holder.OrderLoad) (evicted bool, err error) {
 	if !action.Evict.IsZero() {
 		if err := r.Fresh(); err != nil {
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -1,6 +1,6 @@
-// Package holding runs the holders of those upstreams that this instance holds: it feeds each
-// holder.Holder its events and carries out what it decides. All decisions stand in package holder;
-// here are the queue of events, the calls to engines and peers, and the answers to waiting requests.
+// Package holding runs the holders of the upstreams that this instance holds: it passes events to each holder.Holder and
+// executes its actions. All decisions are made in package holder; this package contains the event queue, the calls to
+// engines and peers, and the responses to waiting requests.
 package holding
 
 import (
@@ -19,16 +19,16 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// runner.go holds what the rest of the instance calls, and the loop that owns all holders.
+// runner.go contains the methods for the rest of the instance, and the event loop that owns all holders.
 
-// Peers are the calls that holders need made to other instances, this one included.
+// Peers makes the calls of holders to the members, including this instance.
 type Peers interface {
 	Pins(ctx context.Context, member head.Member, upstream string, epoch int64) (peer.PinList, error)
 	PermitLoad(ctx context.Context, asked broker.Asked) (peer.LoadPermit, error)
 	EndLoad(ctx context.Context, load broker.Load, unused bool) error
 }
 
-// Engine is the part of an engine's client that holders use.
+// Engine is the part of an engine client that holders use.
 type Engine interface {
 	Load(ctx context.Context, order engine.Order) error
 	Unload(ctx context.Context, order engine.Order) error
@@ -37,8 +37,8 @@
 	Cancel(ctx context.Context, id string) error
 }
 
-// Tenure is what a new head says about this instance: which upstreams it holds, under which epoch and
-// among which members. Continued names the upstreams that it certainly held in the epoch before.
+// Tenure is this instance's part of a new head: the upstreams that it holds, the epoch and the members. Continued contains
+// the upstreams that it certainly held in the previous epoch.
 type Tenure struct {
 	Epoch     int64
 	Members   []head.Member
@@ -46,58 +46,58 @@
 	Continued map[string]bool
 }
 
-// Leaving names the upstreams that are said to be leaving by others than the configuration.
+// Leaving contains the upstreams that are leaving according to sources other than the configuration.
 type Leaving map[string]bool
 
 // Runner owns the holders. Set the exported fields before Run.
 type Runner struct {
 	Settings holder.Settings
 	Peers    Peers
-	// Engine gives the client of the engine at an address.
+	// Engine returns a client of the engine at an address.
 	Engine func(address string) Engine
-	// Source gives where the weight store keeps an adapter version.
+	// Source returns the location of an adapter version in the weight store.
 	Source func(ref model.Reference) string
-	// Fresh fails when this instance's knowledge may not be used any more.
+	// Fresh returns an error if this instance's configuration is too old to act on.
 	Fresh func() error
 	Log   zerolog.Logger
 
 	inbox *inbox.Inbox[message]
 	held  map[string]*heldUpstream
-	// tenure and leaving are the newest ones told.
-	tenure  Tenure
-	leaving Leaving
-	done    context.Context
+	// tenure and leaving are the most recent values set.
+	tenure     Tenure
+	leaving    Leaving
+	runContext context.Context
 }
 
 const (
-	// inboxLength bounds what waits for the loop. A message takes some microseconds, so a full inbox
-	// means milliseconds of delay; beyond that senders wait.
+	// inboxLength bounds the messages that wait for the loop. A message takes some microseconds, so a full inbox means a
+	// delay of milliseconds. Senders block while it is full.
 	inboxLength = 1024
-	// tickEvery lets holders notice deadlines and lapsed permits. They ask for at most 100 ms.
-	tickEvery = 50 * time.Millisecond
+	// tickInterval is how often holders check deadlines and expired permits. They need at most 100 ms between checks.
+	tickInterval = 50 * time.Millisecond
 )
 
-// message is something for the loop to do. It is sealed.
+// message is a message to the loop. It is sealed.
 type message interface{ message() }
 
 type (
 	placeMessage struct {
-		request peer.PlaceRequest
-		answer  chan peer.Placement
+		request  peer.PlaceRequest
+		response chan peer.Placement
 	}
-	leaveMessage struct {
+	cancelMessage struct {
 		request peer.PlaceRequest
 	}
 	tenureMessage struct {
-		tenure Tenure
-		taken  chan struct{}
+		tenure  Tenure
+		applied chan struct{}
 	}
 	leavingMessage struct{ leaving Leaving }
 	inForceMessage struct{ revision int64 }
-	goneMessage    struct{ instance, incarnation string }
-	summaryMessage struct{ answer chan []holder.Summary }
-	// eventMessage is an event for one upstream's holder, from a goroutine that began in a tenure.
-	// Events of an earlier holding of the same upstream are dropped.
+	stoppedMessage struct{ instance, incarnation string }
+	summaryMessage struct{ response chan []holder.Summary }
+	// eventMessage is an event for the holder of one upstream, from a goroutine of that held upstream. If the upstream was
+	// yielded meanwhile, the event is dropped, even if the upstream is held again.
 	eventMessage struct {
 		held  *heldUpstream
 		event holder.Event
@@ -106,57 +106,57 @@
 		upstream string
 		event    holder.Released
 	}
-	listMessage struct {
-		held   *heldUpstream
-		answer chan []holder.Pin
+	listPinsMessage struct {
+		held     *heldUpstream
+		response chan []holder.Pin
 	}
-	membersMessage struct{ answer chan []head.Member }
+	membersMessage struct{ response chan []head.Member }
 )
 
-func (placeMessage) message()   {}
-func (leaveMessage) message()   {}
-func (tenureMessage) message()  {}
-func (leavingMessage) message() {}
-func (inForceMessage) message() {}
-func (goneMessage) message()    {}
-func (summaryMessage) message() {}
-func (eventMessage) message()   {}
-func (releaseMessage) message() {}
-func (listMessage) message()    {}
-func (membersMessage) message() {}
+func (placeMessage) message()    {}
+func (cancelMessage) message()   {}
+func (tenureMessage) message()   {}
+func (leavingMessage) message()  {}
+func (inForceMessage) message()  {}
+func (stoppedMessage) message()  {}
+func (summaryMessage) message()  {}
+func (eventMessage) message()    {}
+func (releaseMessage) message()  {}
+func (listPinsMessage) message() {}
+func (membersMessage) message()  {}
 
-// Prepare makes the runner ready to be called before Run has begun.
+// Prepare initializes the runner. Its methods may be called from then on, also before Run.
 func (r *Runner) Prepare() {
 	r.inbox = inbox.New[message](inboxLength)
 	r.held = map[string]*heldUpstream{}
 }
 
-// Run owns the holders until the context ends.
+// Run runs the event loop until the context ends.
 func (r *Runner) Run(ctx context.Context) error {
-	r.done = ctx
-	r.inbox.Loop(ctx, tickEvery, r.take, r.tick)
+	r.runContext = ctx
+	r.inbox.Loop(ctx, tickInterval, r.handleMessage, r.tick)
 	return nil
 }
 
 func (r *Runner) tick() {
 	for _, u := range r.held {
-		r.feed(u, holder.Tick{})
+		r.handleEvent(u, holder.Tick{})
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
-// What the rest of the instance calls.
+// Methods for the rest of the instance.
 
-// Place asks for a place on an upstream and waits for the answer. When the context ends first, the
-// request leaves the queue, or gives its pin back.
+// Place requests a batch slot on an upstream and waits for the decision. If the context ends first, the request is removed
+// from the queue, or its pin is released.
 func (r *Runner) Place(ctx context.Context, request peer.PlaceRequest) peer.Placement {
-	answer := make(chan peer.Placement, 1)
-	if !r.inbox.Send(ctx, placeMessage{request: request, answer: answer}) {
+	response := make(chan peer.Placement, 1)
+	if !r.inbox.Send(ctx, placeMessage{request: request, response: response}) {
 		return notHolder
 	}
-	placement, ok := inbox.Await(ctx, r.inbox, answer)
+	placement, ok := inbox.Await(ctx, r.inbox, response)
 	if !ok {
-		r.inbox.Send(context.WithoutCancel(ctx), leaveMessage{request: request})
+		r.inbox.Send(context.WithoutCancel(ctx), cancelMessage{request: request})
 		return notHolder
 	}
 	return placement
@@ -167,82 +167,82 @@
 	r.inbox.Send(ctx, releaseMessage{upstream: upstream, event: event})
 }
 
-// SetTenure tells what a newly installed head says, and waits until it is taken in: from then on nothing
-// is granted or ordered for upstreams that this instance does not hold any more. Only after that may the
-// instance tell others that it has the head in force.
+// SetTenure sets the tenure from a newly installed head, and waits until the loop has applied it: from then on nothing is
+// granted or ordered for upstreams that this instance no longer holds. Only after that may the instance report to others
+// that the head is in force here.
 func (r *Runner) SetTenure(ctx context.Context, tenure Tenure) {
-	taken := make(chan struct{})
-	if r.inbox.Send(ctx, tenureMessage{tenure: tenure, taken: taken}) {
-		inbox.Await(ctx, r.inbox, taken)
+	applied := make(chan struct{})
+	if r.inbox.Send(ctx, tenureMessage{tenure: tenure, applied: applied}) {
+		inbox.Await(ctx, r.inbox, applied)
 	}
 }
 
-// SetLeaving tells which upstreams are said to be leaving.
+// SetLeaving sets the upstreams that are leaving.
 func (r *Runner) SetLeaving(ctx context.Context, leaving Leaving) {
 	r.inbox.Send(ctx, leavingMessage{leaving: leaving})
 }
 
-// SetInForce tells the highest revision that is in force everywhere.
+// SetInForce sets the highest revision that is in force at all members.
 func (r *Runner) SetInForce(ctx context.Context, revision int64) {
 	r.inbox.Send(ctx, inForceMessage{revision: revision})
 }
 
-// SetGone tells that an incarnation of an instance certainly does nothing any more.
+// SetGone records that an incarnation of an instance has certainly stopped.
 func (r *Runner) SetGone(ctx context.Context, instance, incarnation string) {
-	r.inbox.Send(ctx, goneMessage{instance: instance, incarnation: incarnation})
+	r.inbox.Send(ctx, stoppedMessage{instance: instance, incarnation: incarnation})
 }
 
-// Summaries lists what is to be told of the upstreams held here.
+// Summaries returns the summaries of the upstreams held here, for heartbeats.
 func (r *Runner) Summaries(ctx context.Context) []holder.Summary {
-	answer := make(chan []holder.Summary, 1)
-	if !r.inbox.Send(ctx, summaryMessage{answer: answer}) {
+	response := make(chan []holder.Summary, 1)
+	if !r.inbox.Send(ctx, summaryMessage{response: response}) {
 		return nil
 	}
-	summaries, _ := inbox.Await(ctx, r.inbox, answer)
+	summaries, _ := inbox.Await(ctx, r.inbox, response)
 	return summaries
 }
 
 // ---------------------------------------------------------------------------------------------
-// The loop's work.
+// Event loop.
 
-func (r *Runner) take(m message) {
+func (r *Runner) handleMessage(m message) {
 	switch m := m.(type) {
 	case placeMessage:
 		r.place(m)
-	case leaveMessage:
-		r.leave(m.request)
+	case cancelMessage:
+		r.cancel(m.request)
 	case tenureMessage:
 		r.setTenure(m.tenure)
-		close(m.taken)
+		close(m.applied)
 	case leavingMessage:
 		r.leaving = m.leaving
 		for _, u := range r.held {
-			r.feedLeaving(u)
+			r.updateLeaving(u)
 		}
 	case inForceMessage:
 		for _, u := range r.held {
 			if m.revision >= r.tenure.Epoch {
-				r.feed(u, holder.EpochInForce{Epoch: r.tenure.Epoch})
+				r.handleEvent(u, holder.EpochInForce{Epoch: r.tenure.Epoch})
 			}
 		}
-	case goneMessage:
+	case stoppedMessage:
 		for _, u := range r.held {
 			r.cancelStreams(u, m.instance, m.incarnation)
 		}
 	case summaryMessage:
-		m.answer <- r.summaries()
+		m.response <- r.summaries()
 	case eventMessage:
 		if r.held[m.held.name()] == m.held {
-			r.feed(m.held, m.event)
+			r.handleEvent(m.held, m.event)
 		}
 	case releaseMessage:
 		if u, ok := r.held[m.upstream]; ok {
-			r.feed(u, m.event)
+			r.handleEvent(u, m.event)
 		}
-	case listMessage:
-		m.answer <- m.held.holder.Pins()
+	case listPinsMessage:
+		m.response <- m.held.holder.Pins()
 	case membersMessage:
-		m.answer <- r.tenure.Members
+		m.response <- r.tenure.Members
 	}
 }
 
@@ -257,7 +257,7 @@
 	return summaries
 }
 
-// setTenure takes a new head in: upstreams no longer held are given up, new ones taken.
+// setTenure applies a new tenure: it yields the upstreams that are no longer held, and starts to hold new ones.
 func (r *Runner) setTenure(tenure Tenure) {
 	r.tenure = tenure
 	held := map[string]bool{}
@@ -270,35 +270,35 @@
 		held[name] = true
 		u, ok := r.held[name]
 		if ok && u.holder.Upstream.Address != upstream.Address {
-			r.giveUp(u)
+			r.yield(u)
 			ok = false
 		}
 		if !ok {
 			u = r.newHeld(upstream)
 		}
 		u.holder.Upstream = upstream
-		r.feed(u, holder.Appointed{
+		r.handleEvent(u, holder.Appointed{
 			Epoch:     tenure.Epoch,
 			Members:   names,
 			Continued: ok && tenure.Continued[name],
 		})
-		r.feedLeaving(u)
+		r.updateLeaving(u)
 		u.appointed = true
 	}
 	for name, u := range r.held {
 		if !held[name] {
-			r.giveUp(u)
+			r.yield(u)
 		}
 	}
 }
 
-// feedLeaving tells a holder whether its upstream is leaving by any word.
-func (r *Runner) feedLeaving(u *heldUpstream) {
-	r.feed(u, holder.UpstreamLeaving{Leaving: u.holder.Upstream.Leaving || r.leaving[u.name()]})
+// updateLeaving notifies a holder whether its upstream is leaving according to any source.
+func (r *Runner) updateLeaving(u *heldUpstream) {
+	r.handleEvent(u, holder.UpstreamLeaving{Leaving: u.holder.Upstream.Leaving || r.leaving[u.name()]})
 }
 
-func (r *Runner) giveUp(u *heldUpstream) {
-	r.feed(u, holder.Yielded{})
+func (r *Runner) yield(u *heldUpstream) {
+	r.handleEvent(u, holder.Yielded{})
 	u.stop()
 	delete(r.held, u.name())
 	r.Log.Info().Str("Upstream", u.name()).Int64("Epoch", r.tenure.Epoch).Msg("UpstreamYielded")
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -29,69 +29,69 @@
 	upstream = resource.Upstream{Meta: resource.Meta{Name: "engine-1"}, Address: "engine", Slots: 1, Batch: 2}
 )
 
-// scene is the engine and the peers of a runner, as one record.
-type scene struct {
-	mutex  sync.Mutex
-	record []string
-	stale  error
-	pins   []holder.Pin
+// backend is the engine and the peers of a runner, and records the calls to them.
+type backend struct {
+	mutex          sync.Mutex
+	calls          []string
+	freshnessError error
+	pins           []holder.Pin
 }
 
-func (s *scene) note(what string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.record = append(s.record, what)
+func (b *backend) recordCall(call string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.calls = append(b.calls, call)
 }
 
-func (s *scene) count(what string) (count int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, one := range s.record {
-		if one == what {
+func (b *backend) count(call string) (count int) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for _, recorded := range b.calls {
+		if recorded == call {
 			count++
 		}
 	}
 	return count
 }
 
-func (s *scene) setStale(err error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.stale = err
+func (b *backend) setFreshnessError(err error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.freshnessError = err
 }
 
-func (s *scene) fresh() error {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.stale
+func (b *backend) checkFreshness() error {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.freshnessError
 }
 
-func (s *scene) Load(_ context.Context, order engine.Order) error {
-	s.note("load " + order.Adapter)
+func (b *backend) Load(_ context.Context, order engine.Order) error {
+	b.recordCall("load " + order.Adapter)
 	return nil
 }
 
-func (s *scene) Unload(_ context.Context, order engine.Order) error {
-	s.note("unload " + order.Adapter)
+func (b *backend) Unload(_ context.Context, order engine.Order) error {
+	b.recordCall("unload " + order.Adapter)
 	return nil
 }
 
-func (s *scene) Role(context.Context, string, int64) error { return nil }
+func (b *backend) Role(context.Context, string, int64) error { return nil }
 
-func (s *scene) Report(context.Context) (engine.Report, error) {
+func (b *backend) Report(context.Context) (engine.Report, error) {
 	return engine.Report{Incarnation: "e", Age: time.Hour}, nil
 }
 
-func (s *scene) Cancel(_ context.Context, id string) error {
-	s.note("cancel " + id)
+func (b *backend) Cancel(_ context.Context, id string) error {
+	b.recordCall("cancel " + id)
 	return nil
 }
 
-func (s *scene) Pins(_ context.Context, member head.Member, _ string, _ int64) (peer.PinList, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (b *backend) Pins(_ context.Context, member head.Member, _ string, _ int64) (peer.PinList, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	list := peer.PinList{Instance: member.Name, Incarnation: member.Incarnation, Noted: true}
-	for _, pin := range s.pins {
+	for _, pin := range b.pins {
 		if pin.Instance == member.Name {
 			list.Pins = append(list.Pins, pin)
 		}
@@ -99,23 +99,23 @@
 	return list, nil
 }
 
-func (s *scene) PermitLoad(context.Context, broker.Asked) (peer.LoadPermit, error) {
+func (b *backend) PermitLoad(context.Context, broker.Asked) (peer.LoadPermit, error) {
 	return peer.LoadPermit{Granted: true, UseWithin: time.Second}, nil
 }
 
-func (s *scene) EndLoad(context.Context, broker.Load, bool) error { return nil }
+func (b *backend) EndLoad(context.Context, broker.Load, bool) error { return nil }
 
-// hold runs a runner that holds the upstream, with everything in force, for one test.
-func hold(t *testing.T, s *scene, test func(ctx context.Context, r *holding.Runner)) {
+// runHolder runs a test with a runner that holds the upstream, with its epoch in force.
+func runHolder(t *testing.T, b *backend, test func(ctx context.Context, r *holding.Runner)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		r := &holding.Runner{
 			Settings: holder.DefaultSettings(),
-			Peers:    s,
-			Engine:   func(string) holding.Engine { return s },
+			Peers:    b,
+			Engine:   func(string) holding.Engine { return b },
 			Source:   model.Reference.String,
-			Fresh:    s.fresh,
+			Fresh:    b.checkFreshness,
 			Log:      zerolog.Nop(),
 		}
 		r.Prepare()
@@ -126,7 +126,7 @@
 			Upstreams: []resource.Upstream{upstream},
 		})
 		r.SetInForce(ctx, 1)
-		time.Sleep(10 * time.Second) // the longest order of an older holder
+		time.Sleep(10 * time.Second) // the longest that an order of an earlier holder can take
 		test(ctx, r)
 		cancel()
 		synctest.Wait()
@@ -140,11 +140,11 @@
 	}}
 }
 
-// place asks for a place that must be granted, refuse for one that must not be, within a second.
+// place expects that a request is granted, refuse that it is not granted within a second.
 func place(ctx context.Context, is *is.I, r *holding.Runner, id string, from head.Member, ref model.Reference) peer.Granted {
 	is.Helper()
 	granted, ok := r.Place(ctx, request(id, from, ref)).(peer.Granted)
-	is.True(ok) // not granted
+	is.True(ok) // must be granted
 	return granted
 }
 
@@ -153,68 +153,68 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	_, ok := r.Place(ctx, request(id, from, ref)).(peer.Refused)
-	is.True(ok) // granted
+	is.True(ok) // must not be granted
 }
 
 func TestRequestIsPlacedOnceItsVersionIsLoaded(t *testing.T) {
-	s := &scene{}
-	hold(t, s, func(ctx context.Context, r *holding.Runner) {
+	b := &backend{}
+	runHolder(t, b, func(ctx context.Context, r *holding.Runner) {
 		is := is.New(t)
 		place(ctx, is, r, "r1", self, bids)
-		is.Equal(s.count("load bids"), 1)
+		is.Equal(b.count("load bids"), 1)
 		place(ctx, is, r, "r2", other, bids)
-		is.Equal(s.count("load bids"), 1) // the second found it resident
+		is.Equal(b.count("load bids"), 1) // it was resident at the second request
 	})
 }
 
-// An instance is frozen while it holds an upstream, and another takes over. When it wakes up it finds
-// requests in its inbox. Granting them would run a request on an adapter version that the other is
-// evicting: the caller would see its answer cut.
+// Guards against grants of an instance that no longer holds the upstream. The instance was frozen, another one took over,
+// and on resuming it finds requests in its inbox. A grant would run a request on an adapter version that the other
+// instance is evicting, and the caller would get a truncated response.
 func TestStaleInstanceGrantsNothing(t *testing.T) {
-	s := &scene{}
-	hold(t, s, func(ctx context.Context, r *holding.Runner) {
+	b := &backend{}
+	runHolder(t, b, func(ctx context.Context, r *holding.Runner) {
 		is := is.New(t)
 		first := place(ctx, is, r, "r1", self, bids)
-		s.setStale(errors.New("stale"))
-		// Without a limit of its own: the answer must be the runner's, not the end of the wait.
+		b.setFreshnessError(errors.New("stale"))
+		// No time-out here: the response must come from the runner, not from the end of the wait.
 		refused, ok := r.Place(ctx, request("r2", self, bids)).(peer.Refused)
 		is.True(ok)
 		is.Equal(refused.Reason, holder.ReasonNotHolder)
-		s.setStale(nil)
+		b.setFreshnessError(nil)
 		r.Release(ctx, "engine-1", holder.Released{Pin: first.Pin, Tokens: 1})
-		place(ctx, is, r, "r3", self, bids) // the refused grant left no pin behind
+		place(ctx, is, r, "r3", self, bids) // the grant that was refused left no pin
 	})
 }
 
-// An instance dies while its request runs. The engine does not know and goes on. If the holder forgot
-// the pin at once, it would evict the version under a running request; if it never did, the slot and
-// the batch place would be lost.
-func TestRequestsOfGoneInstanceAreCancelledBeforeTheirVersionIsEvicted(t *testing.T) {
-	s := &scene{}
-	hold(t, s, func(ctx context.Context, r *holding.Runner) {
+// Guards against evicting an adapter version that requests of a stopped instance still use. The engine does not know that
+// the instance has stopped, and continues. If the holder removed the pin immediately, it would evict the version while the
+// request runs; if it never did, the adapter slot and the batch slot would be lost.
+func TestRequestsOfStoppedInstanceAreCancelledBeforeTheirVersionIsEvicted(t *testing.T) {
+	b := &backend{}
+	runHolder(t, b, func(ctx context.Context, r *holding.Runner) {
 		is := is.New(t)
 		place(ctx, is, r, "r1", other, bids)
-		refuse(ctx, is, r, "r2", self, sites) // the only slot is pinned
-		is.Equal(s.count("unload bids"), 0)
+		refuse(ctx, is, r, "r2", self, sites) // the only adapter slot is pinned
+		is.Equal(b.count("unload bids"), 0)
 		r.SetGone(ctx, other.Name, other.Incarnation)
 		place(ctx, is, r, "r3", self, sites)
-		is.Equal(s.record[1:], []string{"cancel r1", "unload bids", "load sites"})
+		is.Equal(b.calls[1:], []string{"cancel r1", "unload bids", "load sites"})
 	})
 }
 
-// The message that releases a pin is lost. Without a comparison with what the instances know, the
-// batch place and the slot would be taken for good; users would notice ever longer queues.
-func TestLostReleaseIsFound(t *testing.T) {
-	s := &scene{}
-	hold(t, s, func(ctx context.Context, r *holding.Runner) {
+// Guards against pins whose release was lost. Without the comparison with the instances' lists, the batch slot and the
+// adapter slot would stay occupied permanently, and the queues would grow longer and longer.
+func TestLostReleaseIsDetected(t *testing.T) {
+	b := &backend{}
+	runHolder(t, b, func(ctx context.Context, r *holding.Runner) {
 		is := is.New(t)
 		kept := place(ctx, is, r, "r1", other, bids)
 		place(ctx, is, r, "r2", other, bids)
-		s.mutex.Lock()
-		s.pins = []holder.Pin{{ID: kept.Pin, Instance: other.Name, Model: bids}}
-		s.mutex.Unlock()
+		b.mutex.Lock()
+		b.pins = []holder.Pin{{ID: kept.Pin, Instance: other.Name, Model: bids}}
+		b.mutex.Unlock()
 		time.Sleep(15 * time.Second)
-		place(ctx, is, r, "r3", other, bids)  // one of the two batch places is free again
-		refuse(ctx, is, r, "r4", other, bids) // the other one is still pinned
+		place(ctx, is, r, "r3", other, bids)  // one of the two batch slots is free again
+		refuse(ctx, is, r, "r4", other, bids) // the other batch slot is still pinned
 	})
 }
