--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -45,7 +45,7 @@
 	}
 	scope, exposition, scopeCloser := metrics.New("lacewingd")
 	d.scope = scope
-	d.directory = &peer.Directory{Links: link.Links{Credentials: clientCredentials}}
+	d.directory = &peer.Client{Links: link.Links{Credentials: clientCredentials}}
 	d.assembleKnowledge()
 	policy := d.policy()
 	d.assemblePlacement(policy)
@@ -94,12 +94,12 @@
 func (d *Daemon) assemblePlacement(policy deployment.Policy) {
 	calls := fleet{daemon: d, own: handler{daemon: d}}
 	d.holding = &holding.Runner{
-		Settings: policy.Holder,
-		Peers:    calls,
-		Engine:   func(address string) holding.Engine { return d.engines.at(address, d.engineLimits()) },
-		Source:   d.source,
-		Fresh:    d.tracker.Fresh,
-		Log:      d.Log,
+		Settings:       policy.Holder,
+		Peers:          calls,
+		Engine:         func(address string) holding.Engine { return d.engines.at(address, d.engineLimits()) },
+		Source:         d.source,
+		CheckFreshness: d.tracker.Fresh,
+		Log:            d.Log,
 	}
 	d.holding.Prepare()
 	d.brokering = &brokering.Runner{Settings: policy.Broker}
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -125,8 +125,8 @@
 }
 
 // learn takes in what any heartbeat tells that needs no question of ours to be true.
-func (d *Daemon) learn(at time.Time, beat peer.Beat) {
-	d.tracker.Relayed(beat.Revision, beat.Told)
+func (d *Daemon) learn(at time.Time, beat peer.Heartbeat) {
+	d.tracker.Relayed(beat.Revision, beat.InForceMembers)
 	d.detector.handle(membership.Heard{Name: beat.Instance, Incarnation: beat.Incarnation})
 	d.settlement.tell(rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.OldestRevision)
 	if _, member := d.repository.Current().Head.Member(beat.Instance); member {
@@ -166,9 +166,9 @@
 }
 
 // beat is what this instance tells.
-func (d *Daemon) beat(ctx context.Context) peer.Beat {
+func (d *Daemon) beat(ctx context.Context) peer.Heartbeat {
 	revision, age := d.tracker.Confirmed()
-	beat := peer.Beat{
+	beat := peer.Heartbeat{
 		Instance:       d.self.Name,
 		Incarnation:    d.self.Incarnation,
 		Revision:       revision,
@@ -180,7 +180,7 @@
 		OldestRevision: d.settlement.toTell(d.ledger.OldestRevision()),
 	}
 	if relayed, told := d.tracker.Relay(); relayed == revision {
-		beat.Told = told
+		beat.InForceMembers = told
 	}
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		beat.Suspects = a.Suspects.Own(time.Now())
--- a/internal/entry/daemon/knowledge.go
+++ b/internal/entry/daemon/knowledge.go
@@ -92,12 +92,12 @@
 	d.pipeline.Advice.With(func(a *pipeline.Advice) {
 		a.Router.SetUpstreams(now.Configuration.Upstreams())
 	})
-	d.holding.SetTenure(ctx, d.tenure(before, now))
+	d.holding.SetAssignment(ctx, d.tenure(before, now))
 	d.detector.handle(membership.Installed{Head: now.Head})
 	d.departures.note(before.Head, now.Head)
 	d.leaving.keepMembers(now.Head)
 	d.settlement.install(now.Head)
-	d.directory.Keep(addresses(now.Head))
+	d.directory.CloseExcept(addresses(now.Head))
 	// The read or swap that brought the head confirms it; without this, each change of the configuration
 	// would have callers refused until the next read.
 	d.tracker.ReadConfirmed(now.ConfirmedAt, now.Head.Revision)
@@ -117,8 +117,8 @@
 
 // tenure is what the head says about the upstreams this instance holds. An upstream was certainly held
 // in the epoch directly before when the head before had it and no epoch was missed between the two.
-func (d *Daemon) tenure(before, now repository.Snapshot) holding.Tenure {
-	tenure := holding.Tenure{Epoch: now.Head.Epoch, Members: now.Head.Members, Continued: map[string]bool{}}
+func (d *Daemon) tenure(before, now repository.Snapshot) holding.Assignment {
+	tenure := holding.Assignment{Epoch: now.Head.Epoch, Members: now.Head.Members, Continued: map[string]bool{}}
 	missedNone := now.Head.Epoch <= before.Head.Revision+1
 	for _, upstream := range now.Configuration.Upstreams() {
 		if !d.holds(now.Head, upstream) {
@@ -182,7 +182,7 @@
 			told = inForce
 			d.holding.SetInForce(ctx, inForce)
 			for _, m := range d.departures.settled(inForce) {
-				d.holding.SetGone(ctx, m.Name, m.Incarnation)
+				d.holding.SetInstanceStopped(ctx, m.Name, m.Incarnation)
 			}
 		}
 		d.settlement.tell(d.identity(), d.settlement.toTell(d.ledger.OldestRevision()))
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -47,7 +47,7 @@
 
 // AskTokens asks a member for a loan.
 func (f fleet) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
-	return f.daemon.directory.AskTokens(ctx, member.Address, request)
+	return f.daemon.directory.BorrowTokens(ctx, member.Address, request)
 }
 
 // Pins asks a member for its pins.
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -20,8 +20,8 @@
 
 var _ peer.Handler = handler{}
 
-// Beat takes in a heartbeat and answers it.
-func (h handler) Beat(beat peer.Beat) peer.Beat {
+// Heartbeat takes in a heartbeat and answers it.
+func (h handler) Heartbeat(beat peer.Heartbeat) peer.Heartbeat {
 	d := h.daemon
 	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
 	d.ledger.Release(sender, beat.Returns)
@@ -34,7 +34,7 @@
 
 // LendTokens lends what this instance's share has.
 func (h handler) LendTokens(request peer.TokenRequest) rate.Loan {
-	if request.Spare {
+	if request.SpareOnly {
 		return h.daemon.ledger.GiveSpare(request.Workspace, request.Tokens, request.Borrower)
 	}
 	return h.daemon.ledger.Give(request.Workspace, request.Tokens, request.Borrower)
@@ -54,7 +54,7 @@
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
 	pins, noted := d.pipeline.Pins.On(upstream, epoch)
-	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: noted, Pins: pins}
+	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, EpochInstalled: noted, Pins: pins}
 }
 
 // PermitLoad asks the load broker here. Another instance may believe itself to be the broker as well
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -37,9 +37,9 @@
 	Cancel(ctx context.Context, id string) error
 }
 
-// Tenure is this instance's part of a new head: the upstreams that it holds, the epoch and the members. Continued contains
+// Assignment is this instance's part of a new head: the upstreams that it holds, the epoch and the members. Continued contains
 // the upstreams that it certainly held in the previous epoch.
-type Tenure struct {
+type Assignment struct {
 	Epoch     int64
 	Members   []head.Member
 	Upstreams []resource.Upstream
@@ -57,14 +57,14 @@
 	Engine func(address string) Engine
 	// Source returns the location of an adapter version in the weight store.
 	Source func(ref model.Reference) string
-	// Fresh returns an error if this instance's configuration is too old to act on.
-	Fresh func() error
-	Log   zerolog.Logger
+	// CheckFreshness returns an error if this instance's configuration is too old to act on.
+	CheckFreshness func() error
+	Log            zerolog.Logger
 
 	inbox *inbox.Inbox[message]
 	held  map[string]*heldUpstream
 	// tenure and leaving are the most recent values set.
-	tenure     Tenure
+	tenure     Assignment
 	leaving    Leaving
 	runContext context.Context
 }
@@ -89,7 +89,7 @@
 		request peer.PlaceRequest
 	}
 	tenureMessage struct {
-		tenure  Tenure
+		tenure  Assignment
 		applied chan struct{}
 	}
 	leavingMessage struct{ leaving Leaving }
@@ -167,10 +167,10 @@
 	r.inbox.Send(ctx, releaseMessage{upstream: upstream, event: event})
 }
 
-// SetTenure sets the tenure from a newly installed head, and waits until the loop has applied it: from then on nothing is
+// SetAssignment sets the tenure from a newly installed head, and waits until the loop has applied it: from then on nothing is
 // granted or ordered for upstreams that this instance no longer holds. Only after that may the instance report to others
 // that the head is in force here.
-func (r *Runner) SetTenure(ctx context.Context, tenure Tenure) {
+func (r *Runner) SetAssignment(ctx context.Context, tenure Assignment) {
 	applied := make(chan struct{})
 	if r.inbox.Send(ctx, tenureMessage{tenure: tenure, applied: applied}) {
 		inbox.Await(ctx, r.inbox, applied)
@@ -187,8 +187,8 @@
 	r.inbox.Send(ctx, inForceMessage{revision: revision})
 }
 
-// SetGone records that an incarnation of an instance has certainly stopped.
-func (r *Runner) SetGone(ctx context.Context, instance, incarnation string) {
+// SetInstanceStopped records that an incarnation of an instance has certainly stopped.
+func (r *Runner) SetInstanceStopped(ctx context.Context, instance, incarnation string) {
 	r.inbox.Send(ctx, stoppedMessage{instance: instance, incarnation: incarnation})
 }
 
@@ -258,7 +258,7 @@
 }
 
 // setTenure applies a new tenure: it yields the upstreams that are no longer held, and starts to hold new ones.
-func (r *Runner) setTenure(tenure Tenure) {
+func (r *Runner) setTenure(tenure Assignment) {
 	r.tenure = tenure
 	held := map[string]bool{}
 	names := make([]string, len(tenure.Members))
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -90,7 +90,7 @@
 func (b *backend) Pins(_ context.Context, member head.Member, _ string, _ int64) (peer.PinList, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	list := peer.PinList{Instance: member.Name, Incarnation: member.Incarnation, Noted: true}
+	list := peer.PinList{Instance: member.Name, Incarnation: member.Incarnation, EpochInstalled: true}
 	for _, pin := range b.pins {
 		if pin.Instance == member.Name {
 			list.Pins = append(list.Pins, pin)
@@ -111,16 +111,16 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		r := &holding.Runner{
-			Settings: holder.DefaultSettings(),
-			Peers:    b,
-			Engine:   func(string) holding.Engine { return b },
-			Source:   model.Reference.String,
-			Fresh:    b.checkFreshness,
-			Log:      zerolog.Nop(),
+			Settings:       holder.DefaultSettings(),
+			Peers:          b,
+			Engine:         func(string) holding.Engine { return b },
+			Source:         model.Reference.String,
+			CheckFreshness: b.checkFreshness,
+			Log:            zerolog.Nop(),
 		}
 		r.Prepare()
 		go func() { _ = r.Run(ctx) }()
-		r.SetTenure(ctx, holding.Tenure{
+		r.SetAssignment(ctx, holding.Assignment{
 			Epoch:     1,
 			Members:   []head.Member{self, other},
 			Upstreams: []resource.Upstream{upstream},
@@ -196,7 +196,7 @@
 		place(ctx, is, r, "r1", other, bids)
 		refuse(ctx, is, r, "r2", self, sites) // the only adapter slot is pinned
 		is.Equal(b.count("unload bids"), 0)
-		r.SetGone(ctx, other.Name, other.Incarnation)
+		r.SetInstanceStopped(ctx, other.Name, other.Incarnation)
 		place(ctx, is, r, "r3", self, sites)
 		is.Equal(b.calls[1:], []string{"cancel r1", "unload bids", "load sites"})
 	})
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -212,8 +212,8 @@
 
 // prepare waits until the adapter is loaded, then until the prompt may start its prefill. If the upstream is cold, its
 // limit for cold upstreams must admit the request too.
-func (h *heldUpstream) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.Prepared) {
-	deadline := time.Now().Add(min(request.Patience, request.OnTime))
+func (h *heldUpstream) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.PrepareResult) {
+	deadline := time.Now().Add(min(request.MaxWait, request.OnTime))
 	prepared = mesh.Loaded{}
 	if !h.plain {
 		prepared = h.loadAdapter(ctx, request, deadline)
@@ -240,7 +240,7 @@
 
 // loadAdapter waits until the adapter is loaded. A request that cannot get it before its deadline is refused
 // immediately: it may find capacity elsewhere, or its caller can retry later.
-func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
+func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.PrepareResult {
 	h.mutex.Lock()
 	now := time.Now()
 	if version, has := h.planner.Has(now, request.Adapter, request.Version); has {
@@ -268,7 +268,7 @@
 	return prepared
 }
 
-func (h *heldUpstream) awaitAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
+func (h *heldUpstream) awaitAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.PrepareResult {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
--- a/internal/entry/node/order_permission_test.go
+++ b/internal/entry/node/order_permission_test.go
@@ -106,7 +106,7 @@
 		h := claimUpstream(t, n, "u")
 		*suspended = 5 * time.Second
 		is.True(!h.mayOrder(time.Now()))
-		prepared := h.prepare(t.Context(), mesh.PrepareRequest{Upstream: "u", Patience: time.Second})
+		prepared := h.prepare(t.Context(), mesh.PrepareRequest{Upstream: "u", MaxWait: time.Second})
 		is.Equal(prepared, mesh.NotHolder{}) // the request is sent elsewhere immediately
 	})
 }
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -117,7 +117,7 @@
 		for _, residency := range held.Residencies {
 			a.Pool.RecordResidency(now, residency)
 		}
-		for id, load := range held.Held {
+		for id, load := range held.Loads {
 			a.Pool.RecordHolderLoad(now, id, load)
 		}
 	})
@@ -127,11 +127,11 @@
 func (n *Node) Report(report mesh.LoadReport) (held mesh.HeldReport) {
 	now := time.Now()
 	n.overlay.recordContact(report.Instance, now)
-	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Held: make(map[string]pool.Load)}
+	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Loads: make(map[string]pool.Load)}
 	n.advice.With(func(a *serve.Advice) {
 		a.Pool.RecordPeerReport(now, report.Instance, report.Loads)
 		for _, residency := range held.Residencies {
-			held.Held[residency.Upstream] = a.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
+			held.Loads[residency.Upstream] = a.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
 		}
 	})
 	n.heldUpstreams.wakeWaiting()
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -124,10 +124,10 @@
 
 // heldReport returns the state of the held upstreams that is sent to all others.
 func (n *Node) heldReport(now time.Time, residencies []pool.Residency) mesh.HeldReport {
-	held := mesh.HeldReport{Residencies: residencies, Held: make(map[string]pool.Load)}
+	held := mesh.HeldReport{Residencies: residencies, Loads: make(map[string]pool.Load)}
 	n.advice.With(func(a *serve.Advice) {
 		for _, residency := range residencies {
-			held.Held[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
+			held.Loads[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
 		}
 	})
 	return held
@@ -208,7 +208,7 @@
 		for _, residency := range held.Residencies {
 			a.Pool.RecordResidency(now, residency)
 		}
-		for id, load := range held.Held {
+		for id, load := range held.Loads {
 			a.Pool.RecordHolderTotal(at, id, load)
 		}
 	})
--- a/internal/entry/node/unreachable_upstream_test.go
+++ b/internal/entry/node/unreachable_upstream_test.go
@@ -60,9 +60,9 @@
 			h := heldUpstreamAt(c.address)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			responses := make(chan mesh.Prepared, 1)
+			responses := make(chan mesh.PrepareResult, 1)
 			request := mesh.PrepareRequest{
-				Upstream: "u", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Patience: time.Second, OnTime: time.Second,
+				Upstream: "u", Adapter: traffic.Adapter{Model: "m", Name: "a"}, MaxWait: time.Second, OnTime: time.Second,
 			}
 			go func() { responses <- h.prepare(ctx, request) }()
 			time.Sleep(50 * time.Millisecond)
--- a/internal/entry/pipeline/tokens.go
+++ b/internal/entry/pipeline/tokens.go
@@ -96,7 +96,7 @@
 		Workspace: ask.Workspace,
 		Tokens:    ask.Tokens,
 		Borrower:  p.Self,
-		Spare:     ask.Spare,
+		SpareOnly: ask.Spare,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
--- a/internal/fleet/gossip/table.go
+++ b/internal/fleet/gossip/table.go
@@ -101,15 +101,15 @@
 	own.urgent = urgent
 }
 
-// Heard records that an instance was alive at a given time.
-func (t *Table) Heard(name string, at time.Time) {
+// MarkAlive records that an instance was alive at a given time.
+func (t *Table) MarkAlive(name string, at time.Time) {
 	if live := t.livenessOf(name); at.After(live.lastAlive) {
 		live.lastAlive = at
 	}
 }
 
-// LastHeard returns when an instance was last known to be alive, or the zero time.
-func (t *Table) LastHeard(name string) time.Time {
+// LastAlive returns when an instance was last known to be alive, or the zero time.
+func (t *Table) LastAlive(name string) time.Time {
 	if live := t.liveness[name]; live != nil {
 		return live.lastAlive
 	}
@@ -125,8 +125,8 @@
 	}
 }
 
-// Forget removes the instances that were last known to be alive before a given time.
-func (t *Table) Forget(before time.Time) {
+// Expire removes the instances that were last known to be alive before a given time.
+func (t *Table) Expire(before time.Time) {
 	for name, live := range t.liveness {
 		if name != t.Self && live.lastAlive.Before(before) {
 			delete(t.liveness, name)
@@ -137,12 +137,12 @@
 	}
 }
 
-// Due returns the records that the other end of a link lacks, and marks them as sent.
-func (t *Table) Due(now time.Time, link *Link, peer string) (records []Record) {
+// TakeDue returns the records that the other end of a link lacks, and marks them as sent.
+func (t *Table) TakeDue(now time.Time, link *Link, peer string) (records []Record) {
 	if link.peerRecords == nil {
 		link.peerRecords = make(map[key]peerRecord)
 	}
-	t.Heard(t.Self, now)
+	t.MarkAlive(t.Self, now)
 	for id, current := range t.entries {
 		if id.instance == peer || current.version == 0 || !link.Attached && !t.forwardsToRelays(now, id.instance, current.liveness) {
 			continue
@@ -178,7 +178,7 @@
 		id := key{instance: record.Instance, part: record.Part}
 		current := t.entryOf(id)
 		heard := now.Add(-record.Age)
-		t.Heard(record.Instance, heard)
+		t.MarkAlive(record.Instance, heard)
 		if link.Attached {
 			current.liveness.lastAttached = now
 		}
--- a/internal/fleet/gossip/topology.go
+++ b/internal/fleet/gossip/topology.go
@@ -83,11 +83,11 @@
 	return relays[:1]
 }
 
-// Sought reports whether a relay is the one that has to probe a silent instance.
+// ShouldProbe reports whether a relay is the one that has to probe a silent instance.
 //
 // This covers an instance that restarts while the store rejects it. It knows no peers and cannot open a link. Without
 // the probe no peer would learn that it is alive, and it would serve no requests until the store accepts it again.
-func (t Topology) Sought(self, silent string) bool {
+func (t Topology) ShouldProbe(self, silent string) bool {
 	if !t.relays[self] {
 		return false
 	}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -68,8 +68,8 @@
 	failedHeartbeats int
 }
 
-// To returns the connection to a peer. It is established by the first call that uses it.
-func (l *Links) To(address string) (client grpc.ClientConnInterface, err error) {
+// Connection returns the connection to a peer. It is established by the first call that uses it.
+func (l *Links) Connection(address string) (client grpc.ClientConnInterface, err error) {
 	defer func() { err = errors.WithMessage(err, "link: connect") }()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// Heard records the result of a heartbeat. It closes the connection after maxFailedHeartbeats consecutive failures.
-func (l *Links) Heard(address string, err error) {
+// RecordHeartbeat records the result of a heartbeat. It closes the connection after maxFailedHeartbeats consecutive failures.
+func (l *Links) RecordHeartbeat(address string, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.connections[address]
@@ -139,8 +139,8 @@
 	}
 }
 
-// Keep closes the connections to all addresses except the given ones.
-func (l *Links) Keep(addresses map[string]bool) {
+// CloseExcept closes the connections to all addresses except the given ones.
+func (l *Links) CloseExcept(addresses map[string]bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for address, known := range l.connections {
@@ -152,4 +152,4 @@
 }
 
 // Close closes all connections.
-func (l *Links) Close() { l.Keep(nil) }
+func (l *Links) Close() { l.CloseExcept(nil) }
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -66,13 +66,13 @@
 // Report sends a holder what this instance has in flight at its upstreams, and returns what the other instances have in
 // flight there. After consecutive failed reports the connection is replaced.
 func (p *Peers) Report(ctx context.Context, address string, report LoadReport) (HeldReport, error) {
-	held, err := p.Ask(ctx, address, report)
-	p.Heard(address, err)
+	held, err := p.Query(ctx, address, report)
+	p.RecordHeartbeat(address, err)
 	return held, err
 }
 
-// Ask is Report for callers with a short deadline. A time-out does not count as a failure of the connection.
-func (p *Peers) Ask(ctx context.Context, address string, report LoadReport) (_ HeldReport, err error) {
+// Query is Report for callers with a short deadline. A time-out does not count as a failure of the connection.
+func (p *Peers) Query(ctx context.Context, address string, report LoadReport) (_ HeldReport, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: report") }()
 	client, err := p.client(address)
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // Prepare asks the holder at address to load an adapter, and waits until it is loaded.
-func (p *Peers) Prepare(ctx context.Context, address string, request PrepareRequest) (_ Prepared, err error) {
+func (p *Peers) Prepare(ctx context.Context, address string, request PrepareRequest) (_ PrepareResult, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: prepare") }()
 	client, err := p.client(address)
 	if err != nil {
@@ -117,7 +117,7 @@
 // ---------------------------------------------------------------------------------------------
 
 func (p *Peers) client(address string) (meshpb.MeshClient, error) {
-	connection, err := p.To(address)
+	connection, err := p.Connection(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -27,10 +27,10 @@
 	// as the newest; negative if unknown.
 	Revision     int64
 	ConfirmedAge time.Duration
-	// News is the revision of the last urgent change in the sender's copy: one that all instances need immediately.
-	News    int64
-	Stamp   gossip.Stamp
-	Records []gossip.Record
+	// UrgentRevision is the revision of the last urgent change in the sender's copy: one that all instances need immediately.
+	UrgentRevision int64
+	Stamp          gossip.Stamp
+	Records        []gossip.Record
 }
 
 // State is the general record that each instance publishes to all others.
@@ -56,7 +56,7 @@
 // HeldReport is what is in flight at the upstreams that the sender holds, and which adapters are loaded there. As a part
 // of the sender's state it covers all instances; as the response to a LoadReport it covers all except the reporter.
 type HeldReport struct {
-	Held        map[string]pool.Load
+	Loads       map[string]pool.Load
 	Residencies []pool.Residency
 }
 
@@ -73,8 +73,8 @@
 	Adapter  traffic.Adapter
 	// Version is the oldest acceptable version; 0 for any.
 	Version int64
-	// Patience is how long the caller waits at most.
-	Patience time.Duration
+	// MaxWait is how long the caller waits at most.
+	MaxWait time.Duration
 	// OnTime is how long the request can wait and still be answered on time.
 	OnTime   time.Duration
 	Priority int
@@ -82,8 +82,8 @@
 	Tokens int
 }
 
-// Prepared is the response to a PrepareRequest: Loaded, NotHolder or Busy.
-type Prepared interface{ isPrepared() }
+// PrepareResult is the response to a PrepareRequest: Loaded, NotHolder or Busy.
+type PrepareResult interface{ isPrepared() }
 
 // Loaded means that the adapter is loaded, in the given version, and the prompt may be sent.
 type Loaded struct{ Version int64 }
@@ -104,5 +104,5 @@
 	Gossip(ctx context.Context, stream Stream) error
 	Report(report LoadReport) HeldReport
 	CatchUp(after int64) replica.Batch
-	Prepare(ctx context.Context, request PrepareRequest) Prepared
+	Prepare(ctx context.Context, request PrepareRequest) PrepareResult
 }
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -14,9 +14,9 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Beat is a heartbeat and also the response to one: the state that an instance reports to its peers. ConfirmedAge is the
+// Heartbeat is a heartbeat and also the response to one: the state that an instance reports to its peers. ConfirmedAge is the
 // time since a read of the store showed Revision as the newest; negative if unknown.
-type Beat struct {
+type Heartbeat struct {
 	Instance     string
 	Incarnation  string
 	Revision     int64
@@ -29,8 +29,8 @@
 	Returns      []rate.Return
 	// OldestRevision is the oldest head under which a reservation or loan that is still open was made.
 	OldestRevision int64
-	// Told is a bitmap over the members of the head of Revision: set for the members known to have it in force.
-	Told []byte
+	// InForceMembers is a bitmap over the members of the head of Revision: set for the members known to have it in force.
+	InForceMembers []byte
 }
 
 // TokenRequest asks a peer for tokens from its share of a workspace's rate; the response is a rate.Loan. With Spare set,
@@ -39,7 +39,7 @@
 	Workspace string
 	Tokens    float64
 	Borrower  rate.Identity
-	Spare     bool
+	SpareOnly bool
 }
 
 // PlaceRequest asks the holder of Upstream to place a request. Request.Deadline is sent as the remaining time, because
@@ -81,10 +81,10 @@
 // PinList lists all pins of a member on an upstream, for the upstream's new holder. Noted is false until the member has
 // installed the epoch; until then the list may still grow.
 type PinList struct {
-	Instance    string
-	Incarnation string
-	Noted       bool
-	Pins        []holder.Pin
+	Instance       string
+	Incarnation    string
+	EpochInstalled bool
+	Pins           []holder.Pin
 }
 
 // LoadPermit is the response to a request for a load permit. Replaced means that a newer request for the same load
@@ -98,7 +98,7 @@
 
 // Handler handles calls from peers. Calls with a context may block; the context ends when the caller disconnects.
 type Handler interface {
-	Beat(beat Beat) Beat
+	Heartbeat(beat Heartbeat) Heartbeat
 	LendTokens(request TokenRequest) rate.Loan
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
--- a/internal/gateway/serve/busy_test.go
+++ b/internal/gateway/serve/busy_test.go
@@ -28,7 +28,7 @@
 func (f *busyFleet) QueryHolder(context.Context, string)  {}
 func (f *busyFleet) NotifyHolder(string)                  {}
 
-func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
+func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.PrepareResult {
 	f.asked[request.Upstream] = true
 	return mesh.Busy{RetryAfter: f.least + 100*time.Millisecond*time.Duration(len(f.asked)-1)}
 }
--- a/internal/gateway/serve/placing.go
+++ b/internal/gateway/serve/placing.go
@@ -97,7 +97,7 @@
 		Upstream: choice.Upstream.ID,
 		Adapter:  query.Adapter,
 		Version:  query.Version,
-		Patience: j.patienceFor(*choice),
+		MaxWait:  j.patienceFor(*choice),
 		OnTime:   j.onTimeFor(*choice),
 		Priority: j.priority,
 		Tokens:   tokens,
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -21,7 +21,7 @@
 
 func (f holderless) NotifyHolder(string) {}
 
-func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
+func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.PrepareResult {
 	f.meanwhile()
 	return mesh.NotHolder{}
 }
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -38,7 +38,7 @@
 	// requests must not begin on an older one any more.
 	Newest(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare has an adapter loaded at an upstream and waits for it.
-	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
+	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.PrepareResult
 	// QueryHolder asks for what is loaded and under way at an upstream, for the next choice.
 	QueryHolder(ctx context.Context, upstream string)
 	// PublishSpent lets the other instances know at once what this one has admitted.
--- a/internal/gateway/serve/world_test.go
+++ b/internal/gateway/serve/world_test.go
@@ -58,7 +58,7 @@
 	f.broken = append(f.broken, u.ID)
 }
 
-func (f *fleet) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
+func (f *fleet) Prepare(context.Context, mesh.PrepareRequest) mesh.PrepareResult {
 	return mesh.Loaded{Version: 1}
 }
 
