--- a/internal/entry/holding/held_upstream.go
+++ b/internal/entry/holding/held_upstream.go
@@ -49,7 +49,7 @@
 	r.held[u.name()] = u
 	go r.runReports(u)
 	go r.runReconcile(u)
-	r.Log.Info().Str("Upstream", u.name()).Int64("Epoch", r.tenure.Epoch).Msg("UpstreamHeld")
+	r.Log.Info().Str("Upstream", u.name()).Int64("Epoch", r.assignment.Epoch).Msg("UpstreamHeld")
 	return u
 }
 
@@ -143,7 +143,7 @@
 	r.inbox.Send(u.context, eventMessage{held: u, event: event})
 }
 
-// member looks up an instance among the members of the current tenure.
+// member looks up an instance among the members of the current assignment.
 func (r *Runner) member(u *heldUpstream, instance string) (member head.Member, ok bool) {
 	response := make(chan []head.Member, 1)
 	if !r.inbox.Send(u.context, membersMessage{response: response}) {
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -83,7 +83,7 @@
 // Pins.
 
 func (r *Runner) requestPins(u *heldUpstream, action holder.AskPins) {
-	for _, member := range r.tenure.Members {
+	for _, member := range r.assignment.Members {
 		go r.runRequestPins(u, member, action.Epoch)
 	}
 }
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -37,8 +37,8 @@
 	Cancel(ctx context.Context, id string) error
 }
 
-// Assignment is this instance's part of a new head: the upstreams that it holds, the epoch and the members. Continued contains
-// the upstreams that it certainly held in the previous epoch.
+// Assignment is this instance's part of a new head: the upstreams that it holds, the epoch and the members. Continued
+// contains the upstreams that it certainly held in the previous epoch.
 type Assignment struct {
 	Epoch     int64
 	Members   []head.Member
@@ -63,8 +63,8 @@
 
 	inbox *inbox.Inbox[message]
 	held  map[string]*heldUpstream
-	// tenure and leaving are the most recent values set.
-	tenure     Assignment
+	// assignment and leaving are the most recent values set.
+	assignment Assignment
 	leaving    Leaving
 	runContext context.Context
 }
@@ -88,9 +88,9 @@
 	cancelMessage struct {
 		request peer.PlaceRequest
 	}
-	tenureMessage struct {
-		tenure  Assignment
-		applied chan struct{}
+	assignmentMessage struct {
+		assignment Assignment
+		applied    chan struct{}
 	}
 	leavingMessage struct{ leaving Leaving }
 	inForceMessage struct{ revision int64 }
@@ -113,17 +113,17 @@
 	membersMessage struct{ response chan []head.Member }
 )
 
-func (placeMessage) message()    {}
-func (cancelMessage) message()   {}
-func (tenureMessage) message()   {}
-func (leavingMessage) message()  {}
-func (inForceMessage) message()  {}
-func (stoppedMessage) message()  {}
-func (summaryMessage) message()  {}
-func (eventMessage) message()    {}
-func (releaseMessage) message()  {}
-func (listPinsMessage) message() {}
-func (membersMessage) message()  {}
+func (placeMessage) message()      {}
+func (cancelMessage) message()     {}
+func (assignmentMessage) message() {}
+func (leavingMessage) message()    {}
+func (inForceMessage) message()    {}
+func (stoppedMessage) message()    {}
+func (summaryMessage) message()    {}
+func (eventMessage) message()      {}
+func (releaseMessage) message()    {}
+func (listPinsMessage) message()   {}
+func (membersMessage) message()    {}
 
 // Prepare initializes the runner. Its methods may be called from then on, also before Run.
 func (r *Runner) Prepare() {
@@ -167,12 +167,12 @@
 	r.inbox.Send(ctx, releaseMessage{upstream: upstream, event: event})
 }
 
-// SetAssignment sets the tenure from a newly installed head, and waits until the loop has applied it: from then on nothing is
-// granted or ordered for upstreams that this instance no longer holds. Only after that may the instance report to others
-// that the head is in force here.
-func (r *Runner) SetAssignment(ctx context.Context, tenure Assignment) {
+// SetAssignment sets the assignment from a newly installed head, and waits until the loop has applied it: from then on
+// nothing is granted or ordered for upstreams that this instance no longer holds. Only after that may the instance report
+// to others that the head is in force here.
+func (r *Runner) SetAssignment(ctx context.Context, assignment Assignment) {
 	applied := make(chan struct{})
-	if r.inbox.Send(ctx, tenureMessage{tenure: tenure, applied: applied}) {
+	if r.inbox.Send(ctx, assignmentMessage{assignment: assignment, applied: applied}) {
 		inbox.Await(ctx, r.inbox, applied)
 	}
 }
@@ -211,8 +211,8 @@
 		r.place(m)
 	case cancelMessage:
 		r.cancel(m.request)
-	case tenureMessage:
-		r.setTenure(m.tenure)
+	case assignmentMessage:
+		r.setAssignment(m.assignment)
 		close(m.applied)
 	case leavingMessage:
 		r.leaving = m.leaving
@@ -221,8 +221,8 @@
 		}
 	case inForceMessage:
 		for _, u := range r.held {
-			if m.revision >= r.tenure.Epoch {
-				r.handleEvent(u, holder.EpochInForce{Epoch: r.tenure.Epoch})
+			if m.revision >= r.assignment.Epoch {
+				r.handleEvent(u, holder.EpochInForce{Epoch: r.assignment.Epoch})
 			}
 		}
 	case stoppedMessage:
@@ -242,7 +242,7 @@
 	case listPinsMessage:
 		m.response <- m.held.holder.Pins()
 	case membersMessage:
-		m.response <- r.tenure.Members
+		m.response <- r.assignment.Members
 	}
 }
 
@@ -257,15 +257,15 @@
 	return summaries
 }
 
-// setTenure applies a new tenure: it yields the upstreams that are no longer held, and starts to hold new ones.
-func (r *Runner) setTenure(tenure Assignment) {
-	r.tenure = tenure
+// setAssignment applies a new assignment: it yields the upstreams that are no longer held, and starts to hold new ones.
+func (r *Runner) setAssignment(assignment Assignment) {
+	r.assignment = assignment
 	held := map[string]bool{}
-	names := make([]string, len(tenure.Members))
-	for i, member := range tenure.Members {
+	names := make([]string, len(assignment.Members))
+	for i, member := range assignment.Members {
 		names[i] = member.Name
 	}
-	for _, upstream := range tenure.Upstreams {
+	for _, upstream := range assignment.Upstreams {
 		name := upstream.Meta.Name
 		held[name] = true
 		u, ok := r.held[name]
@@ -278,9 +278,9 @@
 		}
 		u.holder.Upstream = upstream
 		r.handleEvent(u, holder.Appointed{
-			Epoch:     tenure.Epoch,
+			Epoch:     assignment.Epoch,
 			Members:   names,
-			Continued: ok && tenure.Continued[name],
+			Continued: ok && assignment.Continued[name],
 		})
 		r.updateLeaving(u)
 		u.appointed = true
@@ -301,5 +301,5 @@
 	r.handleEvent(u, holder.Yielded{})
 	u.stop()
 	delete(r.held, u.name())
-	r.Log.Info().Str("Upstream", u.name()).Int64("Epoch", r.tenure.Epoch).Msg("UpstreamYielded")
+	r.Log.Info().Str("Upstream", u.name()).Int64("Epoch", r.assignment.Epoch).Msg("UpstreamYielded")
 }
--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -23,7 +23,8 @@
 	received map[string]int
 }
 
-// fleet simulates instances that all know each other. Each call of exchange sends a message in each direction over each link.
+// fleet simulates instances that all know each other. Each call of exchange sends a message in each direction over each
+// link.
 type fleet struct {
 	now     time.Time
 	members []*member
--- a/internal/fleet/gossip/topology.go
+++ b/internal/fleet/gossip/topology.go
@@ -53,7 +53,7 @@
 
 // Links lists the instances to which an instance keeps a link: a relay to all other relays, any other instance to one
 // relay. That is the first reachable relay in the instance's own order, with relays of its data centre first. A relay
-// also opens links to the silent instances that it has to probe, see Sought.
+// also opens links to the silent instances that it has to probe, see ShouldProbe.
 func (t Topology) Links(self roster.Instance, reachable func(name string) bool) (links []roster.Instance) {
 	var relays []roster.Instance
 	for _, instance := range t.instances {
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -16,7 +16,8 @@
 
 const (
 	// keepaliveInterval and keepaliveTimeout detect a dead connection while new connections to the peer work, if the
-	// failure counting in Heard does not. Each call on it would time out. The interval is the shortest that gRPC accepts.
+	// failure counting in RecordHeartbeat does not. Each call on it would time out. The interval is the shortest that
+	// gRPC accepts.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 1 * time.Second
 	// minKeepaliveInterval is the shortest ping interval that a server accepts; gRPC closes the connection of a peer
@@ -106,7 +107,8 @@
 	}
 }
 
-// RecordHeartbeat records the result of a heartbeat. It closes the connection after maxFailedHeartbeats consecutive failures.
+// RecordHeartbeat records the result of a heartbeat. It closes the connection after maxFailedHeartbeats consecutive
+// failures.
 func (l *Links) RecordHeartbeat(address string, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -348,7 +348,7 @@
 	}
 }
 
-func preparedToWire(prepared PrepareResult) *meshpb.PrepareReply {
+func prepareResultToWire(prepared PrepareResult) *meshpb.PrepareReply {
 	switch p := prepared.(type) {
 	case Loaded:
 		return &meshpb.PrepareReply{Verdict: meshpb.PrepareVerdict_PREPARE_VERDICT_LOADED, Version: p.Version}
@@ -362,7 +362,7 @@
 	}
 }
 
-func preparedFromWire(wire *meshpb.PrepareReply) PrepareResult {
+func prepareResultFromWire(wire *meshpb.PrepareReply) PrepareResult {
 	switch wire.GetVerdict() {
 	case meshpb.PrepareVerdict_PREPARE_VERDICT_LOADED:
 		return Loaded{Version: wire.GetVersion()}
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -41,7 +41,7 @@
 }
 
 func (s service) Prepare(ctx context.Context, wire *meshpb.PrepareRequest) (*meshpb.PrepareReply, error) {
-	return preparedToWire(s.handler.Prepare(ctx, prepareFromWire(wire))), nil
+	return prepareResultToWire(s.handler.Prepare(ctx, prepareFromWire(wire))), nil
 }
 
 // ---------------------------------------------------------------------------------------------
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return preparedFromWire(wire), nil
+	return prepareResultFromWire(wire), nil
 }
 
 // ---------------------------------------------------------------------------------------------
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -27,7 +27,8 @@
 	// as the newest; negative if unknown.
 	Revision     int64
 	ConfirmedAge time.Duration
-	// UrgentRevision is the revision of the last urgent change in the sender's copy: one that all instances need immediately.
+	// UrgentRevision is the revision of the last urgent change in the sender's copy: one that all instances need
+	// immediately.
 	UrgentRevision int64
 	Stamp          gossip.Stamp
 	Records        []gossip.Record
@@ -73,7 +74,7 @@
 	Adapter  traffic.Adapter
 	// Version is the oldest acceptable version; 0 for any.
 	Version int64
-	// MaxWait is how long the caller waits at most.
+	// MaxWait is the longest time that the caller waits.
 	MaxWait time.Duration
 	// OnTime is how long the request can wait and still be answered on time.
 	OnTime   time.Duration
@@ -83,7 +84,7 @@
 }
 
 // PrepareResult is the response to a PrepareRequest: Loaded, NotHolder or Busy.
-type PrepareResult interface{ isPrepared() }
+type PrepareResult interface{ isPrepareResult() }
 
 // Loaded means that the adapter is loaded, in the given version, and the prompt may be sent.
 type Loaded struct{ Version int64 }
@@ -94,9 +95,9 @@
 // Busy means that no adapter slot or no turn becomes free in time.
 type Busy struct{ RetryAfter time.Duration }
 
-func (Loaded) isPrepared()    {}
-func (NotHolder) isPrepared() {}
-func (Busy) isPrepared()      {}
+func (Loaded) isPrepareResult()    {}
+func (NotHolder) isPrepareResult() {}
+func (Busy) isPrepareResult()      {}
 
 // Handler handles calls from peers.
 type Handler interface {
--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -29,17 +29,17 @@
 // ---------------------------------------------------------------------------------------------
 
 // Ping sends a heartbeat and returns the peer's.
-func (d *Client) Ping(ctx context.Context, address string, beat Heartbeat) (_ Heartbeat, err error) {
+func (d *Client) Ping(ctx context.Context, address string, heartbeat Heartbeat) (_ Heartbeat, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: ping") }()
 	client, err := d.client(address)
 	if err != nil {
 		return Heartbeat{}, err
 	}
-	wire, err := client.Ping(ctx, beatToWire(beat))
+	wire, err := client.Ping(ctx, heartbeatToWire(heartbeat))
 	if err != nil {
 		return Heartbeat{}, err
 	}
-	return beatFromWire(wire), nil
+	return heartbeatFromWire(wire), nil
 }
 
 // BorrowTokens borrows tokens from a peer. After an error the tokens may have been deducted there; the lender takes them
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -14,7 +14,7 @@
 
 // codec.go converts domain values to wire messages and back, with a pair of functions for each type.
 
-func beatToWire(b Heartbeat) *fleetpb.Beat {
+func heartbeatToWire(b Heartbeat) *fleetpb.Beat {
 	wire := &fleetpb.Beat{
 		Instance:           b.Instance,
 		Incarnation:        b.Incarnation,
@@ -50,7 +50,7 @@
 	return wire
 }
 
-func beatFromWire(wire *fleetpb.Beat) Heartbeat {
+func heartbeatFromWire(wire *fleetpb.Beat) Heartbeat {
 	b := Heartbeat{
 		Instance:       wire.GetInstance(),
 		Incarnation:    wire.GetIncarnation(),
--- a/internal/fleet/peer/credentials_test.go
+++ b/internal/fleet/peer/credentials_test.go
@@ -143,11 +143,11 @@
 			is := is.New(t)
 			handler := &recorder{}
 			address := serve(t, handler, c.server)
-			directory := &peer.Client{Links: link.Links{Credentials: c.client}}
-			defer directory.Close()
+			peerClient := &peer.Client{Links: link.Links{Credentials: c.client}}
+			defer peerClient.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := directory.Ping(ctx, address, peer.Heartbeat{Instance: "i1"})
+			_, err := peerClient.Ping(ctx, address, peer.Heartbeat{Instance: "i1"})
 			is.Equal(err == nil, c.answered)
 			is.Equal(handler.request != nil, c.answered)
 		})
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -14,8 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Heartbeat is a heartbeat and also the response to one: the state that an instance reports to its peers. ConfirmedAge is the
-// time since a read of the store showed Revision as the newest; negative if unknown.
+// Heartbeat is the state that an instance reports to its peers; the response to a heartbeat is another one. ConfirmedAge is
+// the time since a read of the store showed Revision as the newest; negative if unknown.
 type Heartbeat struct {
 	Instance     string
 	Incarnation  string
@@ -33,8 +33,8 @@
 	InForceMembers []byte
 }
 
-// TokenRequest asks a peer for tokens from its share of a workspace's rate; the response is a rate.Loan. With Spare set,
-// only tokens above the level at which the peer's token bucket nearly overflows are lent.
+// TokenRequest requests tokens from a peer's share of a workspace's rate; the response is a rate.Loan. With SpareOnly set,
+// the peer lends only tokens above the level at which its token bucket nearly overflows.
 type TokenRequest struct {
 	Workspace string
 	Tokens    float64
@@ -78,8 +78,8 @@
 	Released    holder.Released
 }
 
-// PinList lists all pins of a member on an upstream, for the upstream's new holder. Noted is false until the member has
-// installed the epoch; until then the list may still grow.
+// PinList lists all pins of a member on an upstream, for the upstream's new holder. EpochInstalled is false until the
+// member has installed the epoch; until then the list may still grow.
 type PinList struct {
 	Instance       string
 	Incarnation    string
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -27,7 +27,7 @@
 // recorder is a peer that records the last request and returns the configured responses.
 type recorder struct {
 	request   any
-	beat      peer.Heartbeat
+	heartbeat peer.Heartbeat
 	loan      rate.Loan
 	placement peer.Placement
 	pins      peer.PinList
@@ -41,9 +41,9 @@
 	epoch    int64
 }
 
-func (r *recorder) Heartbeat(beat peer.Heartbeat) peer.Heartbeat {
-	r.request = beat
-	return r.beat
+func (r *recorder) Heartbeat(heartbeat peer.Heartbeat) peer.Heartbeat {
+	r.request = heartbeat
+	return r.heartbeat
 }
 
 func (r *recorder) LendTokens(request peer.TokenRequest) rate.Loan {
@@ -147,7 +147,7 @@
 	loanReturn = rapid.Custom(func(t *rapid.T) rate.Return {
 		return rate.Return{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
 	})
-	beat = rapid.Custom(func(t *rapid.T) peer.Heartbeat {
+	heartbeat = rapid.Custom(func(t *rapid.T) peer.Heartbeat {
 		return peer.Heartbeat{
 			Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"), Revision: number.Draw(t, "revision"),
 			ConfirmedAge: time.Duration(rapid.Int64Range(-1, 1<<40).Draw(t, "age")) * time.Microsecond,
@@ -196,15 +196,15 @@
 	handler := &recorder{}
 	current := serve(t, handler, insecure.NewCredentials())
 	newer := serve(t, handler, insecure.NewCredentials(), grpc.UnaryInterceptor(addUnknownFields))
-	directory := &peer.Client{Links: link.Links{Credentials: insecure.NewCredentials()}}
-	t.Cleanup(directory.Close)
+	client := &peer.Client{Links: link.Links{Credentials: insecure.NewCredentials()}}
+	t.Cleanup(client.Close)
 	rapid.Check(t, func(t *rapid.T) {
-		callAll(t, directory, handler, rapid.SampledFrom([]string{current, newer}).Draw(t, "address"))
+		callAll(t, client, handler, rapid.SampledFrom([]string{current, newer}).Draw(t, "address"))
 	})
 }
 
 // callAll makes each call once.
-func callAll(t *rapid.T, directory *peer.Client, handler *recorder, address string) {
+func callAll(t *rapid.T, client *peer.Client, handler *recorder, address string) {
 	ctx := context.Background()
 	same := func(call string, err error, sent, wanted, got any) {
 		if err != nil {
@@ -217,15 +217,15 @@
 			t.Fatalf("%s: sent response %#v, received %#v", call, wanted, got)
 		}
 	}
-	sentBeat := beat.Draw(t, "beat")
-	handler.beat = beat.Draw(t, "answer")
-	gotBeat, err := directory.Ping(ctx, address, sentBeat)
-	same("Ping", err, sentBeat, handler.beat, gotBeat)
+	sentHeartbeat := heartbeat.Draw(t, "heartbeat")
+	handler.heartbeat = heartbeat.Draw(t, "response")
+	gotHeartbeat, err := client.Ping(ctx, address, sentHeartbeat)
+	same("Ping", err, sentHeartbeat, handler.heartbeat, gotHeartbeat)
 
 	tokens := peer.TokenRequest{Workspace: name.Draw(t, "workspace"), Tokens: amount.Draw(t, "tokens"), Borrower: identity.Draw(t, "borrower"), SpareOnly: rapid.Bool().Draw(t, "spare")}
 	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), Left: amount.Draw(t, "left")}
-	loan, err := directory.BorrowTokens(ctx, address, tokens)
-	same("AskTokens", err, tokens, handler.loan, loan)
+	loan, err := client.BorrowTokens(ctx, address, tokens)
+	same("BorrowTokens", err, tokens, handler.loan, loan)
 
 	hours := time.Duration(rapid.IntRange(1, 100).Draw(t, "hours")) * time.Hour
 	place := peer.PlaceRequest{Upstream: name.Draw(t, "upstream"), Epoch: number.Draw(t, "epoch"), Request: holder.Request{
@@ -235,7 +235,7 @@
 		Apart: rapid.Bool().Draw(t, "apart"),
 	}}
 	handler.placement = placement.Draw(t, "placement")
-	placed, err := directory.Place(ctx, address, place)
+	placed, err := client.Place(ctx, address, place)
 	place.Request.Deadline = time.Unix(0, 0).Add(hours)
 	same("Place", err, place, handler.placement, placed)
 
@@ -243,14 +243,14 @@
 		Pin: name.Draw(t, "pin"), Tokens: amount.Draw(t, "tokens"),
 		UpstreamFailed: rapid.Bool().Draw(t, "failed"), NotResident: rapid.Bool().Draw(t, "not resident"),
 	}}
-	same("Release", directory.Release(ctx, address, release), release, nil, nil)
+	same("Release", client.Release(ctx, address, release), release, nil, nil)
 
 	pins := pinsRequest{upstream: name.Draw(t, "upstream"), epoch: number.Draw(t, "epoch")}
 	handler.pins = peer.PinList{
 		Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"),
 		EpochInstalled: rapid.Bool().Draw(t, "noted"), Pins: listOf(t, pin),
 	}
-	pinList, err := directory.Pins(ctx, address, pins.upstream, pins.epoch)
+	pinList, err := client.Pins(ctx, address, pins.upstream, pins.epoch)
 	same("Pins", err, pins, handler.pins, pinList)
 
 	load := broker.Load{Upstream: name.Draw(t, "upstream"), Model: reference.Draw(t, "model")}
@@ -259,12 +259,12 @@
 		Waited: millis.Draw(t, "waited"), Patience: millis.Draw(t, "patience"),
 	}
 	handler.permit = peer.LoadPermit{Granted: rapid.Bool().Draw(t, "granted"), Replaced: rapid.Bool().Draw(t, "replaced"), UseWithin: millis.Draw(t, "use"), RetryAfter: millis.Draw(t, "retry")}
-	permit, err := directory.PermitLoad(ctx, address, permitRequest)
+	permit, err := client.PermitLoad(ctx, address, permitRequest)
 	same("PermitLoad", err, permitRequest, handler.permit, permit)
 	end := endLoadRequest{load, rapid.Bool().Draw(t, "unused")}
-	same("EndLoad", directory.EndLoad(ctx, address, end.load, end.unused), end, nil, nil)
+	same("EndLoad", client.EndLoad(ctx, address, end.load, end.unused), end, nil, nil)
 
 	handler.burn = listOf(t, burnCount)
-	counts, err := directory.BurnCounts(ctx, address)
+	counts, err := client.BurnCounts(ctx, address)
 	same("BurnCounts", err, end, handler.burn, counts)
 }
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -25,7 +25,7 @@
 }
 
 func (s service) Ping(_ context.Context, wire *fleetpb.Beat) (*fleetpb.Beat, error) {
-	return beatToWire(s.handler.Heartbeat(beatFromWire(wire))), nil
+	return heartbeatToWire(s.handler.Heartbeat(heartbeatFromWire(wire))), nil
 }
 
 func (s service) Transfer(_ context.Context, wire *fleetpb.TransferRequest) (*fleetpb.TransferReply, error) {
