--- a/internal/fleet/gossip/table.go
+++ b/internal/fleet/gossip/table.go
@@ -117,7 +117,7 @@
 }
 
 // Each calls visit with each other instance and the time when it was last known to be alive.
-func (t *Table) Each(visit func(name string, heard time.Time)) {
+func (t *Table) Each(visit func(name string, lastAlive time.Time)) {
 	for name, live := range t.liveness {
 		if name != t.Self {
 			visit(name, live.lastAlive)
@@ -177,13 +177,13 @@
 		}
 		id := key{instance: record.Instance, part: record.Part}
 		current := t.entryOf(id)
-		heard := now.Add(-record.Age)
-		t.MarkAlive(record.Instance, heard)
+		lastAlive := now.Add(-record.Age)
+		t.MarkAlive(record.Instance, lastAlive)
 		if link.Attached {
 			current.liveness.lastAttached = now
 		}
 		if known := link.peerRecords[id]; record.Version >= known.version {
-			link.peerRecords[id] = peerRecord{version: record.Version, lastAlive: heard}
+			link.peerRecords[id] = peerRecord{version: record.Version, lastAlive: lastAlive}
 		}
 		if record.Content == nil || record.Version <= current.version {
 			continue
