--- a/internal/admission/claim/claim.go
+++ b/internal/admission/claim/claim.go
@@ -40,8 +40,8 @@
 	ErrNotDispatched = errors.New("claim: the call was not dispatched")
 )
 
-// Answer is an upstream's answer as kept for repeated calls.
-type Answer struct {
+// Response is an upstream's answer as kept for repeated calls.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -63,9 +63,9 @@
 // Ran says: the call ran. Kept tells whether its answer was small enough to be kept; Stored names the key
 // of the store that holds the body when it does not stand in the claim itself.
 type Ran struct {
-	Answer Answer
-	Kept   bool
-	Stored string
+	Response Response
+	Kept     bool
+	Stored   string
 }
 
 // Unknown says: the call was dispatched and its answer never came.
@@ -91,9 +91,9 @@
 
 // Replay says: the call ran before. Kept tells whether Answer is its answer, or too large to be kept.
 type Replay struct {
-	Answer Answer
-	Kept   bool
-	stored string
+	Response Response
+	Kept     bool
+	stored   string
 }
 
 // InProgress says: another call with the key is claimed and has no outcome yet.
@@ -101,11 +101,11 @@
 	RetryAfter time.Duration
 }
 
-// RanUnknown says: a call with the key may have run, and its outcome cannot be known any more.
-type RanUnknown struct{}
+// OutcomeUnknown says: a call with the key may have run, and its outcome cannot be known any more.
+type OutcomeUnknown struct{}
 
-// DifferentBody says: the key was used for a call with another body.
-type DifferentBody struct{}
+// BodyMismatch says: the key was used for a call with another body.
+type BodyMismatch struct{}
 
 // Refuse says: nothing was claimed and nothing was run.
 type Refuse struct {
@@ -124,12 +124,12 @@
 	ReasonGivenUp Reason = "claim_given_up"
 )
 
-func (Proceed) sealedDecision()       {}
-func (Replay) sealedDecision()        {}
-func (InProgress) sealedDecision()    {}
-func (RanUnknown) sealedDecision()    {}
-func (DifferentBody) sealedDecision() {}
-func (Refuse) sealedDecision()        {}
+func (Proceed) sealedDecision()        {}
+func (Replay) sealedDecision()         {}
+func (InProgress) sealedDecision()     {}
+func (OutcomeUnknown) sealedDecision() {}
+func (BodyMismatch) sealedDecision()   {}
+func (Refuse) sealedDecision()         {}
 
 // ---------------------------------------------------------------------------------------------
 
--- a/internal/admission/claim/codec.go
+++ b/internal/admission/claim/codec.go
@@ -53,7 +53,7 @@
 		wire.State = stateUnknown
 	case Ran:
 		wire.State = stateRan
-		wire.Status, wire.ContentType, wire.Answer = state.Answer.Status, state.Answer.ContentType, state.Answer.Body
+		wire.Status, wire.ContentType, wire.Answer = state.Response.Status, state.Response.ContentType, state.Response.Body
 		wire.Kept, wire.Stored = state.Kept, state.Stored
 	}
 	return wire
@@ -85,8 +85,8 @@
 	case stateUnknown:
 		return Unknown{}, nil
 	case stateRan:
-		answer := Answer{Status: w.Status, ContentType: w.ContentType, Body: w.Answer}
-		return Ran{Answer: answer, Kept: w.Kept, Stored: w.Stored}, nil
+		answer := Response{Status: w.Status, ContentType: w.ContentType, Body: w.Answer}
+		return Ran{Response: answer, Kept: w.Kept, Stored: w.Stored}, nil
 	}
 	return nil, errors.Errorf("state %q is not known", w.State)
 }
--- a/internal/admission/claim/fuzz_test.go
+++ b/internal/admission/claim/fuzz_test.go
@@ -183,8 +183,8 @@
 		}
 	case claim.Replay:
 		w.replays++
-		if want := w.answers[c.key+c.body]; want == "" || want != string(decision.Answer.Body) {
-			w.fault = fmt.Sprintf("replay of %q where %q was answered", decision.Answer.Body, want)
+		if want := w.answers[c.key+c.body]; want == "" || want != string(decision.Response.Body) {
+			w.fault = fmt.Sprintf("replay of %q where %q was answered", decision.Response.Body, want)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		_ = c.ticket.NotRun(ctx)
 	case rapid.Bool().Draw(rt, "answered"):
 		w.answers[c.key+c.body] = fmt.Sprint("booked ", w.runs)
-		_ = c.ticket.Ran(ctx, claim.Answer{Status: 200, Body: []byte(w.answers[c.key+c.body])})
+		_ = c.ticket.Ran(ctx, claim.Response{Status: 200, Body: []byte(w.answers[c.key+c.body])})
 	default:
 		w.orphaned[c.key] = true
 		_ = c.ticket.Unknown(ctx)
--- a/internal/admission/claim/group.go
+++ b/internal/admission/claim/group.go
@@ -159,16 +159,16 @@
 		return nil
 	}
 	if r.Body != op.body {
-		return DifferentBody{}
+		return BodyMismatch{}
 	}
 	switch state := r.State.(type) {
 	case Ran:
-		return Replay{Answer: state.Answer, Kept: state.Kept, stored: state.Stored}
+		return Replay{Response: state.Response, Kept: state.Kept, stored: state.Stored}
 	case Unknown:
-		return RanUnknown{}
+		return OutcomeUnknown{}
 	}
 	if limits.now.Sub(r.At) > limits.runLimit {
-		return RanUnknown{}
+		return OutcomeUnknown{}
 	}
 	return InProgress{RetryAfter: time.Second}
 }
--- a/internal/admission/claim/registry.go
+++ b/internal/admission/claim/registry.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return Refuse{Reason: ReasonStore, RetryAfter: time.Second}
 	}
-	replay.Answer.Body = entry.Value
+	replay.Response.Body = entry.Value
 	return replay
 }
 
@@ -174,17 +174,17 @@
 var errStopped = errors.New("claim: the registry has stopped")
 
 // outcome decides where an answer is kept.
-func (r *Registry) outcome(answer Answer, mark string) (ran Ran, body []byte) {
+func (r *Registry) outcome(answer Response, mark string) (ran Ran, body []byte) {
 	switch {
 	case len(answer.Body) <= maxInline:
-		return Ran{Answer: answer, Kept: true}, nil
+		return Ran{Response: answer, Kept: true}, nil
 	case len(answer.Body) <= maxStored:
 		body = answer.Body
 		answer.Body = nil
-		return Ran{Answer: answer, Kept: true, Stored: answerPrefix + mark}, body
+		return Ran{Response: answer, Kept: true, Stored: answerPrefix + mark}, body
 	}
 	answer.Body = nil
-	return Ran{Answer: answer}, nil
+	return Ran{Response: answer}, nil
 }
 
 func (r *Registry) prepare() {
--- a/internal/admission/claim/registry_test.go
+++ b/internal/admission/claim/registry_test.go
@@ -43,17 +43,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			withRegistry(t, func(is *is.I, w *world, r *claim.Registry) {
-				answer := claim.Answer{Status: 201, ContentType: "application/json", Body: bytes.Repeat([]byte("x"), tt.size)}
+				answer := claim.Response{Status: 201, ContentType: "application/json", Body: bytes.Repeat([]byte("x"), tt.size)}
 				is.NoErr(proceed(is, r, "k").Ran(context.Background(), answer))
 				decision, err := w.instances[1].registry.Claim(context.Background(), "crew", "k", "ten")
 				is.NoErr(err)
 				replay := decision.(claim.Replay)
 				is.Equal(replay.Kept, tt.kept)
-				is.Equal(replay.Answer.Status, 201)
+				is.Equal(replay.Response.Status, 201)
 				if tt.kept {
-					is.Equal(replay.Answer.Body, answer.Body)
+					is.Equal(replay.Response.Body, answer.Body)
 				}
-				_, isOther := must(is, r, "k", "twenty").(claim.DifferentBody)
+				_, isOther := must(is, r, "k", "twenty").(claim.BodyMismatch)
 				is.True(isOther)
 			})
 		})
@@ -94,7 +94,7 @@
 // the outcomes of those that run.
 func TestFullGroupRefuses(t *testing.T) {
 	withRegistry(t, func(is *is.I, w *world, r *claim.Registry) {
-		answer := claim.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), 500)}
+		answer := claim.Response{Status: 200, Body: bytes.Repeat([]byte("x"), 500)}
 		made, refused := 0, ""
 		for wave := 0; refused == ""; wave++ {
 			for _, decision := range together(r, wave) {
--- a/internal/admission/claim/ticket.go
+++ b/internal/admission/claim/ticket.go
@@ -69,7 +69,7 @@
 }
 
 // Ran records that the call ran, with its answer. It returns as NotRun does.
-func (t *Ticket) Ran(ctx context.Context, answer Answer) error {
+func (t *Ticket) Ran(ctx context.Context, answer Response) error {
 	if err := t.close(phaseDispatched); err != nil {
 		return err
 	}
--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -25,22 +25,22 @@
 	Burst float64
 }
 
-// Spent is what an instance has admitted for each workspace since it started.
-type Spent map[string]float64
+// Totals is what an instance has admitted for each workspace since it started.
+type Totals map[string]float64
 
 // Ledger is one instance's estimate of all buckets. Set Self before use. It is not safe for use by
 // several goroutines.
 type Ledger struct {
 	Self string
-	// SilentAfter is how long a peer may be unheard; it follows the pace of the heartbeats.
-	SilentAfter time.Duration
+	// PeerTimeout is how long a peer may be unheard; it follows the pace of the heartbeats.
+	PeerTimeout time.Duration
 
 	limits  map[string]Limit
 	buckets map[string]*bucket
-	own     Spent
+	own     Totals
 	peers   map[string]*peer
 	// told is what this instance had admitted when it last told all others.
-	told Spent
+	told Totals
 	// toldAll is when all peers were last told of a workspace, not only those that admit for it too.
 	toldAll map[string]time.Time
 }
@@ -65,9 +65,9 @@
 	incarnation string
 	heard       time.Time
 	// spent is nil until the peer has told all that it admitted, partly what it told of some workspaces before.
-	spent    Spent
-	partly   Spent
-	reserved Spent
+	spent    Totals
+	partly   Totals
+	reserved Totals
 	// admitted is when it was last heard to have admitted something for a workspace.
 	admitted map[string]time.Time
 }
@@ -102,16 +102,16 @@
 	for _, name := range names {
 		p := l.peers[name]
 		if p == nil {
-			p = &peer{heard: now, reserved: Spent{}, admitted: make(map[string]time.Time)}
+			p = &peer{heard: now, reserved: Totals{}, admitted: make(map[string]time.Time)}
 		}
 		known[name] = p
 	}
 	l.peers = known
 }
 
-// Hear takes note of what a peer has admitted in all. What was reserved for it while it was silent is
+// MergeTotals takes note of what a peer has admitted in all. What was reserved for it while it was silent is
 // settled against what it really admitted.
-func (l *Ledger) Hear(now time.Time, name, incarnation string, spent Spent) {
+func (l *Ledger) MergeTotals(now time.Time, name, incarnation string, spent Totals) {
 	l.prepare()
 	p := l.peers[name]
 	if p == nil {
@@ -138,17 +138,17 @@
 	}
 	p.spent = maps.Clone(spent)
 	if p.spent == nil {
-		p.spent = Spent{}
+		p.spent = Totals{}
 	}
-	p.reserved = Spent{}
+	p.reserved = Totals{}
 }
 
-// HearSome takes note of what a peer has admitted in all for some workspaces, those for which it has admitted lately.
+// MergePartialTotals takes note of what a peer has admitted in all for some workspaces, those for which it has admitted lately.
 //
 // Made for a large fleet, in which instances share all that they admitted only every few seconds. A workspace that asks
 // for more than its rate would be admitted by all of them until they hear of each other, and then by none until the debt
 // is paid.
-func (l *Ledger) HearSome(now time.Time, name, incarnation string, spent Spent) {
+func (l *Ledger) MergePartialTotals(now time.Time, name, incarnation string, spent Totals) {
 	p := l.peers[name]
 	if p == nil {
 		return
@@ -177,7 +177,7 @@
 		return
 	}
 	if p.partly == nil {
-		p.partly = Spent{}
+		p.partly = Totals{}
 	}
 	p.partly[workspace] = total
 }
@@ -223,14 +223,14 @@
 	activeFor = 8 * time.Second
 )
 
-// TellDue lists the peers that should hear at once what this instance has admitted, and takes it that they will:
+// TakeUrgentRecipients lists the peers that should hear at once what this instance has admitted, and takes it that they will:
 // those that admit for the same workspace, and now and then all. The callers of one reach some of the instances
 // only, and to tell all of them each time would cost a large fleet more than all its heartbeats. But those that
 // begin have to be known to the others first, and to hear from them, which their answers do.
 //
 // Made for a large fleet, whose heartbeats come every few seconds, and one workspace that sends many times its
 // rate to all instances: each would admit against the same tokens until the next heartbeat.
-func (l *Ledger) TellDue(now time.Time) (names []string) {
+func (l *Ledger) TakeUrgentRecipients(now time.Time) (names []string) {
 	for workspace, spent := range l.own {
 		if l.isTight(workspace) && spent-l.told[workspace] >= l.tellAfter(now, workspace)*l.limits[workspace].Rate {
 			l.told = maps.Clone(l.own)
@@ -259,12 +259,12 @@
 	return names
 }
 
-// Own is what this instance has admitted.
-func (l *Ledger) Own() Spent { return maps.Clone(l.own) }
+// OwnTotals is what this instance has admitted.
+func (l *Ledger) OwnTotals() Totals { return maps.Clone(l.own) }
 
-// Since gives the workspaces for which more or less was admitted than before.
-func (s Spent) Since(before Spent) Spent {
-	changed := Spent{}
+// ChangedSince gives the workspaces for which more or less was admitted than before.
+func (s Totals) ChangedSince(before Totals) Totals {
+	changed := Totals{}
 	for workspace, spent := range s {
 		if spent != before[workspace] {
 			changed[workspace] = spent
@@ -360,7 +360,7 @@
 }
 
 func (l *Ledger) isSilent(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) > max(l.SilentAfter, silentAfter)
+	return now.Sub(p.heard) > max(l.PeerTimeout, silentAfter)
 }
 
 // deduct changes the level by what was admitted elsewhere.
@@ -377,7 +377,7 @@
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 		l.peers = make(map[string]*peer)
-		l.own = Spent{}
+		l.own = Totals{}
 		l.toldAll = make(map[string]time.Time)
 	}
 }
--- a/internal/admission/quota/quota_test.go
+++ b/internal/admission/quota/quota_test.go
@@ -28,7 +28,7 @@
 	// someEvery is how often all hear what others admitted lately, beside all that they admitted; 0 for never.
 	someEvery time.Duration
 	lastSome  time.Time
-	shared    map[string]quota.Spent
+	shared    map[string]quota.Totals
 	// every is the pace of the heartbeats, and urgent has an instance tell the others at once when its ledger
 	// asks for that.
 	every  time.Duration
@@ -105,23 +105,23 @@
 			continue
 		}
 		incarnation := fmt.Sprint(from, f.starts[from])
-		f.ledgers[to].Hear(time.Now(), from, incarnation, f.ledgers[from].Own())
-		f.ledgers[from].Hear(time.Now(), to, fmt.Sprint(to, f.starts[to]), f.ledgers[to].Own())
+		f.ledgers[to].MergeTotals(time.Now(), from, incarnation, f.ledgers[from].OwnTotals())
+		f.ledgers[from].MergeTotals(time.Now(), to, fmt.Sprint(to, f.starts[to]), f.ledgers[to].OwnTotals())
 	}
 }
 
 // shareSome has all instances hear what each admitted lately.
 func (f *fleet) shareSome() {
 	for _, from := range f.names {
-		own := f.ledgers[from].Own()
-		some := own.Since(f.shared[from])
+		own := f.ledgers[from].OwnTotals()
+		some := own.ChangedSince(f.shared[from])
 		f.shared[from] = own
 		if len(some) == 0 {
 			continue
 		}
 		for _, to := range f.names {
 			if from != to {
-				f.ledgers[to].HearSome(time.Now(), from, fmt.Sprint(from, f.starts[from]), some)
+				f.ledgers[to].MergePartialTotals(time.Now(), from, fmt.Sprint(from, f.starts[from]), some)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	if ok {
 		f.admitted = append(f.admitted, admission{at: time.Now(), cost: cost})
 	}
-	if names := f.ledgers[name].TellDue(time.Now()); len(names) > 0 && f.urgent {
+	if names := f.ledgers[name].TakeUrgentRecipients(time.Now()); len(names) > 0 && f.urgent {
 		f.told++
 		f.tell(name, names)
 	}
@@ -213,7 +213,7 @@
 		f.every = 2 * time.Second
 		f.urgent = true
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.PeerTimeout = 3 * f.every
 		}
 		f.pass(3 * time.Second)
 		for i := range 200 {
@@ -242,9 +242,9 @@
 		f.every = 4900 * time.Millisecond
 		f.urgent = true
 		f.someEvery = time.Second
-		f.shared = make(map[string]quota.Spent)
+		f.shared = make(map[string]quota.Totals)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.PeerTimeout = 3 * f.every
 		}
 		f.pass(5 * time.Second)
 		for i := range 900 {
@@ -267,9 +267,9 @@
 		f := newFleet(quota.Limit{Rate: 200_000, Burst: 200_000}, 60)
 		f.every = 4500 * time.Millisecond
 		f.someEvery = time.Second
-		f.shared = make(map[string]quota.Spent)
+		f.shared = make(map[string]quota.Totals)
 		for _, ledger := range f.ledgers {
-			ledger.SilentAfter = 3 * f.every
+			ledger.PeerTimeout = 3 * f.every
 		}
 		f.pass(5 * time.Second)
 		f.setRate(0.5)
@@ -302,11 +302,11 @@
 		f.pass(time.Second) // a heartbeat
 		_, admitted := f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
-		is.Equal(len(f.ledgers["instance0"].TellDue(time.Now())), 39) // it has just begun
+		is.Equal(len(f.ledgers["instance0"].TakeUrgentRecipients(time.Now())), 39) // it has just begun
 		f.pass(2 * time.Second)
 		_, admitted = f.ledgers["instance0"].Admit(time.Now(), workspace, 700)
 		is.True(admitted)
-		is.Equal(f.ledgers["instance0"].TellDue(time.Now()), []string{"instance1"})
+		is.Equal(f.ledgers["instance0"].TakeUrgentRecipients(time.Now()), []string{"instance1"})
 	})
 }
 
@@ -372,7 +372,7 @@
 		is.True(!f.admit("instance0", 1000))
 		f.ledgers["instance0"].Refund(workspace, 1000)
 		is.True(f.admit("instance0", 1000))
-		is.Equal(f.ledgers["instance0"].Own()[workspace], 1000.0)
+		is.Equal(f.ledgers["instance0"].OwnTotals()[workspace], 1000.0)
 	})
 }
 
--- a/internal/admission/rate/borrowing.go
+++ b/internal/admission/rate/borrowing.go
@@ -21,10 +21,10 @@
 // ---------------------------------------------------------------------------------------------
 // Borrowing.
 
-// Plan lists whom to ask, in which order, for the tokens that the bucket lacks: those that may have
+// PlanBorrowing lists whom to ask, in which order, for the tokens that the bucket lacks: those that may have
 // most first. It is empty when nothing lacks, or when all peers have just been found short. Made for a
 // skewed balancer, where one instance gets nearly all requests of a workspace.
-func (l *Ledger) Plan(workspace string, tokens float64) []Ask {
+func (l *Ledger) PlanBorrowing(workspace string, tokens float64) []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	b, err := l.usable(workspace)
@@ -39,20 +39,20 @@
 		}
 	}
 	l.rank(b, peers)
-	var asks []Ask
+	var asks []BorrowRequest
 	for _, peer := range peers[:min(len(peers), maxAsks)] {
-		asks = append(asks, Ask{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, Began: now})
+		asks = append(asks, BorrowRequest{Workspace: workspace, Peer: peer, Tokens: tokens - b.level, PlannedAt: now})
 	}
 	return asks
 }
 
-// TopUps lists asks that balance the buckets of the workspaces in use: refill that comes to a full
+// PlanRebalancing lists asks that balance the buckets of the workspaces in use: refill that comes to a full
 // bucket is lost, though another has room for it or will soon need it. The daemon carries them out about
 // four times a second, apart from any request.
-func (l *Ledger) TopUps() []Ask {
+func (l *Ledger) PlanRebalancing() []BorrowRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var asks []Ask
+	var asks []BorrowRequest
 	now := time.Now()
 	for name, b := range l.buckets {
 		if _, err := l.usable(name); err != nil || now.Sub(b.used) > inUse {
@@ -65,7 +65,7 @@
 		peers := l.peers()
 		l.rank(b, peers)
 		for _, peer := range peers[:min(len(peers), topUpAsks)] {
-			asks = append(asks, Ask{Workspace: name, Peer: peer, Tokens: room / topUpAsks, Spare: true, Began: now})
+			asks = append(asks, BorrowRequest{Workspace: name, Peer: peer, Tokens: room / topUpAsks, SpareOnly: true, PlannedAt: now})
 		}
 	}
 	return asks
@@ -92,15 +92,15 @@
 	return max(b.level, 0)
 }
 
-// Give lends tokens to a peer: at most what is in the bucket and what this instance owns. They are
+// Lend lends tokens to a peer: at most what is in the bucket and what this instance owns. They are
 // deducted before the answer is sent, so that a lost answer cannot make them count twice.
-func (l *Ledger) Give(workspace string, tokens float64, borrower Identity) Loan {
+func (l *Ledger) Lend(workspace string, tokens float64, borrower Identity) Loan {
 	return l.lend(workspace, borrower, func(*bucket) float64 { return tokens })
 }
 
-// GiveSpare answers an ask for spare tokens: it lends only those that the bucket can hardly hold any
+// LendSpare answers an ask for spare tokens: it lends only those that the bucket can hardly hold any
 // longer.
-func (l *Ledger) GiveSpare(workspace string, tokens float64, borrower Identity) Loan {
+func (l *Ledger) LendSpare(workspace string, tokens float64, borrower Identity) Loan {
 	return l.lend(workspace, borrower, func(b *bucket) float64 {
 		return min(tokens, b.level+b.reserved-spareAbove*b.own())
 	})
@@ -115,7 +115,7 @@
 	}
 	amount := min(most(b), b.level, b.own())
 	if amount <= epsilon {
-		return Loan{Lender: l.Self, Left: max(b.level, 0)}
+		return Loan{Lender: l.Self, LenderLevel: max(b.level, 0)}
 	}
 	l.loans++
 	id := l.Self.Incarnation + "/" + strconv.FormatInt(l.loans, 10)
@@ -126,13 +126,13 @@
 		until: time.Now().Add(hold + hold/holdMargin), revision: l.head.Revision,
 	})
 	b.sumUp()
-	return Loan{ID: id, Lender: l.Self, Tokens: amount, Left: b.level}
+	return Loan{ID: id, Lender: l.Self, Tokens: amount, LenderLevel: b.level}
 }
 
-// Receive takes in what a peer answered to an ask. An empty loan is news too: that peer has nothing.
+// ReceiveLoan takes in what a peer answered to an ask. An empty loan is news too: that peer has nothing.
 // What comes too late to be used is given back, and so is what a process lent that is no member any
 // more: its share goes to the others.
-func (l *Ledger) Receive(ask Ask, loan Loan) {
+func (l *Ledger) ReceiveLoan(ask BorrowRequest, loan Loan) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	b, found := l.buckets[ask.Workspace]
@@ -147,10 +147,10 @@
 	}
 	in := borrowed{
 		id: loan.ID, lender: loan.Lender, amount: loan.Tokens,
-		useUntil: ask.Began.Add(l.useWithin()), endsAt: ask.Began.Add(l.hold()), revision: l.head.Revision,
+		useUntil: ask.PlannedAt.Add(l.loanUseWindow()), endsAt: ask.PlannedAt.Add(l.hold()), revision: l.head.Revision,
 	}
 	member := slices.Contains(l.head.Members, loan.Lender)
-	if !member || !now.Before(in.useUntil) || now.Sub(ask.Began) < 0 {
+	if !member || !now.Before(in.useUntil) || now.Sub(ask.PlannedAt) < 0 {
 		b.refuse(in)
 		return
 	}
@@ -160,12 +160,12 @@
 	b.giveBackSurplus()
 }
 
-// Returns lists what a peer should be told about its loans. The daemon sends it with its next message
+// PendingReturns lists what a peer should be told about its loans. The daemon sends it with its next message
 // to the peer, or soon, and calls Returned once the peer has answered; until then it is listed again.
-func (l *Ledger) Returns(peer Identity) []Return {
+func (l *Ledger) PendingReturns(peer Identity) []LoanReturn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var list []Return
+	var list []LoanReturn
 	for _, b := range l.buckets {
 		l.advance(b)
 		for _, r := range b.returns[peer] {
@@ -175,8 +175,8 @@
 	return list
 }
 
-// Returned says that the peer has taken the returns in.
-func (l *Ledger) Returned(peer Identity, returns []Return) {
+// AcknowledgeReturns says that the peer has taken the returns in.
+func (l *Ledger) AcknowledgeReturns(peer Identity, returns []LoanReturn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range returns {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Release takes in what a borrower told about loans of this process.
-func (l *Ledger) Release(borrower Identity, returns []Return) {
+// ApplyReturns takes in what a borrower told about loans of this process.
+func (l *Ledger) ApplyReturns(borrower Identity, returns []LoanReturn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range returns {
@@ -223,9 +223,9 @@
 }
 
 // learn notes what a peer has left. An empty loan without a lender means that it could not be asked.
-func (b *bucket) learn(ask Ask, loan Loan, now time.Time) {
-	after := estimate{tokens: loan.Left, at: now, short: b.estimates[ask.Peer].short}
-	if loan.Tokens < ask.Tokens-epsilon && !ask.Spare {
+func (b *bucket) learn(ask BorrowRequest, loan Loan, now time.Time) {
+	after := estimate{tokens: loan.LenderLevel, at: now, short: b.estimates[ask.Peer].short}
+	if loan.Tokens < ask.Tokens-epsilon && !ask.SpareOnly {
 		after.short = now
 	}
 	b.estimates[ask.Peer] = after
--- a/internal/admission/rate/bucket.go
+++ b/internal/admission/rate/bucket.go
@@ -76,7 +76,7 @@
 	sums      sums
 	round     int
 	open      *list.List // of *Reservation, in the order of their deadlines
-	returns   map[Identity]map[string]Return
+	returns   map[Identity]map[string]LoanReturn
 	estimates map[Identity]estimate
 }
 
@@ -85,7 +85,7 @@
 		workspace: workspace,
 		refilled:  now,
 		open:      list.New(),
-		returns:   map[Identity]map[string]Return{},
+		returns:   map[Identity]map[string]LoanReturn{},
 		estimates: map[Identity]estimate{},
 	}
 }
@@ -306,9 +306,9 @@
 	b.level -= unspent
 	l.unspent += unspent
 	if b.returns[l.lender] == nil {
-		b.returns[l.lender] = map[string]Return{}
+		b.returns[l.lender] = map[string]LoanReturn{}
 	}
-	b.returns[l.lender][l.id] = Return{
+	b.returns[l.lender][l.id] = LoanReturn{
 		Workspace: b.workspace, Loan: l.id, Remaining: l.amount, Unspent: l.unspent,
 	}
 }
@@ -316,13 +316,13 @@
 // refuse returns a loan that was never taken in, capacity and tokens.
 func (b *bucket) refuse(l borrowed) {
 	if b.returns[l.lender] == nil {
-		b.returns[l.lender] = map[string]Return{}
+		b.returns[l.lender] = map[string]LoanReturn{}
 	}
-	b.returns[l.lender][l.id] = Return{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
+	b.returns[l.lender][l.id] = LoanReturn{Workspace: b.workspace, Loan: l.id, Unspent: l.amount}
 }
 
 // takeBack takes in what a borrower told about a loan; what was told before counts only once.
-func (b *bucket) takeBack(borrower Identity, r Return) {
+func (b *bucket) takeBack(borrower Identity, r LoanReturn) {
 	for i := range b.lent {
 		l := &b.lent[i]
 		if l.id != r.Loan || l.borrower != borrower {
--- a/internal/admission/rate/faults_test.go
+++ b/internal/admission/rate/faults_test.go
@@ -58,11 +58,11 @@
 	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
 		a, b := w.nodes[0], w.nodes[1]
 		is.NoErr(w.reserve(a, 50))
-		ask := a.ledger.Plan(workspace, 50)[0]
-		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
+		ask := a.ledger.PlanBorrowing(workspace, 50)[0]
+		loan := b.ledger.Lend(workspace, ask.Tokens, a.ledger.Self)
 		is.True(loan.Tokens > 40)
 		w.pass(hold + 5*time.Second)
-		a.ledger.Receive(ask, loan)
+		a.ledger.ReceiveLoan(ask, loan)
 		is.True(w.line.over(w) < tolerance)
 	})
 }
@@ -72,12 +72,12 @@
 func TestRepeatedReturnCountsOnce(t *testing.T) {
 	within(t, small(), []string{"a", "b"}, func(is *is.I, w *world) {
 		a, b := w.nodes[0], w.nodes[1]
-		ask := rate.Ask{Workspace: workspace, Peer: b.ledger.Self, Tokens: 40, Began: time.Now()}
-		loan := b.ledger.Give(workspace, ask.Tokens, a.ledger.Self)
+		ask := rate.BorrowRequest{Workspace: workspace, Peer: b.ledger.Self, Tokens: 40, PlannedAt: time.Now()}
+		loan := b.ledger.Lend(workspace, ask.Tokens, a.ledger.Self)
 		w.spendAll()
-		returns := []rate.Return{{Workspace: workspace, Loan: loan.ID, Remaining: 20, Unspent: 20}}
+		returns := []rate.LoanReturn{{Workspace: workspace, Loan: loan.ID, Remaining: 20, Unspent: 20}}
 		for range 3 {
-			b.ledger.Release(a.ledger.Self, returns)
+			b.ledger.ApplyReturns(a.ledger.Self, returns)
 		}
 		is.Equal(b.ledger.Available(workspace), 20.0)
 	})
--- a/internal/admission/rate/ledger.go
+++ b/internal/admission/rate/ledger.go
@@ -11,12 +11,12 @@
 type Ledger struct {
 	// Self is this process.
 	Self Identity
-	// Knowledge tells how far the installed head may be relied on.
-	Knowledge Knowledge
-	// UseWithin is how long borrowed tokens may back new reservations; equal on all instances.
-	UseWithin time.Duration
-	// Longest is how long a reservation may last; equal on all instances.
-	Longest time.Duration
+	// Freshness tells how far the installed head may be relied on.
+	Freshness Freshness
+	// LoanUseWindow is how long borrowed tokens may back new reservations; equal on all instances.
+	LoanUseWindow time.Duration
+	// MaxReservationTime is how long a reservation may last; equal on all instances.
+	MaxReservationTime time.Duration
 
 	mutex   sync.Mutex
 	head    Head
@@ -112,7 +112,7 @@
 	}
 	b.used = time.Now()
 	if burst := b.current().burst; tokens > burst {
-		return nil, &TooLargeError{Tokens: tokens, Burst: burst}
+		return nil, &ExceedsBurstError{Tokens: tokens, Burst: burst}
 	}
 	if missing := tokens - b.level; missing > epsilon {
 		return nil, l.short(b, missing)
@@ -120,14 +120,14 @@
 	b.level -= tokens
 	b.reserved += tokens
 	reservation = &Reservation{
-		ledger: l, bucket: b, left: tokens, deadline: time.Now().Add(l.longest()),
+		ledger: l, bucket: b, left: tokens, deadline: time.Now().Add(l.maxReservationTime()),
 		round: b.round, revision: l.head.Revision,
 	}
 	reservation.element = b.open.PushBack(reservation)
 	return reservation, nil
 }
 
-func (l *Ledger) short(b *bucket, missing float64) *ShortError {
+func (l *Ledger) short(b *bucket, missing float64) *InsufficientTokensError {
 	fleetRate := b.rate()
 	elsewhere := 0.0
 	for _, peer := range l.peers() {
@@ -140,18 +140,18 @@
 	if fleetRate > 0 {
 		wait = time.Duration(max(missing-elsewhere, 0) / fleetRate * float64(time.Second))
 	}
-	return &ShortError{
+	return &InsufficientTokensError{
 		Missing: missing, RetryAfter: max(wait, time.Millisecond), WithinRate: elsewhere >= missing,
-		Level: b.level, Own: b.own(), Elsewhere: elsewhere, PendingShares: len(b.shares) - 1,
+		Level: b.level, OwnCapacity: b.own(), PeerTokens: elsewhere, PendingShares: len(b.shares) - 1,
 	}
 }
 
 // usable finds a workspace's bucket and brings it to now, or refuses.
 func (l *Ledger) usable(workspace string) (b *bucket, err error) {
-	if cause := l.Knowledge.Fresh(); cause != nil {
+	if cause := l.Freshness.Fresh(); cause != nil {
 		return nil, &StaleError{Cause: cause, RetryAfter: time.Second}
 	}
-	if revision, _ := l.Knowledge.FreshUntil(); revision > l.head.Revision {
+	if revision, _ := l.Freshness.FreshUntil(); revision > l.head.Revision {
 		return nil, &StaleError{Cause: errBehind, RetryAfter: time.Second}
 	}
 	b, found := l.buckets[workspace]
@@ -165,31 +165,31 @@
 // advance brings a bucket to now.
 func (l *Ledger) advance(b *bucket) {
 	now := time.Now()
-	revision, until := l.Knowledge.FreshUntil()
+	revision, until := l.Freshness.FreshUntil()
 	if revision > l.head.Revision {
 		until = time.Time{}
 	}
 	b.advance(now, until)
-	b.settleShares(l.Knowledge.InForce(), l.settled, l.hold(), now)
+	b.settleShares(l.Freshness.InForce(), l.settled, l.hold(), now)
 	b.giveBackSurplus()
 }
 
-func (l *Ledger) useWithin() time.Duration {
-	if l.UseWithin > 0 {
-		return l.UseWithin
+func (l *Ledger) loanUseWindow() time.Duration {
+	if l.LoanUseWindow > 0 {
+		return l.LoanUseWindow
 	}
-	return UseWithin
+	return LoanUseWindow
 }
 
-func (l *Ledger) longest() time.Duration {
-	if l.Longest > 0 {
-		return l.Longest
+func (l *Ledger) maxReservationTime() time.Duration {
+	if l.MaxReservationTime > 0 {
+		return l.MaxReservationTime
 	}
-	return Longest
+	return MaxReservationTime
 }
 
 // hold is the whole life of a loan: it may back reservations made within useWithin, and each of those
 // ends within longest.
 func (l *Ledger) hold() time.Duration {
-	return l.useWithin() + l.longest()
+	return l.loanUseWindow() + l.maxReservationTime()
 }
--- a/internal/admission/rate/rate.go
+++ b/internal/admission/rate/rate.go
@@ -28,13 +28,13 @@
 	"github.com/pkg/errors"
 )
 
-// UseWithin is how long borrowed tokens may back new reservations when a Ledger states nothing,
+// LoanUseWindow is how long borrowed tokens may back new reservations when a Ledger states nothing,
 // counted from when they were asked for. It must cover a round of asking; no measured reason yet.
-const UseWithin = 3 * time.Second
+const LoanUseWindow = 3 * time.Second
 
-// Longest is the longest a reservation may last when a Ledger states nothing. The daemon cancels a
+// MaxReservationTime is the longest a reservation may last when a Ledger states nothing. The daemon cancels a
 // request that runs longer, since its tokens are no longer accounted for.
-const Longest = 2 * time.Minute
+const MaxReservationTime = 2 * time.Minute
 
 // askAgain is how long a peer that gave less than it was asked for is left alone. Made for a workspace
 // at several times its rate, each refusal of which would otherwise cost a message to every peer. It has
@@ -89,8 +89,8 @@
 	Limits   []Limit
 }
 
-// Knowledge tells how far the installed head may be relied on. *freshness.Tracker is one.
-type Knowledge interface {
+// Freshness tells how far the installed head may be relied on. *freshness.Tracker is one.
+type Freshness interface {
 	// Fresh answers nil while the instance may act on its head.
 	Fresh() error
 	// FreshUntil returns the installed revision and until when it may be used as things stand.
@@ -102,27 +102,27 @@
 // Loan is what a lender gave: tokens with the capacity to hold them. ID is the lender's own; Left is
 // what remains in its bucket.
 type Loan struct {
-	ID     string
-	Lender Identity
-	Tokens float64
-	Left   float64
+	ID          string
+	Lender      Identity
+	Tokens      float64
+	LenderLevel float64
 }
 
-// Ask is one step of a plan to borrow: whom to ask and for how many tokens at the most. Began is when
+// BorrowRequest is one step of a plan to borrow: whom to ask and for how many tokens at the most. Began is when
 // the plan was made; what is received much later is not used. Spare asks only for what the peer's
 // bucket can hardly hold any longer.
-type Ask struct {
+type BorrowRequest struct {
 	Workspace string
 	Peer      Identity
 	Tokens    float64
-	Spare     bool
-	Began     time.Time
+	SpareOnly bool
+	PlannedAt time.Time
 }
 
-// Return tells a lender how much of a loan the borrower may still spend, and how much of it came back
+// LoanReturn tells a lender how much of a loan the borrower may still spend, and how much of it came back
 // unspent in all. It may be repeated and may arrive in any order: the smallest Remaining and the
 // largest Unspent count.
-type Return struct {
+type LoanReturn struct {
 	Workspace string
 	Loan      string
 	Remaining float64
@@ -138,24 +138,24 @@
 	sealed()
 }
 
-// TooLargeError refuses a request that costs more than the workspace's burst; it can never be admitted.
-type TooLargeError struct {
+// ExceedsBurstError refuses a request that costs more than the workspace's burst; it can never be admitted.
+type ExceedsBurstError struct {
 	Tokens float64
 	Burst  float64
 }
 
-// ShortError refuses a request for want of tokens. Missing is how many; RetryAfter is when they will be
+// InsufficientTokensError refuses a request for want of tokens. Missing is how many; RetryAfter is when they will be
 // there at the workspace's rate. WithinRate tells whether the fleet, as far as this instance knows, has
 // the tokens: such a refusal is wrongful, and is counted as one. The rest are inputs of the decision, for the log.
-type ShortError struct {
+type InsufficientTokensError struct {
 	Missing    float64
 	RetryAfter time.Duration
 	WithinRate bool
 
 	// Level is what the bucket has, Own its capacity less what is lent, and Elsewhere what the peers may have.
-	Level     float64
-	Own       float64
-	Elsewhere float64
+	Level       float64
+	OwnCapacity float64
+	PeerTokens  float64
 	// PendingShares are the shares of older heads that bind the bucket until the newest is in force everywhere.
 	PendingShares int
 }
@@ -171,11 +171,11 @@
 	RetryAfter time.Duration
 }
 
-func (e *TooLargeError) Error() string {
+func (e *ExceedsBurstError) Error() string {
 	return fmt.Sprintf("rate: %.0f tokens are more than the burst of %.0f", e.Tokens, e.Burst)
 }
 
-func (e *ShortError) Error() string {
+func (e *InsufficientTokensError) Error() string {
 	return fmt.Sprintf("rate: short of %.0f tokens, retry after %v", e.Missing, e.RetryAfter)
 }
 
@@ -187,10 +187,10 @@
 func (e *StaleError) Unwrap() error { return e.Cause }
 
 // Code is CodeTooLarge.
-func (*TooLargeError) Code() string { return CodeTooLarge }
+func (*ExceedsBurstError) Code() string { return CodeTooLarge }
 
 // Code is CodeRate.
-func (*ShortError) Code() string { return CodeRate }
+func (*InsufficientTokensError) Code() string { return CodeRate }
 
 // Code is CodeUnknownWorkspace.
 func (*UnknownError) Code() string { return CodeUnknownWorkspace }
@@ -198,9 +198,9 @@
 // Code is CodeStale.
 func (*StaleError) Code() string { return CodeStale }
 
-func (*TooLargeError) sealed() {}
-func (*ShortError) sealed()    {}
-func (*UnknownError) sealed()  {}
-func (*StaleError) sealed()    {}
+func (*ExceedsBurstError) sealed()       {}
+func (*InsufficientTokensError) sealed() {}
+func (*UnknownError) sealed()            {}
+func (*StaleError) sealed()              {}
 
 var errBehind = errors.New("the ledger has not taken in the installed head")
--- a/internal/admission/rate/settled.go
+++ b/internal/admission/rate/settled.go
@@ -31,9 +31,9 @@
 	return oldest
 }
 
-// Settled says that no reservation and no loan made under shares older than the revision is left
+// MarkSettled says that no reservation and no loan made under shares older than the revision is left
 // anywhere, so that capacity may grow to the shares of that revision at once.
-func (l *Ledger) Settled(revision int64) {
+func (l *Ledger) MarkSettled(revision int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.settled = max(l.settled, revision)
--- a/internal/admission/rate/world_test.go
+++ b/internal/admission/rate/world_test.go
@@ -81,7 +81,7 @@
 	n := &node{member: m, tracker: &freshness.Tracker{Self: self, Bound: bound}}
 	n.ledger = &rate.Ledger{
 		Self:      rate.Identity{Name: m.Name, Incarnation: m.Incarnation},
-		Knowledge: n.tracker, UseWithin: useWithin, Longest: longest,
+		Freshness: n.tracker, LoanUseWindow: useWithin, MaxReservationTime: longest,
 	}
 	w.nodes = append(w.nodes, n)
 	return n
@@ -111,13 +111,13 @@
 func (w *world) read(n *node) func() bool {
 	began := time.Now()
 	if !w.readable(n) {
-		n.tracker.ReadFailed(began)
+		n.tracker.RecordReadFailure(began)
 		return func() bool { return true }
 	}
 	seen := w.stored()
 	return w.toNode(n, func() {
 		n.install(seen)
-		n.tracker.ReadConfirmed(began, seen.head.Revision)
+		n.tracker.RecordRead(began, seen.head.Revision)
 	})
 }
 
@@ -128,9 +128,9 @@
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  asked, Revision: revision, ConfirmedAge: age,
+			SentAt: asked, Revision: revision, ConfirmedAge: age,
 		}
-		w.waiting = append(w.waiting, w.toNode(from, func() { from.tracker.Replied(reply) }))
+		w.waiting = append(w.waiting, w.toNode(from, func() { from.tracker.RecordReply(reply) }))
 	})
 }
 
@@ -278,37 +278,37 @@
 // borrow asks as the daemon does: by the plan, until the missing tokens have come. The answer of each
 // peer may be lost.
 func (w *world) borrow(n *node, tokens float64, lost func() bool) {
-	for _, ask := range n.ledger.Plan(workspace, tokens) {
+	for _, ask := range n.ledger.PlanBorrowing(workspace, tokens) {
 		peer := w.find(ask.Peer)
 		if peer == nil || n.isolated || peer.isolated {
-			n.ledger.Receive(ask, rate.Loan{Lender: ask.Peer})
+			n.ledger.ReceiveLoan(ask, rate.Loan{Lender: ask.Peer})
 			continue
 		}
 		ask.Tokens = min(ask.Tokens, tokens-n.ledger.Available(workspace))
 		if ask.Tokens <= 0 {
 			return
 		}
-		loan := peer.ledger.Give(workspace, ask.Tokens, n.ledger.Self)
+		loan := peer.ledger.Lend(workspace, ask.Tokens, n.ledger.Self)
 		if !lost() {
-			n.ledger.Receive(ask, loan)
+			n.ledger.ReceiveLoan(ask, loan)
 		}
 	}
 }
 
 // topUp balances an instance's bucket.
 func (w *world) topUp(n *node) {
-	for _, ask := range n.ledger.TopUps() {
+	for _, ask := range n.ledger.PlanRebalancing() {
 		if peer := w.find(ask.Peer); peer != nil && !n.isolated && !peer.isolated {
-			n.ledger.Receive(ask, peer.ledger.GiveSpare(workspace, ask.Tokens, n.ledger.Self))
+			n.ledger.ReceiveLoan(ask, peer.ledger.LendSpare(workspace, ask.Tokens, n.ledger.Self))
 		}
 	}
 }
 
 // giveBack passes on the returns between two instances.
 func (w *world) giveBack(from, to *node) {
-	returns := from.ledger.Returns(to.ledger.Self)
-	to.ledger.Release(from.ledger.Self, returns)
-	from.ledger.Returned(to.ledger.Self, returns)
+	returns := from.ledger.PendingReturns(to.ledger.Self)
+	to.ledger.ApplyReturns(from.ledger.Self, returns)
+	from.ledger.AcknowledgeReturns(to.ledger.Self, returns)
 }
 
 func (w *world) find(id rate.Identity) *node {
--- a/internal/caller/api/bad_input_test.go
+++ b/internal/caller/api/bad_input_test.go
@@ -27,7 +27,7 @@
 	pipeline := &fakePipeline{}
 	small := limits()
 	small.Completion.BodyBytes = 1 << 10
-	small.ServiceBodyBytes = 1 << 10
+	small.MaxServiceBodyBytes = 1 << 10
 	server := start(t, pipeline, small)
 	long := strings.Repeat("x", 2<<10)
 	const completions = "/v1/completions"
@@ -116,8 +116,8 @@
 func TestSlowAndEndlessSenders(t *testing.T) {
 	pipeline := &fakePipeline{}
 	quick := limits()
-	quick.HeaderWithin = 200 * time.Millisecond
-	quick.BodyWithin = 200 * time.Millisecond
+	quick.HeaderTimeout = 200 * time.Millisecond
+	quick.BodyTimeout = 200 * time.Millisecond
 	server := start(t, pipeline, quick)
 	flood := strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 200)
 	cases := []struct {
@@ -154,7 +154,7 @@
 		return err
 	}}
 	impatient := limits()
-	impatient.WriteWithin = 200 * time.Millisecond
+	impatient.WriteTimeout = 200 * time.Millisecond
 	server := start(t, pipeline, impatient)
 	conn, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -170,7 +170,7 @@
 func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	few := limits()
-	few.Connections = 1
+	few.MaxConnections = 1
 	server := start(t, &fakePipeline{}, few)
 	held, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -252,7 +252,7 @@
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	pipeline := &stoppingPipeline{begun: begun, goOn: goOn}
 	settling := limits()
-	settling.Settle = 2 * time.Second
+	settling.ShutdownDelay = 2 * time.Second
 	server := start(t, pipeline, settling)
 	kept, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
@@ -268,7 +268,7 @@
 	server.stop()
 	time.Sleep(100 * time.Millisecond) // less than Settle; the flag is set within microseconds
 	is.Equal(modelsOver(t, kept, keptReader), "close")
-	time.Sleep(settling.Settle)
+	time.Sleep(settling.ShutdownDelay)
 	close(goOn)
 	is.True(strings.Contains(<-whole, "[DONE]"))
 	is.NoErr(<-server.ended)
--- a/internal/caller/api/completions.go
+++ b/internal/caller/api/completions.go
@@ -37,7 +37,7 @@
 // plain answers with the whole completion or with a refusal, never with a part of it.
 func (s *Server) plain(c echo.Context, request completion.Request) error {
 	v := visitOf(c)
-	sink := &plainSink{visit: v, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.AnswerBytes)}
+	sink := &plainSink{visit: v, header: c.Response().Header(), assembler: stream.NewAssembler(s.Limits.MaxAnswerBytes)}
 	if err := s.Pipeline.Complete(c.Request().Context(), v.identity, request, sink); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	err := s.Pipeline.Complete(c.Request().Context(), v.identity, request, sink)
 	switch {
 	case err == nil && !sink.begun:
-		return unusable(stream.ErrNotWhole)
+		return unusable(stream.ErrIncomplete)
 	case err == nil:
 		return sink.write(stream.Done())
 	case sink.begun:
@@ -161,11 +161,11 @@
 // processor time. Sixteen renewals a limit cost nothing that can be measured, and the caller that stops
 // reading is still given up in about the same time.
 func (p *streamSink) boundWrite() {
-	slack := p.server.Limits.WriteWithin / writeRenewals
+	slack := p.server.Limits.WriteTimeout / writeRenewals
 	now := time.Now()
 	if now.Sub(p.bounded) < slack {
 		return
 	}
 	p.bounded = now
-	p.server.boundWriteUntil(p.context, now.Add(p.server.Limits.WriteWithin+slack))
+	p.server.boundWriteUntil(p.context, now.Add(p.server.Limits.WriteTimeout+slack))
 }
--- a/internal/caller/api/fake_pipeline_test.go
+++ b/internal/caller/api/fake_pipeline_test.go
@@ -20,7 +20,7 @@
 // Call answer with three tokens and with the call itself unless replaced.
 type fakePipeline struct {
 	complete func(ctx context.Context, request completion.Request, sink api.Sink) error
-	call     func(call api.ServiceCall) (service.Answer, error)
+	call     func(call api.ServiceCall) (service.Response, error)
 	calls    atomic.Int32
 }
 
@@ -43,12 +43,12 @@
 	return threeTokens(sink)
 }
 
-func (p *fakePipeline) Call(_ context.Context, _ api.Identity, call api.ServiceCall) (service.Answer, error) {
+func (p *fakePipeline) Call(_ context.Context, _ api.Identity, call api.ServiceCall) (service.Response, error) {
 	p.calls.Add(1)
 	if p.call != nil {
 		return p.call(call)
 	}
-	return service.Answer{Status: http.StatusCreated, Body: []byte(call.Call.Method + " " + call.Call.Path)}, nil
+	return service.Response{Status: http.StatusCreated, Body: []byte(call.Call.Method + " " + call.Call.Path)}, nil
 }
 
 // threeTokens sends a whole stream.
@@ -100,7 +100,7 @@
 // limits are short in time, and none of the times is asserted on from below.
 func limits() api.Limits {
 	limits := api.DefaultLimits()
-	limits.Settle = 0
+	limits.ShutdownDelay = 0
 	return limits
 }
 
--- a/internal/caller/api/observation.go
+++ b/internal/caller/api/observation.go
@@ -6,9 +6,9 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// Observation is what became of one request, for logs, metrics and the burn report. Refused is nil
+// RequestRecord is what became of one request, for logs, metrics and the burn report. Refused is nil
 // when the request was answered. FirstToken is zero when no token was sent. Key is the key's name.
-type Observation struct {
+type RequestRecord struct {
 	RequestID  string
 	Workspace  string
 	Key        string
@@ -24,7 +24,7 @@
 
 // visit is one request on its way through the server.
 type visit struct {
-	observation Observation
+	observation RequestRecord
 	begun       time.Time
 	bodyRead    bool
 	identity    Identity
--- a/internal/caller/api/routes.go
+++ b/internal/caller/api/routes.go
@@ -38,7 +38,7 @@
 	if s.Limits == (Limits{}) {
 		s.Limits = DefaultLimits()
 	}
-	s.places = make(chan struct{}, s.Limits.Requests)
+	s.places = make(chan struct{}, s.Limits.MaxRequests)
 	routes := echo.New()
 	routes.HideBanner = true
 	routes.HidePort = true
@@ -90,12 +90,12 @@
 }
 
 func (s *Server) report(c echo.Context, v *visit) {
-	if s.Observe == nil {
+	if s.OnRequestDone == nil {
 		return
 	}
 	v.observation.Status = c.Response().Status
 	v.observation.Took = time.Since(v.begun)
-	s.Observe(v.observation)
+	s.OnRequestDone(v.observation)
 }
 
 func visitOf(c echo.Context) *visit {
@@ -146,7 +146,7 @@
 		visitOf(c).bodyRead = true
 		return
 	}
-	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(s.Limits.BodyWithin))
+	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
 }
 
 // body reads the whole body of at most limit bytes.
@@ -207,7 +207,7 @@
 // boundWrite gives the caller a fresh time limit for the next part of its answer. A caller that stops
 // reading would otherwise hold its request, and a batch place at an engine, for ever.
 func (s *Server) boundWrite(c echo.Context) {
-	s.boundWriteUntil(c, time.Now().Add(s.Limits.WriteWithin))
+	s.boundWriteUntil(c, time.Now().Add(s.Limits.WriteTimeout))
 }
 
 func (s *Server) boundWriteUntil(c echo.Context, deadline time.Time) {
--- a/internal/caller/api/server.go
+++ b/internal/caller/api/server.go
@@ -20,37 +20,37 @@
 // from the others.
 type Limits struct {
 	Completion completion.Limits
-	// ServiceBodyBytes bounds the body of a plain service's call, AnswerBytes an assembled answer.
-	ServiceBodyBytes, AnswerBytes int
-	// HeaderBytes and HeaderWithin bound a request's headers, BodyWithin its body.
-	HeaderBytes              int
-	HeaderWithin, BodyWithin time.Duration
-	// WriteWithin is how long a caller may take to make room for the next part of its answer.
-	WriteWithin time.Duration
-	// Idle is how long a connection is kept open between two requests.
-	Idle time.Duration
-	// Connections bounds the open connections, Requests the requests in flight.
-	Connections, Requests int
-	// Settle is how long a stopping server goes on serving new requests, which is to be longer than the
-	// balancer takes to notice; Drain is how long it then waits for requests in flight.
-	Settle, Drain time.Duration
+	// MaxServiceBodyBytes bounds the body of a plain service's call, MaxAnswerBytes an assembled answer.
+	MaxServiceBodyBytes, MaxAnswerBytes int
+	// MaxHeaderBytes and HeaderWithin bound a request's headers, BodyWithin its body.
+	MaxHeaderBytes             int
+	HeaderTimeout, BodyTimeout time.Duration
+	// WriteTimeout is how long a caller may take to make room for the next part of its answer.
+	WriteTimeout time.Duration
+	// IdleTimeout is how long a connection is kept open between two requests.
+	IdleTimeout time.Duration
+	// MaxConnections bounds the open connections, MaxRequests the requests in flight.
+	MaxConnections, MaxRequests int
+	// ShutdownDelay is how long a stopping server goes on serving new requests, which is to be longer than the
+	// balancer takes to notice; DrainTimeout is how long it then waits for requests in flight.
+	ShutdownDelay, DrainTimeout time.Duration
 }
 
 // DefaultLimits suit a small instance.
 func DefaultLimits() Limits {
 	return Limits{
-		Completion:       completion.DefaultLimits(),
-		ServiceBodyBytes: 1 << 20,
-		AnswerBytes:      4 << 20,
-		HeaderBytes:      32 << 10,
-		HeaderWithin:     5 * time.Second,
-		BodyWithin:       10 * time.Second,
-		WriteWithin:      15 * time.Second,
-		Idle:             60 * time.Second,
-		Connections:      4096,
-		Requests:         1024,
-		Settle:           3 * time.Second,
-		Drain:            10 * time.Minute,
+		Completion:          completion.DefaultLimits(),
+		MaxServiceBodyBytes: 1 << 20,
+		MaxAnswerBytes:      4 << 20,
+		MaxHeaderBytes:      32 << 10,
+		HeaderTimeout:       5 * time.Second,
+		BodyTimeout:         10 * time.Second,
+		WriteTimeout:        15 * time.Second,
+		IdleTimeout:         60 * time.Second,
+		MaxConnections:      4096,
+		MaxRequests:         1024,
+		ShutdownDelay:       3 * time.Second,
+		DrainTimeout:        10 * time.Minute,
 	}
 }
 
@@ -58,11 +58,11 @@
 // DefaultLimits. Observe, when set, is told of each request that has ended. ErrorLog receives what
 // net/http has to say about connections, which may hold callers' addresses but no keys.
 type Server struct {
-	Listener net.Listener
-	Pipeline Pipeline
-	Limits   Limits
-	Observe  func(Observation)
-	ErrorLog io.Writer
+	Listener      net.Listener
+	Pipeline      Pipeline
+	Limits        Limits
+	OnRequestDone func(RequestRecord)
+	ErrorLog      io.Writer
 
 	stopping atomic.Bool
 	open     atomic.Int64
@@ -86,14 +86,14 @@
 	case <-ctx.Done():
 	}
 	s.stopping.Store(true)
-	time.Sleep(s.Limits.Settle)
-	draining, cancel := context.WithTimeout(context.Background(), s.Limits.Drain)
+	time.Sleep(s.Limits.ShutdownDelay)
+	draining, cancel := context.WithTimeout(context.Background(), s.Limits.DrainTimeout)
 	defer cancel()
 	return server.Shutdown(draining)
 }
 
 func (s *Server) run(server *http.Server, served chan<- error) {
-	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.open, most: int64(s.Limits.Connections)})
+	served <- server.Serve(&limitedListener{Listener: s.Listener, open: &s.open, most: int64(s.Limits.MaxConnections)})
 }
 
 func (s *Server) httpServer() *http.Server {
@@ -106,9 +106,9 @@
 	}
 	return &http.Server{
 		Handler:           s.Handler(),
-		ReadHeaderTimeout: s.Limits.HeaderWithin,
-		IdleTimeout:       s.Limits.Idle,
-		MaxHeaderBytes:    s.Limits.HeaderBytes,
+		ReadHeaderTimeout: s.Limits.HeaderTimeout,
+		IdleTimeout:       s.Limits.IdleTimeout,
+		MaxHeaderBytes:    s.Limits.MaxHeaderBytes,
 		ErrorLog:          log.New(errorLog, "", 0),
 	}
 }
--- a/internal/caller/stream/assembler.go
+++ b/internal/caller/stream/assembler.go
@@ -12,8 +12,8 @@
 
 // Errors of an Assembler.
 var (
-	// ErrNotWhole means that no choice came, or one without a finish reason: the answer is a part.
-	ErrNotWhole = errors.New("stream: the answer is not whole")
+	// ErrIncomplete means that no choice came, or one without a finish reason: the answer is a part.
+	ErrIncomplete = errors.New("stream: the answer is not whole")
 	// ErrTooLarge means that the events together are larger than the assembler's bound.
 	ErrTooLarge = errors.New("stream: the answer is too large")
 )
@@ -62,13 +62,13 @@
 func (a *Assembler) Answer(id string) (answer []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "assemble answer") }()
 	if len(a.choices) == 0 {
-		return nil, ErrNotWhole
+		return nil, ErrIncomplete
 	}
 	a.outer["object"] = "text_completion"
 	for _, each := range a.choices {
 		choice, ok := each.(object)
 		if !ok || choice["finish_reason"] == nil {
-			return nil, ErrNotWhole
+			return nil, ErrIncomplete
 		}
 		if delta, chat := choice["delta"].(object); chat {
 			a.outer["object"] = "chat.completion"
--- a/internal/caller/stream/codec_test.go
+++ b/internal/caller/stream/codec_test.go
@@ -135,8 +135,8 @@
 			`{"id":"r1","object":"chat.completion","choices":[{"index":0,"finish_reason":"tool_calls","message":{"role":"assistant","content":null,"tool_calls":[{"index":0,"id":"c","type":"function","function":{"name":"f","arguments":"{\"a\":1}"}}]}}]}`,
 			nil,
 		},
-		{"no end", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrNotWhole},
-		{"nothing", nil, "", stream.ErrNotWhole},
+		{"no end", []string{`{"choices":[{"index":0,"text":"Hel"}]}`}, "", stream.ErrIncomplete},
+		{"nothing", nil, "", stream.ErrIncomplete},
 		{"no object", []string{`[]`}, "", stream.ErrMalformed},
 		{"large", []string{`{"a":"` + strings.Repeat("x", 1<<10) + `"}`}, "", stream.ErrTooLarge},
 	}
--- a/internal/caller/stream/event.go
+++ b/internal/caller/stream/event.go
@@ -20,8 +20,8 @@
 	Data []byte
 }
 
-// ErrNoCount means that the event's id line is missing or is no count of tokens.
-var ErrNoCount = errors.New("stream: event without a count of tokens")
+// ErrNoTokenCount means that the event's id line is missing or is no count of tokens.
+var ErrNoTokenCount = errors.New("stream: event without a count of tokens")
 
 // Done makes the event that ends a stream.
 func Done() Event { return Event{Data: []byte(doneMark)} }
@@ -45,7 +45,7 @@
 func (e Event) Tokens() (int, error) {
 	count, err := strconv.Atoi(e.ID)
 	if err != nil || count < 0 {
-		return 0, ErrNoCount
+		return 0, ErrNoTokenCount
 	}
 	return count, nil
 }
--- a/internal/entry/brokering/runner.go
+++ b/internal/entry/brokering/runner.go
@@ -49,7 +49,7 @@
 }
 
 // Permit requests a load permit, and waits for the decision.
-func (r *Runner) Permit(ctx context.Context, request broker.Asked) peer.LoadPermit {
+func (r *Runner) Permit(ctx context.Context, request broker.PermitRequested) peer.LoadPermit {
 	response := make(chan peer.LoadPermit, 1)
 	if !r.inbox.Send(ctx, message{event: request, response: response}) {
 		return refused
@@ -64,7 +64,7 @@
 
 // End records that a load has completed or failed, or that its permit is returned unused.
 func (r *Runner) End(ctx context.Context, load broker.Load, unused bool) {
-	var event broker.Event = broker.Ended{Load: load}
+	var event broker.Event = broker.LoadEnded{Load: load}
 	if unused {
 		event = broker.Withdrawn{Load: load}
 	}
@@ -74,7 +74,7 @@
 // handleMessage passes a message to the broker. A new request for the same load replaces the earlier one, whose caller
 // gets a response with Replaced set. If that were a refusal, the holder would retry endlessly.
 func (r *Runner) handleMessage(m message) {
-	if request, ok := m.event.(broker.Asked); ok {
+	if request, ok := m.event.(broker.PermitRequested); ok {
 		r.respond(request.Load, peer.LoadPermit{Replaced: true})
 		r.waiters[request.Load] = m.response
 	}
--- a/internal/entry/brokering/runner_test.go
+++ b/internal/entry/brokering/runner_test.go
@@ -14,8 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-func permitRequest(adapter string) broker.Asked {
-	return broker.Asked{
+func permitRequest(adapter string) broker.PermitRequested {
+	return broker.PermitRequested{
 		Load:     broker.Load{Upstream: "engine-1", Model: model.Reference{Adapter: adapter, Version: "1"}},
 		Demand:   100,
 		Patience: 20 * time.Second,
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -53,7 +53,7 @@
 	d.peers = link.NewServer(serverCredentials)
 	peer.Register(d.peers, handler{daemon: d})
 	d.callers = &api.Server{Listener: d.listeners.caller, Pipeline: d.pipeline, Limits: d.callerLimits()}
-	d.callers.Observe = d.observe
+	d.callers.OnRequestDone = d.observe
 	d.operators = &http.Server{
 		Handler:           d.operatorHandler(exposition),
 		ReadHeaderTimeout: headerWithin,
@@ -74,10 +74,10 @@
 		Writer: d.self.Name + "/" + d.self.Incarnation,
 		Log:    d.Log,
 	}
-	d.sweeper = &repository.Sweeper{Repository: d.repository, Chosen: d.isBroker}
+	d.sweeper = &repository.Sweeper{Repository: d.repository, HasDuty: d.isBroker}
 	d.listing = &listing.Client{Address: platform.ListAddress}
 	d.tracker = &freshness.Tracker{Self: trackerMember(d.self), Bound: d.Settings.Freshness.Bound}
-	d.ledger = &rate.Ledger{Self: d.identity(), Knowledge: d.tracker}
+	d.ledger = &rate.Ledger{Self: d.identity(), Freshness: d.tracker}
 	d.claims = &claim.Registry{Store: d.store}
 	d.detector.detector = &membership.Detector{Self: d.self.Name}
 }
@@ -109,43 +109,43 @@
 func (d *Daemon) assemblePipeline(policy deployment.Policy) {
 	d.burn = &burn.Recorder{}
 	d.pipeline = &pipeline.Pipeline{
-		Self:     d.identity(),
-		Current:  d.repository.Current,
-		Tracker:  d.tracker,
-		Ledger:   d.ledger,
-		Claims:   d.claims,
-		Fleet:    fleet{daemon: d, own: handler{daemon: d}},
-		Engine:   func(address string) pipeline.Engine { return d.engines.at(address, d.engineLimits()) },
-		Services: &service.Client{},
-		Leaving:  d.leaving.isLeaving,
-		Pins:     &pipeline.Pins{},
-		Running:  &pipeline.Running{},
-		Burn:     d.burn,
-		Advice: &pipeline.Advice{
+		Self:            d.identity(),
+		Current:         d.repository.Current,
+		Tracker:         d.tracker,
+		Ledger:          d.ledger,
+		Claims:          d.claims,
+		Fleet:           fleet{daemon: d, own: handler{daemon: d}},
+		Engine:          func(address string) pipeline.Engine { return d.engines.at(address, d.engineLimits()) },
+		Services:        &service.Client{},
+		IsLeaving:       d.leaving.isLeaving,
+		Pins:            &pipeline.Pins{},
+		RunningRequests: &pipeline.RunningRequests{},
+		Burn:            d.burn,
+		State: &pipeline.SharedState{
 			Router:   &route.Router{Settings: policy.Route},
-			Suspects: &suspect.Register{Settings: policy.Suspect},
+			Suspects: &suspect.Tracker{Settings: policy.Suspect},
 			Retries:  retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 			Shares:   &share.Tracker{},
 		},
-		Patience: d.Settings.Limits.Patience,
-		Crashed:  d.tellAll,
-		Log:      d.Log,
-		Scope:    d.scope,
+		DispatchTimeout: d.Settings.Limits.Patience,
+		OnUpstreamCrash: d.tellAll,
+		Log:             d.Log,
+		Scope:           d.scope,
 	}
 }
 
 func (d *Daemon) callerLimits() api.Limits {
 	limits := api.DefaultLimits()
 	limits.Completion.BodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.ServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
-	limits.Drain = d.Settings.Limits.StopWithin
+	limits.MaxServiceBodyBytes = int(d.Settings.Limits.BodyBytes)
+	limits.DrainTimeout = d.Settings.Limits.StopWithin
 	return limits
 }
 
 func (d *Daemon) engineLimits() engine.Limits {
 	limits := engine.DefaultLimits()
-	limits.FirstToken = d.Settings.Limits.FirstToken
-	limits.BetweenTokens = d.Settings.Limits.BetweenTokens
+	limits.FirstTokenTimeout = d.Settings.Limits.FirstToken
+	limits.InterTokenTimeout = d.Settings.Limits.BetweenTokens
 	return limits
 }
 
@@ -156,7 +156,7 @@
 }
 
 // observe counts each caller's request by its status.
-func (d *Daemon) observe(seen api.Observation) {
+func (d *Daemon) observe(seen api.RequestRecord) {
 	tags := map[string]string{"route": seen.Route, "status": strconv.Itoa(seen.Status)}
 	d.scope.Tagged(tags).Counter("requests").Inc(1)
 }
--- a/internal/entry/daemon/daemon.go
+++ b/internal/entry/daemon/daemon.go
@@ -210,7 +210,7 @@
 func (d *detector) handle(event membership.Event) []membership.Action {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if heard, ok := event.(membership.Heard); ok {
+	if heard, ok := event.(membership.HeartbeatAnswered); ok {
 		if d.heard == nil {
 			d.heard = map[string]time.Time{}
 		}
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -103,7 +103,7 @@
 	defer cancel()
 	lender := rate.Identity{Name: member.Name, Incarnation: member.Incarnation}
 	beat := d.beat(ctx)
-	beat.Returns = d.ledger.Returns(lender)
+	beat.Returns = d.ledger.PendingReturns(lender)
 	asked := time.Now()
 	answer, err := d.directory.Ping(ctx, member.Address, beat)
 	if err != nil {
@@ -113,11 +113,11 @@
 		return
 	}
 	if answer.Incarnation == member.Incarnation {
-		d.ledger.Returned(lender, beat.Returns)
+		d.ledger.AcknowledgeReturns(lender, beat.Returns)
 	}
-	d.tracker.Replied(freshness.Reply{
+	d.tracker.RecordReply(freshness.Reply{
 		Member:       freshness.Member{Name: answer.Instance, Incarnation: answer.Incarnation},
-		Asked:        asked,
+		SentAt:       asked,
 		Revision:     answer.Revision,
 		ConfirmedAge: answer.ConfirmedAge,
 	})
@@ -126,18 +126,18 @@
 
 // learn takes in what any heartbeat tells that needs no question of ours to be true.
 func (d *Daemon) learn(at time.Time, beat peer.Heartbeat) {
-	d.tracker.Relayed(beat.Revision, beat.InForceMembers)
-	d.detector.handle(membership.Heard{Name: beat.Instance, Incarnation: beat.Incarnation})
+	d.tracker.MergeReportBitmap(beat.Revision, beat.InForceMembers)
+	d.detector.handle(membership.HeartbeatAnswered{Name: beat.Instance, Incarnation: beat.Incarnation})
 	d.settlement.tell(rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.OldestRevision)
 	if _, member := d.repository.Current().Head.Member(beat.Instance); member {
 		d.leaving.tell(beat.Instance, beat.Leaving)
 	}
 	now := time.Now()
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range beat.Upstreams {
-			a.Router.Learn(now, routeSummary(summary, at))
+			a.Router.UpdateSummary(now, routeSummary(summary, at))
 		}
-		a.Suspects.Merge(now, beat.Instance, beat.Suspects)
+		a.Suspects.SetPeerCounts(now, beat.Instance, beat.Suspects)
 	})
 }
 
@@ -145,9 +145,9 @@
 func (d *Daemon) learnOwn(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range summaries {
-			a.Router.Learn(now, routeSummary(summary, now))
+			a.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
 	})
 }
@@ -156,7 +156,7 @@
 	return route.Summary{
 		Upstream:   s.Upstream,
 		Epoch:      s.Epoch,
-		FreePlaces: s.FreePlaces,
+		FreePlaces: s.FreeBatchSlots,
 		Backlog:    s.Backlog,
 		Resident:   s.Resident,
 		Healthy:    s.Healthy,
@@ -179,11 +179,11 @@
 		Stopping:       d.stopping.Load(),
 		OldestRevision: d.settlement.toTell(d.ledger.OldestRevision()),
 	}
-	if relayed, told := d.tracker.Relay(); relayed == revision {
+	if relayed, told := d.tracker.ReportBitmap(); relayed == revision {
 		beat.InForceMembers = told
 	}
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
-		beat.Suspects = a.Suspects.Own(time.Now())
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
+		beat.Suspects = a.Suspects.LocalCounts(time.Now())
 	})
 	return beat
 }
--- a/internal/entry/daemon/knowledge.go
+++ b/internal/entry/daemon/knowledge.go
@@ -31,7 +31,7 @@
 	failing := false
 	fresh := false
 	for pause.For(ctx, considerReading) {
-		if grounds := d.tracker.Grounds(); grounds.Fresh != fresh {
+		if grounds := d.tracker.Basis(); grounds.Fresh != fresh {
 			fresh = grounds.Fresh
 			d.logFreshness(grounds)
 		}
@@ -45,17 +45,17 @@
 			d.logReading(err)
 		}
 		if err != nil {
-			d.tracker.ReadFailed(began)
+			d.tracker.RecordReadFailure(began)
 			continue
 		}
-		d.tracker.ReadConfirmed(began, snapshot.Head.Revision)
+		d.tracker.RecordRead(began, snapshot.Head.Revision)
 	}
 	return nil
 }
 
-func (d *Daemon) logFreshness(grounds freshness.Grounds) {
+func (d *Daemon) logFreshness(grounds freshness.Basis) {
 	d.Log.Info().Bool("Fresh", grounds.Fresh).Int64("Revision", grounds.Revision).Int64("Highest", grounds.Highest).
-		Int64("ReadMillis", grounds.Read.Milliseconds()).Int64("MajorityMillis", grounds.Majority.Milliseconds()).
+		Int64("ReadMillis", grounds.ReadAge.Milliseconds()).Int64("MajorityMillis", grounds.MajorityAge.Milliseconds()).
 		Msg("Freshness")
 }
 
@@ -87,20 +87,20 @@
 // head, others are told that this instance goes by it, and rely on nothing older being acted on here.
 func (d *Daemon) install(ctx context.Context, before, now repository.Snapshot) {
 	d.ledger.Install(ledgerHead(d.self, now))
-	d.pipeline.Running.EndWithdrawn(now.Configuration)
+	d.pipeline.RunningRequests.CancelWithdrawn(now.Configuration)
 	d.pipeline.Pins.Install(now.Head)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetUpstreams(now.Configuration.Upstreams())
 	})
 	d.holding.SetAssignment(ctx, d.tenure(before, now))
-	d.detector.handle(membership.Installed{Head: now.Head})
+	d.detector.handle(membership.HeadInstalled{Head: now.Head})
 	d.departures.note(before.Head, now.Head)
 	d.leaving.keepMembers(now.Head)
 	d.settlement.install(now.Head)
 	d.directory.CloseExcept(addresses(now.Head))
 	// The read or swap that brought the head confirms it; without this, each change of the configuration
 	// would have callers refused until the next read.
-	d.tracker.ReadConfirmed(now.ConfirmedAt, now.Head.Revision)
+	d.tracker.RecordRead(now.ConfirmedAt, now.Head.Revision)
 	d.tracker.Install(trackerHead(now.Head))
 	d.Log.Info().Int64("Revision", now.Head.Revision).Int64("Epoch", now.Head.Epoch).
 		Int("Members", len(now.Head.Members)).Msg("RevisionInForceHere")
@@ -186,9 +186,9 @@
 			}
 		}
 		d.settlement.tell(d.identity(), d.settlement.toTell(d.ledger.OldestRevision()))
-		d.ledger.Settled(d.settlement.revision())
+		d.ledger.MarkSettled(d.settlement.revision())
 		if d.staleFor() > d.Settings.Limits.StaleStream {
-			d.pipeline.Running.EndAll()
+			d.pipeline.RunningRequests.CancelAll()
 		}
 	}
 	return nil
--- a/internal/entry/daemon/members.go
+++ b/internal/entry/daemon/members.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if found && listed.Address == d.self.Address {
-		d.tracker.Ended(trackerMember(listed))
+		d.tracker.MarkEnded(trackerMember(listed))
 	}
 	d.changeMembers(ctx, "MemberJoins", func(h head.Head) (head.Head, error) {
 		next, _, err := membership.Join(h, d.self, d.tracker.InForce())
@@ -121,7 +121,7 @@
 // do that are no members or hear somebody no more: the few may be just the ones that have died.
 func (d *Daemon) readsList() bool {
 	current := d.repository.Current().Head
-	if membership.Among(current, listDuty, d.self.Name, listReaders) {
+	if membership.HasDuty(current, listDuty, d.self.Name, listReaders) {
 		return true
 	}
 	if own, found := current.Member(d.self.Name); !found || own.Incarnation != d.self.Incarnation {
@@ -164,7 +164,7 @@
 			missing[m] = time.Now()
 		}
 		if time.Since(missing[m]) >= unlistedFor {
-			d.tracker.Ended(trackerMember(m))
+			d.tracker.MarkEnded(trackerMember(m))
 			gone = append(gone, m)
 		}
 	}
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -45,8 +45,8 @@
 	return f.daemon.directory.Release(ctx, member.Address, request)
 }
 
-// AskTokens asks a member for a loan.
-func (f fleet) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
+// BorrowTokens asks a member for a loan.
+func (f fleet) BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
 	return f.daemon.directory.BorrowTokens(ctx, member.Address, request)
 }
 
@@ -59,7 +59,7 @@
 }
 
 // PermitLoad asks the load broker.
-func (f fleet) PermitLoad(ctx context.Context, asked broker.Asked) (peer.LoadPermit, error) {
+func (f fleet) PermitLoad(ctx context.Context, asked broker.PermitRequested) (peer.LoadPermit, error) {
 	member, found := membership.Broker(f.daemon.repository.Current().Head)
 	if !found {
 		return peer.LoadPermit{}, errNoBroker
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -24,8 +24,8 @@
 func (h handler) Heartbeat(beat peer.Heartbeat) peer.Heartbeat {
 	d := h.daemon
 	sender := rate.Identity{Name: beat.Instance, Incarnation: beat.Incarnation}
-	d.ledger.Release(sender, beat.Returns)
-	d.tracker.Told(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
+	d.ledger.ApplyReturns(sender, beat.Returns)
+	d.tracker.RecordHeartbeat(freshness.Member{Name: beat.Instance, Incarnation: beat.Incarnation}, beat.Revision)
 	d.learn(time.Now(), beat)
 	ctx, cancel := context.WithTimeout(context.Background(), beatWithin)
 	defer cancel()
@@ -35,9 +35,9 @@
 // LendTokens lends what this instance's share has.
 func (h handler) LendTokens(request peer.TokenRequest) rate.Loan {
 	if request.SpareOnly {
-		return h.daemon.ledger.GiveSpare(request.Workspace, request.Tokens, request.Borrower)
+		return h.daemon.ledger.LendSpare(request.Workspace, request.Tokens, request.Borrower)
 	}
-	return h.daemon.ledger.Give(request.Workspace, request.Tokens, request.Borrower)
+	return h.daemon.ledger.Lend(request.Workspace, request.Tokens, request.Borrower)
 }
 
 // Place waits for a place on an upstream held here.
@@ -53,13 +53,13 @@
 // Pins lists this instance's pins on an upstream.
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
-	pins, noted := d.pipeline.Pins.On(upstream, epoch)
+	pins, noted := d.pipeline.Pins.ForUpstream(upstream, epoch)
 	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, EpochInstalled: noted, Pins: pins}
 }
 
 // PermitLoad asks the load broker here. Another instance may believe itself to be the broker as well
 // while heads change; then for some seconds the weight store is asked for a few loads more.
-func (h handler) PermitLoad(ctx context.Context, asked broker.Asked) peer.LoadPermit {
+func (h handler) PermitLoad(ctx context.Context, asked broker.PermitRequested) peer.LoadPermit {
 	return h.daemon.brokering.Permit(ctx, asked)
 }
 
--- a/internal/entry/daemon/settlement.go
+++ b/internal/entry/daemon/settlement.go
@@ -18,7 +18,7 @@
 }
 
 // certainlyEnded is how long after its removal nothing of a member's reservations and loans is left.
-const certainlyEnded = rate.Longest + rate.UseWithin + 10*time.Second
+const certainlyEnded = rate.MaxReservationTime + rate.LoanUseWindow + 10*time.Second
 
 // tell notes what a process told; only those that matter are kept.
 func (s *settlement) tell(member rate.Identity, oldest int64) {
--- a/internal/entry/daemon/top_ups.go
+++ b/internal/entry/daemon/top_ups.go
@@ -13,7 +13,7 @@
 
 func (d *Daemon) runTopUps(ctx context.Context) error {
 	for pause.For(ctx, topUpEvery) {
-		d.pipeline.TopUp(ctx)
+		d.pipeline.RebalanceTokens(ctx)
 	}
 	return nil
 }
--- a/internal/entry/holding/held_upstream.go
+++ b/internal/entry/holding/held_upstream.go
@@ -102,11 +102,11 @@
 	case holder.Refuse:
 		r.respond(u, waiterKey{instance: a.Instance, request: a.RequestID},
 			peer.Refused{Reason: a.Reason, RetryAfter: a.RetryAfter})
-	case holder.AskPins:
+	case holder.RequestPins:
 		r.requestPins(u, a)
 	case holder.OrderFence:
 		go r.runFence(u, a)
-	case holder.AskPermit:
+	case holder.RequestPermit:
 		go r.runPermit(u, a)
 	case holder.ReturnPermit:
 		go r.runEndLoad(u, a.Model, true)
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -82,7 +82,7 @@
 // ---------------------------------------------------------------------------------------------
 // Pins.
 
-func (r *Runner) requestPins(u *heldUpstream, action holder.AskPins) {
+func (r *Runner) requestPins(u *heldUpstream, action holder.RequestPins) {
 	for _, member := range r.assignment.Members {
 		go r.runRequestPins(u, member, action.Epoch)
 	}
@@ -94,7 +94,7 @@
 	for {
 		list, err := r.Peers.Pins(u.context, member, u.name(), epoch)
 		if err == nil && list.EpochInstalled && list.Incarnation == member.Incarnation {
-			r.sendEvent(u, holder.PinsTold{Instance: member.Name, Epoch: epoch, Pins: list.Pins})
+			r.sendEvent(u, holder.PinsReported{Instance: member.Name, Epoch: epoch, Pins: list.Pins})
 			return
 		}
 		if !pause.For(u.context, retryInterval) {
@@ -171,10 +171,10 @@
 			pins = append(pins, pin)
 		}
 	}
-	go r.runCancelStreams(u, pins, holder.InstanceGone{Instance: instance, Incarnation: incarnation})
+	go r.runCancelStreams(u, pins, holder.InstanceStopped{Instance: instance, Incarnation: incarnation})
 }
 
-func (r *Runner) runCancelStreams(u *heldUpstream, pins []holder.Pin, event holder.InstanceGone) {
+func (r *Runner) runCancelStreams(u *heldUpstream, pins []holder.Pin, event holder.InstanceStopped) {
 	for _, pin := range pins {
 		for u.engine.Cancel(u.context, pin.RequestID) != nil {
 			if !pause.For(u.context, retryInterval) {
@@ -192,7 +192,7 @@
 	if r.CheckFreshness() != nil {
 		return
 	}
-	err := u.engine.Role(u.context, roleServing, action.Fence)
+	err := u.engine.SetRole(u.context, roleServing, action.Fence)
 	if err == nil {
 		r.sendEvent(u, holder.FenceNoted(action))
 		return
@@ -200,10 +200,10 @@
 	r.Log.Warn().Str("Upstream", u.name()).Int64("Fence", action.Fence).Err(err).Msg("FenceNotNoted")
 }
 
-func (r *Runner) runPermit(u *heldUpstream, action holder.AskPermit) {
+func (r *Runner) runPermit(u *heldUpstream, action holder.RequestPermit) {
 	ctx, cancel := context.WithTimeout(u.context, action.Patience)
 	defer cancel()
-	permit, err := r.Peers.PermitLoad(ctx, broker.Asked{
+	permit, err := r.Peers.PermitLoad(ctx, broker.PermitRequested{
 		Load:      broker.Load{Upstream: u.name(), Model: action.Model},
 		Workspace: action.Workspace,
 		Demand:    action.Demand,
@@ -232,7 +232,7 @@
 }
 
 func (r *Runner) runLoad(u *heldUpstream, action holder.OrderLoad) {
-	ctx, cancel := context.WithTimeout(u.context, r.Settings.LongestOrder)
+	ctx, cancel := context.WithTimeout(u.context, r.Settings.OrderTimeout)
 	defer cancel()
 	start := time.Now()
 	evicted, err := r.load(ctx, u, action)
@@ -258,7 +258,7 @@
 			return false, err
 		}
 		if err := u.engine.Unload(ctx, r.order(action.Evict, action.Fence)); err != nil {
-			return errors.Is(err, engine.ErrUnknown), err
+			return errors.Is(err, engine.ErrOutcomeUnknown), err
 		}
 	}
 	if err := r.CheckFreshness(); err != nil {
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -24,7 +24,7 @@
 // Peers makes the calls of holders to the members, including this instance.
 type Peers interface {
 	Pins(ctx context.Context, member head.Member, upstream string, epoch int64) (peer.PinList, error)
-	PermitLoad(ctx context.Context, asked broker.Asked) (peer.LoadPermit, error)
+	PermitLoad(ctx context.Context, asked broker.PermitRequested) (peer.LoadPermit, error)
 	EndLoad(ctx context.Context, load broker.Load, unused bool) error
 }
 
@@ -32,7 +32,7 @@
 type Engine interface {
 	Load(ctx context.Context, order engine.Order) error
 	Unload(ctx context.Context, order engine.Order) error
-	Role(ctx context.Context, role string, fence int64) error
+	SetRole(ctx context.Context, role string, fence int64) error
 	Report(ctx context.Context) (engine.Report, error)
 	Cancel(ctx context.Context, id string) error
 }
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (b *backend) Role(context.Context, string, int64) error { return nil }
+func (b *backend) SetRole(context.Context, string, int64) error { return nil }
 
 func (b *backend) Report(context.Context) (engine.Report, error) {
 	return engine.Report{Incarnation: "e", Age: time.Hour}, nil
@@ -99,7 +99,7 @@
 	return list, nil
 }
 
-func (b *backend) PermitLoad(context.Context, broker.Asked) (peer.LoadPermit, error) {
+func (b *backend) PermitLoad(context.Context, broker.PermitRequested) (peer.LoadPermit, error) {
 	return peer.LoadPermit{Granted: true, UseWithin: time.Second}, nil
 }
 
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -74,8 +74,8 @@
 			continue
 		}
 		now := time.Now()
-		n.advice.With(func(a *serve.Advice) {
-			a.Suspects.Crashed(now, fingerprints)
+		n.advice.WithLock(func(a *serve.SharedState) {
+			a.Suspects.RecordCrash(now, fingerprints)
 			a.Pool.RecordCrash(now, id)
 		})
 		n.Log.Warn().Str("Upstream", id).Int("Requests", len(fingerprints)).Msg("UpstreamCrashed")
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -36,7 +36,7 @@
 
 	mutex        sync.Mutex
 	planner      residence.Planner
-	prefillQueue turn.Line
+	prefillQueue turn.Queue
 	changed      chan struct{}
 	fenced       bool
 	hasReport    bool
@@ -60,8 +60,8 @@
 	if service.Engine != nil {
 		h.planner.Engine = *service.Engine
 	}
-	n.advice.With(func(a *serve.Advice) {
-		h.planner.LoadGuess, h.planner.ReloadGuess = a.Pool.LoadTimes(upstream.Service)
+	n.advice.WithLock(func(a *serve.SharedState) {
+		h.planner.LoadEstimate, h.planner.ReloadEstimate = a.Pool.LoadTimes(upstream.Service)
 	})
 	return h
 }
@@ -73,11 +73,11 @@
 func (h *heldUpstream) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch step := h.next().(type) {
-		case residence.Give:
+		case residence.SendOrder:
 			h.sendOrder(ctx, step.Order)
-		case residence.Inspect:
+		case residence.FetchReport:
 			h.inspect(ctx)
-		case residence.Rest:
+		case residence.Idle:
 			h.pause(ctx, min(time.Until(step.Until), maxRest))
 		}
 		if h.isFenced() {
@@ -97,16 +97,16 @@
 func (h *heldUpstream) next() residence.Step {
 	now := time.Now()
 	var inUse []traffic.Adapter
-	h.node.advice.With(func(a *serve.Advice) { inUse = a.Pool.InUse(now, h.upstream.ID) })
+	h.node.advice.WithLock(func(a *serve.SharedState) { inUse = a.Pool.InUse(now, h.upstream.ID) })
 	var versions map[traffic.Adapter]int64
 	versions, h.declarations = h.node.view.newestSince(h.declarations)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.planner.Use(now, inUse)
+	h.planner.SetInUse(now, inUse)
 	for adapter, version := range versions {
 		h.planner.SetNewest(adapter, version)
 	}
-	return h.planner.Next(now)
+	return h.planner.NextStep(now)
 }
 
 func (h *heldUpstream) pause(ctx context.Context, wait time.Duration) {
@@ -137,12 +137,12 @@
 	h.node.scope.Tagged(map[string]string{"outcome": string(outcome)}).Counter("orders").Inc(1)
 	h.setUnreachable(unreachable)
 	h.mutex.Lock()
-	h.planner.Ordered(time.Now(), order, outcome)
+	h.planner.RecordOutcome(time.Now(), order, outcome)
 	h.fenced = outcome == residence.Fenced
 	h.notifyWaiters()
 	h.mutex.Unlock()
 	if outcome == residence.OtherUpstream {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
+		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
 	}
 	h.updateOwnPool()
 }
@@ -152,7 +152,7 @@
 	now := time.Now()
 	residency, known := h.residency(now)
 	if known {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordResidency(now, residency) })
+		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordResidency(now, residency) })
 	}
 }
 
@@ -167,14 +167,14 @@
 		Err(err).Msg("Report")
 	h.setUnreachable(unreachable)
 	h.mutex.Lock()
-	if err != nil || report.Born != 0 && h.upstream.Born != 0 && report.Born != h.upstream.Born {
+	if err != nil || report.Born != 0 && h.upstream.StartedMillis != 0 && report.Born != h.upstream.StartedMillis {
 		h.planner.ReportFailed(time.Now()) // no response, or the response of another upstream
 		h.mutex.Unlock()
 		h.updateOwnPool()
 		return
 	}
 	h.hasReport = true
-	h.planner.Learn(time.Now(), report)
+	h.planner.ApplyReport(time.Now(), report)
 	h.notifyWaiters()
 	h.mutex.Unlock()
 	h.updateOwnPool()
@@ -234,7 +234,7 @@
 
 // admitCold counts a request against the load that the upstream can take while it is cold.
 func (h *heldUpstream) admitCold() (wait time.Duration, admitted bool) {
-	h.node.advice.With(func(a *serve.Advice) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
+	h.node.advice.WithLock(func(a *serve.SharedState) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
 	return wait, admitted
 }
 
@@ -243,7 +243,7 @@
 func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.PrepareResult {
 	h.mutex.Lock()
 	now := time.Now()
-	if version, has := h.planner.Has(now, request.Adapter, request.Version); has {
+	if version, has := h.planner.Reserve(now, request.Adapter, request.Version); has {
 		h.mutex.Unlock()
 		return mesh.Loaded{Version: version}
 	}
@@ -255,15 +255,15 @@
 		h.mutex.Unlock()
 		return mesh.Busy{}
 	}
-	if wait, tooLate := h.planner.Hopeless(now, request.Adapter, deadline); tooLate {
+	if wait, tooLate := h.planner.WouldBeLate(now, request.Adapter, deadline); tooLate {
 		h.mutex.Unlock()
 		return mesh.Busy{RetryAfter: wait}
 	}
-	h.planner.Want(now, request.Adapter, request.Version, request.Priority, now.Add(request.OnTime))
+	h.planner.AddWaiter(now, request.Adapter, request.Version, request.Priority, now.Add(request.OnTime))
 	h.mutex.Unlock()
 	prepared := h.awaitAdapter(ctx, request, deadline)
 	h.mutex.Lock()
-	h.planner.Unwant(request.Adapter)
+	h.planner.RemoveWaiter(request.Adapter)
 	h.mutex.Unlock()
 	return prepared
 }
@@ -274,8 +274,8 @@
 	for {
 		h.mutex.Lock()
 		now := time.Now()
-		version, has := h.planner.Has(now, request.Adapter, request.Version)
-		wait, tooLate := h.planner.Hopeless(now, request.Adapter, deadline)
+		version, has := h.planner.Reserve(now, request.Adapter, request.Version)
+		wait, tooLate := h.planner.WouldBeLate(now, request.Adapter, deadline)
 		changed := h.changed
 		fenced := h.fenced
 		unreachable := h.unreachable
@@ -307,7 +307,7 @@
 func (h *heldUpstream) hasWaitingRequests() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.planner.HasWants()
+	return h.planner.HasWaiters()
 }
 
 // wakeLoop makes the loop query the planner again.
@@ -329,7 +329,7 @@
 		Upstream: h.upstream.ID, Fence: h.fence, Version: now.Sub(h.node.startedAt).Microseconds(), Unreachable: h.unreachable,
 	}
 	residency.Loaded, residency.FreeSlots = h.planner.Residents(now)
-	residency.SlotWait = h.planner.Wait(now, traffic.Adapter{})
+	residency.SlotWait = h.planner.ExpectedWait(now, traffic.Adapter{})
 	if load, reload, seen := h.planner.LoadTimes(); seen {
 		residency.LoadTime = load
 		residency.ReloadTime = reload
--- a/internal/entry/node/link_end.go
+++ b/internal/entry/node/link_end.go
@@ -215,7 +215,7 @@
 func (n *Node) CatchUp(after int64) replica.Batch {
 	n.view.mutex.Lock()
 	defer n.view.mutex.Unlock()
-	batch := n.view.replica.Since(after)
+	batch := n.view.replica.ChangesSince(after)
 	if !batch.Snapshot {
 		batch.Items = slices.DeleteFunc(batch.Items, func(item replica.Item) bool {
 			return n.view.urgentRevisions[item.Key] <= after
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -104,7 +104,7 @@
 func (n *Node) loadReport(holder string) mesh.LoadReport {
 	holders := n.view.liveHolders()
 	report := mesh.LoadReport{Instance: n.self.Name}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		report.Loads = a.Pool.Report(func(upstream string) bool { return holders[upstream] == holder })
 	})
 	return report
@@ -113,7 +113,7 @@
 // applyHeldReport applies the response of a holder.
 func (n *Node) applyHeldReport(held mesh.HeldReport) {
 	now := time.Now()
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		for _, residency := range held.Residencies {
 			a.Pool.RecordResidency(now, residency)
 		}
@@ -128,7 +128,7 @@
 	now := time.Now()
 	n.overlay.recordContact(report.Instance, now)
 	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Loads: make(map[string]pool.Load)}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		a.Pool.RecordPeerReport(now, report.Instance, report.Loads)
 		for _, residency := range held.Residencies {
 			held.Loads[residency.Upstream] = a.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
@@ -149,7 +149,7 @@
 func (n *Node) refreshReports() {
 	holders := n.view.liveHolders()
 	var loads map[string]pool.Load
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] != "" })
 	})
 	for upstream := range loads {
@@ -163,13 +163,13 @@
 // holder. The store view is locked. Without the report the new holder would treat adapters in use as idle and evict
 // them.
 func (n *Node) reportToNewHolder(key string) {
-	upstream, found := roster.HeldUpstream(key)
+	upstream, found := roster.UpstreamOfHolderKey(key)
 	holder, held := n.view.roster.Holder(upstream)
 	if !found || !held || holder.Instance == n.self.Name {
 		return
 	}
 	inFlight := false
-	n.advice.With(func(a *serve.Advice) { inFlight = a.Pool.HasOwnLoad(upstream) })
+	n.advice.WithLock(func(a *serve.SharedState) { inFlight = a.Pool.HasOwnLoad(upstream) })
 	if inFlight {
 		n.scheduleReport(holder.Instance)
 	}
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -17,12 +17,12 @@
 
 // setSharedLimits sets the shares of this instance in fleet-wide limits, for a number of other instances.
 func (n *Node) setSharedLimits(others int) {
-	parts := roster.Parts(others)
+	parts := roster.LimitParts(others)
 	slack := n.current.Load().Retries.Slack
 	interval := n.overlay.currentStateInterval()
 	loadsFor := time.Duration(loadValidHeartbeats * float64(interval))
-	n.advice.With(func(a *serve.Advice) {
-		a.Retries.Bound(slack / parts)
+	n.advice.WithLock(func(a *serve.SharedState) {
+		a.Retries.SetMax(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
 		a.Pool.Settings.HeartbeatInterval = interval
 		a.Pool.Settings.HolderLoadTTL = loadsFor
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -20,7 +20,7 @@
 	general time.Time
 	held    time.Time
 	// spent is the admitted usage when it was last sent to the others.
-	spent   quota.Spent
+	spent   quota.Totals
 	spentAt time.Time
 	// loadedFingerprint is a fingerprint of the models loaded at the held upstreams at that time.
 	loadedFingerprint uint64
@@ -83,9 +83,9 @@
 		return
 	}
 	n.refreshed.spentAt = now
-	var spent quota.Spent
-	n.advice.With(func(a *serve.Advice) { spent = a.Ledger.Own() })
-	recent := spent.Since(n.refreshed.spent)
+	var spent quota.Totals
+	n.advice.WithLock(func(a *serve.SharedState) { spent = a.Ledger.OwnTotals() })
+	recent := spent.ChangedSince(n.refreshed.spent)
 	n.refreshed.spent = spent
 	if delivery != spentWithState && len(recent) > 0 {
 		n.setPart(gossip.PartSpent, delivery == spentImmediate, func() ([]byte, error) {
@@ -113,9 +113,9 @@
 		StoreUnreachable: n.storeUnreachable.Load(),
 	}
 	holders := n.view.liveHolders()
-	n.advice.With(func(a *serve.Advice) {
-		state.Spent = a.Ledger.Own()
-		state.Suspects = a.Suspects.Own(now)
+	n.advice.WithLock(func(a *serve.SharedState) {
+		state.Spent = a.Ledger.OwnTotals()
+		state.Suspects = a.Suspects.LocalCounts(now)
 		state.Evidence = a.Pool.Evidence()
 		state.Loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
 	})
@@ -125,7 +125,7 @@
 // heldReport returns the state of the held upstreams that is sent to all others.
 func (n *Node) heldReport(now time.Time, residencies []pool.Residency) mesh.HeldReport {
 	held := mesh.HeldReport{Residencies: residencies, Loads: make(map[string]pool.Load)}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		for _, residency := range residencies {
 			held.Loads[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
 		}
@@ -170,11 +170,11 @@
 	}
 	n.overlay.setStoreUnreachable(now, record.Instance, state.StoreUnreachable)
 	outdated := !n.overlay.recordSpentVersion(record)
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		if !outdated {
-			a.Ledger.Hear(now, record.Instance, state.Incarnation, state.Spent)
+			a.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
 		}
-		a.Suspects.Merge(now, record.Instance, state.Suspects)
+		a.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
 		a.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
 		a.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
 	})
@@ -189,8 +189,8 @@
 	if err != nil || !n.overlay.recordSpentVersion(record) {
 		return err
 	}
-	n.advice.With(func(a *serve.Advice) {
-		a.Ledger.HearSome(now, record.Instance, state.Incarnation, state.Spent)
+	n.advice.WithLock(func(a *serve.SharedState) {
+		a.Ledger.MergePartialTotals(now, record.Instance, state.Incarnation, state.Spent)
 	})
 	return nil
 }
@@ -204,7 +204,7 @@
 	if !direct {
 		at = now.Add(-assumedRelayDelay)
 	}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		for _, residency := range held.Residencies {
 			a.Pool.RecordResidency(now, residency)
 		}
--- a/internal/entry/node/state_exchange_test.go
+++ b/internal/entry/node/state_exchange_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(heartbeatInterval)
 		n.refreshState(time.Now(), false)
 		is.Equal(len(n.overlay.table.TakeDue(time.Now(), link, "")), 0) // no part is due yet
-		h.planner.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{
+		h.planner.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{
 			{Name: "m", Version: 1, Adapters: []traffic.LoadedAdapter{{Name: "a", Version: 1}}},
 		}})
 		n.refreshState(time.Now(), false)
--- a/internal/entry/pipeline/meter_charge_test.go
+++ b/internal/entry/pipeline/meter_charge_test.go
@@ -26,11 +26,11 @@
 		self := freshness.Member{Name: "i", Incarnation: "1", Since: 1}
 		identity := rate.Identity{Name: "i", Incarnation: "1"}
 		tracker := &freshness.Tracker{Self: self}
-		ledger := &rate.Ledger{Self: identity, Knowledge: tracker}
+		ledger := &rate.Ledger{Self: identity, Freshness: tracker}
 		members := []rate.Identity{identity}
 		install := func(head rate.Head) {
 			ledger.Install(head)
-			tracker.ReadConfirmed(time.Now(), head.Revision)
+			tracker.RecordRead(time.Now(), head.Revision)
 			tracker.Install(freshness.Head{Revision: head.Revision, Epoch: 1, Members: []freshness.Member{self}})
 		}
 		install(rate.Head{Revision: 1, Since: 1, Members: members})
--- a/internal/entry/pipeline/meter_test.go
+++ b/internal/entry/pipeline/meter_test.go
@@ -33,7 +33,7 @@
 func reservationOf(t testing.TB, tokens float64, members int, settled bool) *rate.Reservation {
 	t.Helper()
 	tracker := &freshness.Tracker{Self: freshness.Member{Name: "i0", Incarnation: "1", Since: 1}, Bound: time.Hour}
-	ledger := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Knowledge: tracker}
+	ledger := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Freshness: tracker}
 	heads := freshness.Head{Revision: 1, Epoch: 1}
 	limits := rate.Head{Revision: 2, Since: 1, Limits: []rate.Limit{{Workspace: "w", Rate: 1e12, Burst: 1e12}}}
 	for i := range members {
@@ -42,16 +42,16 @@
 		limits.Members = append(limits.Members, rate.Identity{Name: member.Name, Incarnation: "1"})
 	}
 	tracker.Install(heads)
-	tracker.ReadConfirmed(time.Now(), 1)
+	tracker.RecordRead(time.Now(), 1)
 	for _, member := range heads.Members {
-		tracker.Replied(freshness.Reply{Member: member, Asked: time.Now(), Revision: 1, ConfirmedAge: -1})
+		tracker.RecordReply(freshness.Reply{Member: member, SentAt: time.Now(), Revision: 1, ConfirmedAge: -1})
 	}
 	// The bucket of a workspace that is declared while the process runs starts full.
 	ledger.Install(rate.Head{Revision: 1, Since: 1, Members: limits.Members})
 	tracker.Install(freshness.Head{Revision: 2, Epoch: 1, Members: heads.Members})
-	tracker.ReadConfirmed(time.Now(), 2)
+	tracker.RecordRead(time.Now(), 2)
 	for _, member := range heads.Members {
-		tracker.Replied(freshness.Reply{Member: member, Asked: time.Now(), Revision: 2, ConfirmedAge: -1})
+		tracker.RecordReply(freshness.Reply{Member: member, SentAt: time.Now(), Revision: 2, ConfirmedAge: -1})
 	}
 	ledger.Install(limits)
 	reservation, err := ledger.Reserve("w", tokens)
@@ -61,7 +61,7 @@
 	if !settled {
 		heads.Revision, limits.Revision = 3, 3
 		tracker.Install(heads)
-		tracker.ReadConfirmed(time.Now(), 3)
+		tracker.RecordRead(time.Now(), 3)
 		ledger.Install(limits)
 	}
 	return reservation
--- a/internal/entry/pipeline/tokens.go
+++ b/internal/entry/pipeline/tokens.go
@@ -28,7 +28,7 @@
 // reserve takes the most a request may cost, or refuses. The caller must settle the reservation.
 func (p *Pipeline) reserve(ctx context.Context, workspace string, tokens float64) (*rate.Reservation, error) {
 	reservation, err := p.Ledger.Reserve(workspace, tokens)
-	var short *rate.ShortError
+	var short *rate.InsufficientTokensError
 	if errors.As(err, &short) {
 		asks := p.borrow(ctx, workspace, tokens)
 		reservation, err = p.Ledger.Reserve(workspace, tokens)
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, borrowWithin)
 	defer cancel()
 	for range p.Current().Head.Members {
-		plan := p.Ledger.Plan(workspace, tokens)
+		plan := p.Ledger.PlanBorrowing(workspace, tokens)
 		if len(plan) == 0 || ctx.Err() != nil {
 			return asks
 		}
@@ -67,36 +67,36 @@
 	return asks
 }
 
-func (p *Pipeline) logShort(workspace string, tokens float64, short *rate.ShortError, asks askCounts) {
+func (p *Pipeline) logShort(workspace string, tokens float64, short *rate.InsufficientTokensError, asks askCounts) {
 	p.Log.Info().Str("Workspace", workspace).Float64("Tokens", tokens).Float64("Missing", short.Missing).
-		Float64("Level", short.Level).Float64("Own", short.Own).Float64("Elsewhere", short.Elsewhere).
+		Float64("Level", short.Level).Float64("Own", short.OwnCapacity).Float64("Elsewhere", short.PeerTokens).
 		Int("PendingShares", short.PendingShares).Int("Members", len(p.Current().Head.Members)).
 		Int("Asks", asks.made).Int("AsksFailed", asks.failed).
 		Int64("RetryAfterMillis", short.RetryAfter.Milliseconds()).Msg("TokensShort")
 }
 
-// TopUp balances the buckets of the workspaces in use, apart from any request. The daemon calls it about
+// RebalanceTokens balances the buckets of the workspaces in use, apart from any request. The daemon calls it about
 // four times a second.
-func (p *Pipeline) TopUp(ctx context.Context) {
-	for _, ask := range p.Ledger.TopUps() {
+func (p *Pipeline) RebalanceTokens(ctx context.Context) {
+	for _, ask := range p.Ledger.PlanRebalancing() {
 		p.ask(ctx, ask)
 	}
 }
 
 // ask asks a peer for tokens, and reports whether it answered.
-func (p *Pipeline) ask(ctx context.Context, ask rate.Ask) (answered bool) {
+func (p *Pipeline) ask(ctx context.Context, ask rate.BorrowRequest) (answered bool) {
 	member, found := memberOf(p.Current().Head, ask.Peer)
 	if !found {
-		p.Ledger.Receive(ask, rate.Loan{Lender: ask.Peer})
+		p.Ledger.ReceiveLoan(ask, rate.Loan{Lender: ask.Peer})
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	loan, err := p.Fleet.AskTokens(ctx, member, peer.TokenRequest{
+	loan, err := p.Fleet.BorrowTokens(ctx, member, peer.TokenRequest{
 		Workspace: ask.Workspace,
 		Tokens:    ask.Tokens,
 		Borrower:  p.Self,
-		SpareOnly: ask.Spare,
+		SpareOnly: ask.SpareOnly,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
@@ -104,7 +104,7 @@
 		// from asking it again at once.
 		loan = rate.Loan{Lender: ask.Peer}
 	}
-	p.Ledger.Receive(ask, loan)
+	p.Ledger.ReceiveLoan(ask, loan)
 	return err == nil
 }
 
@@ -115,8 +115,8 @@
 
 // rateRefusal turns the ledger's refusal into the caller's, and counts the wrongful ones.
 func (p *Pipeline) rateRefusal(workspace string, err error) error {
-	var short *rate.ShortError
-	var large *rate.TooLargeError
+	var short *rate.InsufficientTokensError
+	var large *rate.ExceedsBurstError
 	switch {
 	case errors.As(err, &short):
 		p.Scope.Tagged(map[string]string{"workspace": workspace}).Counter("refused_rate").Inc(1)
--- a/internal/fleet/freshness/freshness.go
+++ b/internal/fleet/freshness/freshness.go
@@ -28,8 +28,8 @@
 // promised. No measured reason yet for the exact figure.
 const Bound = 3 * time.Second
 
-// ReadEvery is how often an instance that reads the store does so when a Tracker states none.
-const ReadEvery = time.Second
+// DefaultReadInterval is how often an instance that reads the store does so when a Tracker states none.
+const DefaultReadInterval = time.Second
 
 // DefaultReaders is how many instances read the store while all goes well: one may be dead and another
 // frozen. Their number does not grow with the fleet, so the store's calls do not either.
@@ -64,7 +64,7 @@
 // negative when it does not know.
 type Reply struct {
 	Member       Member
-	Asked        time.Time
+	SentAt       time.Time
 	Revision     int64
 	ConfirmedAge time.Duration
 }
@@ -74,7 +74,7 @@
 	Member   Member
 	Revision int64
 	Since    time.Time
-	Told     bool
+	Reported bool
 }
 
 // StaleError refuses work because the instance's knowledge is too old, or because it is no member.
--- a/internal/fleet/freshness/fuzz_test.go
+++ b/internal/fleet/freshness/fuzz_test.go
@@ -124,7 +124,7 @@
 func (w *world) read(n *node) func() bool {
 	began, seen := time.Now(), w.stored()
 	if !w.readable(n) {
-		n.tracker.ReadFailed(began)
+		n.tracker.RecordReadFailure(began)
 		return func() bool { return true }
 	}
 	return w.toNode(n, func() {
@@ -133,24 +133,24 @@
 			f.Members = append(f.Members, freshness.Member{Name: m.Name, Incarnation: m.Incarnation, Since: m.Since})
 		}
 		n.tracker.Install(f)
-		n.tracker.ReadConfirmed(began, seen.Revision)
+		n.tracker.RecordRead(began, seen.Revision)
 	})
 }
 
 func (w *world) beat(from, to *node) func() bool {
 	asked := time.Now()
-	hearsay, told := from.tracker.Relay()
+	hearsay, told := from.tracker.ReportBitmap()
 	return w.toNode(to, func() {
-		to.tracker.Relayed(hearsay, told)
+		to.tracker.MergeReportBitmap(hearsay, told)
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			Asked:  asked, Revision: revision, ConfirmedAge: age,
+			SentAt: asked, Revision: revision, ConfirmedAge: age,
 		}
-		answered, answeredTold := to.tracker.Relay()
+		answered, answeredTold := to.tracker.ReportBitmap()
 		w.waiting = append(w.waiting, w.toNode(from, func() {
-			from.tracker.Replied(reply)
-			from.tracker.Relayed(answered, answeredTold)
+			from.tracker.RecordReply(reply)
+			from.tracker.MergeReportBitmap(answered, answeredTold)
 		}))
 	})
 }
--- a/internal/fleet/freshness/in_force.go
+++ b/internal/fleet/freshness/in_force.go
@@ -18,7 +18,7 @@
 	if found && known.Revision >= revision {
 		return
 	}
-	t.told[m.identity()] = Status{Member: m, Revision: revision, Since: now, Told: true}
+	t.told[m.identity()] = Status{Member: m, Revision: revision, Since: now, Reported: true}
 }
 
 // noteReplaced takes a listed member for ended when another incarnation of its name answered in its
@@ -27,7 +27,7 @@
 // Only questions asked under the installed head count: a late answer of the old process must not speak
 // for the new one.
 func (t *Tracker) noteReplaced(reply Reply) {
-	if !reply.Asked.After(t.installed) {
+	if !reply.SentAt.After(t.installed) {
 		return
 	}
 	for _, m := range t.head.Members {
--- a/internal/fleet/freshness/reading.go
+++ b/internal/fleet/freshness/reading.go
@@ -24,19 +24,19 @@
 	now := time.Now()
 	since := elapsed(t.lastRead, now)
 	if t.highest > t.head.Revision && t.readSucceed {
-		return since >= t.readEvery()/behindPace
+		return since >= t.readInterval()/behindPace
 	}
 	if t.highest > t.head.Revision || t.isReader() {
-		return since >= t.readEvery()
+		return since >= t.readInterval()
 	}
 	if elapsed(t.read, now) < time.Duration(float64(t.bound())/3*t.pace()) {
 		return false
 	}
 	if t.readSucceed {
-		return since >= t.readEvery()
+		return since >= t.readInterval()
 	}
 	spread := time.Duration(len(t.head.Members)) * time.Second / fallbackReads
-	return since >= max(t.readEvery(), time.Duration(float64(spread)*t.pace()))
+	return since >= max(t.readInterval(), time.Duration(float64(spread)*t.pace()))
 }
 
 // isReader ranks the members by rendezvous hashing. An instance that is no member yet reads for itself.
--- a/internal/fleet/freshness/relay.go
+++ b/internal/fleet/freshness/relay.go
@@ -13,8 +13,8 @@
 // bitsInByte is how many members one byte of a list stands for.
 const bitsInByte = 8
 
-// Relay returns the installed revision and, a bit for each member in the head's order, who has told it.
-func (t *Tracker) Relay() (revision int64, told []byte) {
+// ReportBitmap returns the installed revision and, a bit for each member in the head's order, who has told it.
+func (t *Tracker) ReportBitmap() (revision int64, told []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	told = make([]byte, (len(t.head.Members)+bitsInByte-1)/bitsInByte)
@@ -26,8 +26,8 @@
 	return t.head.Revision, told
 }
 
-// Relayed takes in what another member's Relay returned.
-func (t *Tracker) Relayed(revision int64, told []byte) {
+// MergeReportBitmap takes in what another member's Relay returned.
+func (t *Tracker) MergeReportBitmap(revision int64, told []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if revision != t.head.Revision {
--- a/internal/fleet/freshness/store_budget_test.go
+++ b/internal/fleet/freshness/store_budget_test.go
@@ -111,10 +111,10 @@
 	}
 	w.count(1)
 	if w.down {
-		m.tracker.ReadFailed(time.Now())
+		m.tracker.RecordReadFailure(time.Now())
 		return
 	}
-	m.tracker.ReadConfirmed(time.Now(), w.revision)
+	m.tracker.RecordRead(time.Now(), w.revision)
 	if m.revision < w.revision {
 		w.count(readsOfChange - 1)
 		w.install(m)
@@ -137,13 +137,13 @@
 		}
 		w.pings++
 		asker, _ := m.tracker.Confirmed()
-		w.members[peer].tracker.Told(m.self, asker)
-		w.members[peer].tracker.Relayed(m.tracker.Relay())
+		w.members[peer].tracker.RecordHeartbeat(m.self, asker)
+		w.members[peer].tracker.MergeReportBitmap(m.tracker.ReportBitmap())
 		revision, age := w.members[peer].tracker.Confirmed()
-		m.tracker.Replied(freshness.Reply{
-			Member: w.members[peer].self, Asked: time.Now(), Revision: revision, ConfirmedAge: age,
+		m.tracker.RecordReply(freshness.Reply{
+			Member: w.members[peer].self, SentAt: time.Now(), Revision: revision, ConfirmedAge: age,
 		})
-		m.tracker.Relayed(w.members[peer].tracker.Relay())
+		m.tracker.MergeReportBitmap(w.members[peer].tracker.ReportBitmap())
 	}
 }
 
--- a/internal/fleet/freshness/told_test.go
+++ b/internal/fleet/freshness/told_test.go
@@ -22,9 +22,9 @@
 		tracker := &freshness.Tracker{Self: self}
 		tracker.Install(freshness.Head{Revision: 5, Epoch: 1, Members: []freshness.Member{self, listed}})
 		time.Sleep(time.Second)
-		tracker.Told(namesake, 5)
+		tracker.RecordHeartbeat(namesake, 5)
 		is.True(!tracker.InForceEverywhere(5))
-		tracker.Told(listed, 5)
+		tracker.RecordHeartbeat(listed, 5)
 		is.True(tracker.InForceEverywhere(5))
 	})
 }
--- a/internal/fleet/freshness/tracker.go
+++ b/internal/fleet/freshness/tracker.go
@@ -20,8 +20,8 @@
 	Self Member
 	// Bound is how long a confirmation lasts, and must be equal on all instances.
 	Bound time.Duration
-	// ReadEvery is the time between two reads of the store by one that reads.
-	ReadEvery time.Duration
+	// ReadInterval is the time between two reads of the store by one that reads.
+	ReadInterval time.Duration
 	// Readers is how many instances read while all goes well.
 	Readers int
 
@@ -107,8 +107,8 @@
 	t.review(time.Now())
 }
 
-// ReadConfirmed says that a read of the store which began at that time showed the revision as newest.
-func (t *Tracker) ReadConfirmed(began time.Time, revision int64) {
+// RecordRead says that a read of the store which began at that time showed the revision as newest.
+func (t *Tracker) RecordRead(began time.Time, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lastRead, t.readSucceed = began, true
@@ -116,39 +116,39 @@
 	t.review(time.Now())
 }
 
-// ReadFailed says that a read of the store which began at that time brought nothing.
-func (t *Tracker) ReadFailed(began time.Time) {
+// RecordReadFailure says that a read of the store which began at that time brought nothing.
+func (t *Tracker) RecordReadFailure(began time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lastRead, t.readSucceed = began, false
 }
 
-// Replied says what a peer answered to a heartbeat. The daemon asks every member; an answer counts for
+// RecordReply says what a peer answered to a heartbeat. The daemon asks every member; an answer counts for
 // the process that gave it and for no other of the same name.
-func (t *Tracker) Replied(reply Reply) {
+func (t *Tracker) RecordReply(reply Reply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	t.highest = max(t.highest, reply.Revision)
 	if reply.ConfirmedAge >= 0 {
-		t.confirm(reply.Asked.Add(-reply.ConfirmedAge), reply.Revision)
+		t.confirm(reply.SentAt.Add(-reply.ConfirmedAge), reply.Revision)
 	}
 	t.noteReplaced(reply)
 	id := reply.Member.identity()
 	if t.concerns(id) {
 		t.tell(reply.Member, reply.Revision, now)
-		if known := t.asked[id]; reply.Asked.After(known.asked) {
-			t.asked[id] = question{asked: reply.Asked, revision: reply.Revision}
+		if known := t.asked[id]; reply.SentAt.After(known.asked) {
+			t.asked[id] = question{asked: reply.SentAt, revision: reply.Revision}
 		}
 		t.extendByMajority(now)
 	}
 	t.review(now)
 }
 
-// Told says that a process told, unasked, which revision it goes by. That helps the revision into force
+// RecordHeartbeat says that a process told, unasked, which revision it goes by. That helps the revision into force
 // everywhere and shows that there is a newer one. It confirms nothing, since it may have been on its way
 // for long, and it says nothing of another process of the same name, which may be anywhere.
-func (t *Tracker) Told(member Member, revision int64) {
+func (t *Tracker) RecordHeartbeat(member Member, revision int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.highest = max(t.highest, revision)
@@ -159,11 +159,11 @@
 	t.review(now)
 }
 
-// Ended says that a process has certainly ended, so that it counts as having told every revision. The
+// MarkEnded says that a process has certainly ended, so that it counts as having told every revision. The
 // caller must be sure: a process that is only silent may be frozen, and would be fresh again by a
 // majority of its like. Without this a fleet that was restarted whole could not make a single change
 // of members, since the majority of the old head will never answer.
-func (t *Tracker) Ended(member Member) {
+func (t *Tracker) MarkEnded(member Member) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tell(member, math.MaxInt64, time.Now())
@@ -183,37 +183,37 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.isMember(t.Self.identity()) {
-		return &StaleError{Revision: t.head.Revision, NotMember: true, RetryAfter: t.readEvery()}
+		return &StaleError{Revision: t.head.Revision, NotMember: true, RetryAfter: t.readInterval()}
 	}
 	age := elapsed(t.confirmedAt(), now)
 	if age >= t.bound() {
-		return &StaleError{Revision: t.head.Revision, Age: age, RetryAfter: t.readEvery()}
+		return &StaleError{Revision: t.head.Revision, Age: age, RetryAfter: t.readInterval()}
 	}
 	return nil
 }
 
-// Grounds is what an instance's freshness rests on.
-type Grounds struct {
+// Basis is what an instance's freshness rests on.
+type Basis struct {
 	// Fresh tells whether the knowledge may be used.
 	Fresh bool
 	// Revision is the installed one, and Highest the highest that any peer has reported.
 	Revision int64
 	Highest  int64
-	// Read and Majority are how long ago a read of the store and a majority of members confirmed the revision; negative
+	// ReadAge and Majority are how long ago a read of the store and a majority of members confirmed the revision; negative
 	// if never.
-	Read     time.Duration
-	Majority time.Duration
+	ReadAge     time.Duration
+	MajorityAge time.Duration
 }
 
-// Grounds returns what freshness rests on now, for the log.
-func (t *Tracker) Grounds() Grounds {
+// Basis returns what freshness rests on now, for the log.
+func (t *Tracker) Basis() Basis {
 	fresh := t.Fresh() == nil
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	return Grounds{
+	return Basis{
 		Fresh: fresh, Revision: t.head.Revision, Highest: t.highest,
-		Read: ageOf(t.read, now), Majority: ageOf(t.quorum, now),
+		ReadAge: ageOf(t.read, now), MajorityAge: ageOf(t.quorum, now),
 	}
 }
 
@@ -292,7 +292,7 @@
 	list := make([]Status, 0, len(t.head.Members))
 	for _, m := range t.head.Members {
 		status, found := t.told[m.identity()]
-		status.Member, status.Told = m, found
+		status.Member, status.Reported = m, found
 		list = append(list, status)
 	}
 	return list
@@ -328,11 +328,11 @@
 	return Bound
 }
 
-func (t *Tracker) readEvery() time.Duration {
-	if t.ReadEvery > 0 {
-		return t.ReadEvery
+func (t *Tracker) readInterval() time.Duration {
+	if t.ReadInterval > 0 {
+		return t.ReadInterval
 	}
-	return ReadEvery
+	return DefaultReadInterval
 }
 
 func (t *Tracker) readers() int {
--- a/internal/fleet/freshness/tracker_test.go
+++ b/internal/fleet/freshness/tracker_test.go
@@ -26,7 +26,7 @@
 }
 
 func reply(m freshness.Member, asked time.Time, revision int64) freshness.Reply {
-	return freshness.Reply{Member: m, Asked: asked, Revision: revision, ConfirmedAge: -1}
+	return freshness.Reply{Member: m, SentAt: asked, Revision: revision, ConfirmedAge: -1}
 }
 
 // A peer's answer spent longer in the network than knowledge lasts. It tells what the peer knew when it
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker, asked := is.New(t), three(), time.Now()
 		time.Sleep(bound - time.Second)
-		tracker.Replied(reply(member("b", 2), asked, 3))
+		tracker.RecordReply(reply(member("b", 2), asked, 3))
 		is.NoErr(tracker.Fresh())
 		time.Sleep(time.Second)
 		is.True(tracker.Fresh() != nil)
@@ -51,15 +51,15 @@
 		tracker.Install(freshness.Head{
 			Revision: 4, Epoch: 4, Members: []freshness.Member{member("a", 1), member("c", 3)},
 		})
-		tracker.Replied(reply(member("c", 3), time.Now(), 4))
+		tracker.RecordReply(reply(member("c", 3), time.Now(), 4))
 		time.Sleep(bound + bound/10)
 		is.True(tracker.InForceEverywhere(4))
 		renewed := freshness.Member{Name: "b", Incarnation: "b#2", Since: 5}
 		tracker.Install(freshness.Head{
 			Revision: 5, Epoch: 5, Members: []freshness.Member{member("a", 1), renewed, member("c", 3)},
 		})
-		tracker.Replied(reply(member("c", 3), time.Now(), 5))
-		tracker.Replied(reply(member("b", 2), asked, 3))
+		tracker.RecordReply(reply(member("c", 3), time.Now(), 5))
+		tracker.RecordReply(reply(member("b", 2), asked, 3))
 		is.True(!tracker.InForceEverywhere(5))
 	})
 }
@@ -69,7 +69,7 @@
 func TestWaitInForceWithOneFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker, began := is.New(t), three(), time.Now()
-		tracker.Replied(reply(member("b", 2), time.Now(), 3))
+		tracker.RecordReply(reply(member("b", 2), time.Now(), 3))
 		is.NoErr(tracker.WaitInForce(context.Background(), 3))
 		waited := time.Since(began)
 		is.True(waited > bound && waited < bound+bound/10)
@@ -115,24 +115,24 @@
 	for _, m := range members {
 		tracker := &freshness.Tracker{Self: m, Bound: bound}
 		tracker.Install(freshness.Head{Revision: 1, Epoch: 1, Members: members})
-		tracker.ReadConfirmed(time.Now(), 1)
+		tracker.RecordRead(time.Now(), 1)
 		trackers = append(trackers, tracker)
 	}
 	newest := time.Now()
 	for range seconds * 4 {
 		time.Sleep(beatEvery)
 		for i, tracker := range trackers {
-			peer := freshness.Reply{Member: members[(i+1)%instances], Asked: time.Now(), Revision: 1, ConfirmedAge: time.Since(newest)}
-			tracker.Replied(peer)
+			peer := freshness.Reply{Member: members[(i+1)%instances], SentAt: time.Now(), Revision: 1, ConfirmedAge: time.Since(newest)}
+			tracker.RecordReply(peer)
 			if !tracker.ShouldReadStore() {
 				continue
 			}
 			reads++
 			if down {
-				tracker.ReadFailed(time.Now())
+				tracker.RecordReadFailure(time.Now())
 				continue
 			}
-			tracker.ReadConfirmed(time.Now(), 1)
+			tracker.RecordRead(time.Now(), 1)
 			newest = time.Now()
 		}
 	}
@@ -144,12 +144,12 @@
 func TestInstanceThatIsBehindReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, tracker := is.New(t), three()
-		tracker.ReadConfirmed(time.Now(), 3)
+		tracker.RecordRead(time.Now(), 3)
 		time.Sleep(150 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
-		tracker.Replied(reply(member("b", 2), time.Now(), 4))
+		tracker.RecordReply(reply(member("b", 2), time.Now(), 4))
 		is.True(tracker.ShouldReadStore())
-		tracker.ReadFailed(time.Now()) // a store that is down is asked no more often than before
+		tracker.RecordReadFailure(time.Now()) // a store that is down is asked no more often than before
 		time.Sleep(500 * time.Millisecond)
 		is.True(!tracker.ShouldReadStore())
 		time.Sleep(500 * time.Millisecond)
--- a/internal/fleet/gossip/topology.go
+++ b/internal/fleet/gossip/topology.go
@@ -40,7 +40,7 @@
 	relayCount := max(minRelays, math.Ceil(relaysPerRoot*math.Sqrt(float64(len(instances)))))
 	for _, names := range inDataCentre {
 		count := int(math.Ceil(relayCount * float64(len(names)) / float64(len(instances))))
-		order := roster.Order(relaySubject, names)
+		order := roster.SortByRank(relaySubject, names)
 		for _, name := range order[:min(count, len(order))] {
 			t.relays[name] = true
 		}
@@ -68,7 +68,7 @@
 	for i, relay := range relays {
 		names[i] = relay.Name
 	}
-	order := roster.Order(self.Name, names)
+	order := roster.SortByRank(self.Name, names)
 	slices.SortStableFunc(relays, func(a, b roster.Instance) int {
 		return cmp.Or(
 			compareBools(a.DataCentre != self.DataCentre, b.DataCentre != self.DataCentre),
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -47,7 +47,7 @@
 func NewServer(secured credentials.TransportCredentials) *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(secured),
-		grpc.ConnectionTimeout(socket.HandshakeWithin),
+		grpc.ConnectionTimeout(socket.HandshakeTimeout),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}),
 		grpc.StaticStreamWindowSize(windowBytes),
 		grpc.StaticConnWindowSize(windowBytes),
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -7,10 +7,10 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/head"
 )
 
-// SilentFor is how long a member must not have been heard before it is removed when a Detector states
+// DefaultFailureTimeout is how long a member must not have been heard before it is removed when a Detector states
 // nothing: several times its Bound, since removing a member that only paused moves its duties twice. No
 // measured reason yet.
-const SilentFor = 10 * time.Second
+const DefaultFailureTimeout = 10 * time.Second
 
 // removers is how many members try to remove a dead one: the first may be dead too.
 const removers = 2
@@ -20,23 +20,23 @@
 	sealedEvent()
 }
 
-// Heard says: a process answered a heartbeat.
-type Heard struct {
+// HeartbeatAnswered says: a process answered a heartbeat.
+type HeartbeatAnswered struct {
 	Name        string
 	Incarnation string
 }
 
-// Installed says: a head is in force in this process.
-type Installed struct {
+// HeadInstalled says: a head is in force in this process.
+type HeadInstalled struct {
 	Head head.Head
 }
 
 // Tick says: time has passed. The daemon sends one about each second.
 type Tick struct{}
 
-func (Heard) sealedEvent()     {}
-func (Installed) sealedEvent() {}
-func (Tick) sealedEvent()      {}
+func (HeartbeatAnswered) sealedEvent() {}
+func (HeadInstalled) sealedEvent()     {}
+func (Tick) sealedEvent()              {}
 
 // Action is what a Detector wants done. It is sealed: Remove is the only one.
 type Action interface {
@@ -57,8 +57,8 @@
 type Detector struct {
 	// Self is the name of this process.
 	Self string
-	// SilentFor is how long a member must not have been heard.
-	SilentFor time.Duration
+	// FailureTimeout is how long a member must not have been heard.
+	FailureTimeout time.Duration
 
 	head  head.Head
 	heard map[string]sighting
@@ -74,9 +74,9 @@
 // for each other anyway.
 func (d *Detector) Handle(event Event) []Action {
 	switch event := event.(type) {
-	case Heard:
+	case HeartbeatAnswered:
 		d.hear(event)
-	case Installed:
+	case HeadInstalled:
 		d.install(event.Head)
 	case Tick:
 		return d.tick()
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (d *Detector) hear(event Heard) {
+func (d *Detector) hear(event HeartbeatAnswered) {
 	if listed, found := d.head.Member(event.Name); found && listed.Incarnation == event.Incarnation {
 		d.heard[event.Name] = sighting{incarnation: event.Incarnation, at: time.Now()}
 	}
@@ -124,7 +124,7 @@
 func (d *Detector) sort() (alive, dead []head.Member) {
 	now := time.Now()
 	for _, m := range d.head.Members {
-		if m.Name == d.Self || now.Sub(d.heard[m.Name].at) < d.silentFor() {
+		if m.Name == d.Self || now.Sub(d.heard[m.Name].at) < d.failureTimeout() {
 			alive = append(alive, m)
 			continue
 		}
@@ -136,9 +136,9 @@
 	return alive, dead
 }
 
-func (d *Detector) silentFor() time.Duration {
-	if d.SilentFor > 0 {
-		return d.SilentFor
+func (d *Detector) failureTimeout() time.Duration {
+	if d.FailureTimeout > 0 {
+		return d.FailureTimeout
 	}
-	return SilentFor
+	return DefaultFailureTimeout
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -112,9 +112,9 @@
 	return highest("broker", h.Members)
 }
 
-// Among tells whether a member is one of the few that have a duty which more than one should have, but
+// HasDuty tells whether a member is one of the few that have a duty which more than one should have, but
 // not all, since its cost would grow with the fleet.
-func Among(h head.Head, duty, name string, count int) bool {
+func HasDuty(h head.Head, duty, name string, count int) bool {
 	ranked := rank(duty, h.Members)
 	own := slices.IndexFunc(ranked, func(m head.Member) bool { return m.Name == name })
 	return own >= 0 && own < count
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -126,12 +126,12 @@
 // watch lets one detector hear all but the silent ones, and returns what it does in the end.
 func watch(self string, names, silent []string) []membership.Action {
 	d := &membership.Detector{Self: self}
-	d.Handle(membership.Installed{Head: fleet(names...)})
+	d.Handle(membership.HeadInstalled{Head: fleet(names...)})
 	for range 12 {
 		time.Sleep(time.Second)
 		for _, name := range names {
 			if !contains(silent, name) {
-				d.Handle(membership.Heard{Name: name, Incarnation: name + "#1"})
+				d.Handle(membership.HeartbeatAnswered{Name: name, Incarnation: name + "#1"})
 			}
 		}
 	}
--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -128,7 +128,7 @@
 		Incarnation:      wire.GetIncarnation(),
 		Address:          wire.GetAddress(),
 		StoreUnreachable: wire.GetStoreUnreachable(),
-		Spent:            make(quota.Spent, len(wire.GetSpent())),
+		Spent:            make(quota.Totals, len(wire.GetSpent())),
 		Loads:            loadsFromWire(wire.GetLoads()),
 	}
 	for _, spent := range wire.GetSpent() {
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -106,10 +106,10 @@
 	engine.Observe(1500, forecast.Backlog{Prefill: 300, Running: 2}, 90*time.Millisecond)
 	state := mesh.State{
 		Incarnation: "x", Address: "10.0.0.1:1", StoreUnreachable: true,
-		Spent:    quota.Spent{"w": 12.5},
+		Spent:    quota.Totals{"w": 12.5},
 		Loads:    map[string]pool.Load{"u": {Running: 3, PromptTokens: 4000, MemoryTokens: 9000, InUse: []traffic.Adapter{a}}},
 		Suspects: []suspect.Count{{Fingerprint: "f", Crashes: 2, Cleared: 1}},
-		Evidence: map[string]forecast.Evidence{"s": engine.Own()},
+		Evidence: map[string]forecast.Evidence{"s": engine.LocalEvidence()},
 	}
 	content, err := mesh.EncodeState(state)
 	is.NoErr(err)
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -40,7 +40,7 @@
 	// Address is the instance's address for calls from peers.
 	Address          string
 	StoreUnreachable bool
-	Spent            quota.Spent
+	Spent            quota.Totals
 	// Loads is what the instance has in flight at upstreams without a holder, by upstream.
 	Loads    map[string]pool.Load
 	Suspects []suspect.Count
--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -61,10 +61,10 @@
 		return rate.Loan{}, err
 	}
 	return rate.Loan{
-		ID:     wire.GetLoan(),
-		Lender: rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
-		Tokens: wire.GetTokens(),
-		Left:   wire.GetLeft(),
+		ID:          wire.GetLoan(),
+		Lender:      rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
+		Tokens:      wire.GetTokens(),
+		LenderLevel: wire.GetLeft(),
 	}, nil
 }
 
@@ -109,7 +109,7 @@
 }
 
 // PermitLoad requests a load permit from the load broker at address, and waits for its decision.
-func (d *Client) PermitLoad(ctx context.Context, address string, request broker.Asked) (_ LoadPermit, err error) {
+func (d *Client) PermitLoad(ctx context.Context, address string, request broker.PermitRequested) (_ LoadPermit, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: request load permit") }()
 	client, err := d.client(address)
 	if err != nil {
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -73,7 +73,7 @@
 		})
 	}
 	for _, loanReturn := range wire.GetReturns() {
-		b.Returns = append(b.Returns, rate.Return{
+		b.Returns = append(b.Returns, rate.LoanReturn{
 			Workspace: loanReturn.GetWorkspace(),
 			Loan:      loanReturn.GetLoan(),
 			Remaining: loanReturn.GetRemaining(),
@@ -87,7 +87,7 @@
 	wire := &fleetpb.UpstreamSummary{
 		Upstream:      s.Upstream,
 		Epoch:         s.Epoch,
-		FreePlaces:    int32(s.FreePlaces),
+		FreePlaces:    int32(s.FreeBatchSlots),
 		BacklogMillis: s.Backlog.Milliseconds(),
 		Healthy:       s.Healthy,
 		Coldest:       s.Coldest,
@@ -100,12 +100,12 @@
 
 func summaryFromWire(wire *fleetpb.UpstreamSummary) holder.Summary {
 	s := holder.Summary{
-		Upstream:   wire.GetUpstream(),
-		Epoch:      wire.GetEpoch(),
-		FreePlaces: int(wire.GetFreePlaces()),
-		Backlog:    millis(wire.GetBacklogMillis()),
-		Healthy:    wire.GetHealthy(),
-		Coldest:    wire.GetColdest(),
+		Upstream:       wire.GetUpstream(),
+		Epoch:          wire.GetEpoch(),
+		FreeBatchSlots: int(wire.GetFreePlaces()),
+		Backlog:        millis(wire.GetBacklogMillis()),
+		Healthy:        wire.GetHealthy(),
+		Coldest:        wire.GetColdest(),
 	}
 	for _, text := range wire.GetResident() {
 		if ref, ok := model.Parse(text); ok {
@@ -268,7 +268,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func permitRequestToWire(request broker.Asked) *fleetpb.PermitLoadRequest {
+func permitRequestToWire(request broker.PermitRequested) *fleetpb.PermitLoadRequest {
 	return &fleetpb.PermitLoadRequest{
 		Upstream:       request.Load.Upstream,
 		Adapter:        request.Load.Model.Adapter,
@@ -280,8 +280,8 @@
 	}
 }
 
-func permitRequestFromWire(wire *fleetpb.PermitLoadRequest) broker.Asked {
-	return broker.Asked{
+func permitRequestFromWire(wire *fleetpb.PermitLoadRequest) broker.PermitRequested {
+	return broker.PermitRequested{
 		Load: broker.Load{
 			Upstream: wire.GetUpstream(),
 			Model:    model.Reference{Adapter: wire.GetAdapter(), Version: wire.GetVersion()},
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -26,7 +26,7 @@
 	Suspects     []suspect.Count
 	Leaving      []string
 	Stopping     bool
-	Returns      []rate.Return
+	Returns      []rate.LoanReturn
 	// OldestRevision is the oldest head under which a reservation or loan that is still open was made.
 	OldestRevision int64
 	// InForceMembers is a bitmap over the members of the head of Revision: set for the members known to have it in force.
@@ -103,7 +103,7 @@
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
 	Pins(upstream string, epoch int64) PinList
-	PermitLoad(ctx context.Context, asked broker.Asked) LoadPermit
+	PermitLoad(ctx context.Context, asked broker.PermitRequested) LoadPermit
 	EndLoad(load broker.Load, unused bool)
 	BurnCounts() []burn.Count
 }
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -66,7 +66,7 @@
 	return r.pins
 }
 
-func (r *recorder) PermitLoad(_ context.Context, permitRequest broker.Asked) peer.LoadPermit {
+func (r *recorder) PermitLoad(_ context.Context, permitRequest broker.PermitRequested) peer.LoadPermit {
 	r.request = permitRequest
 	return r.permit
 }
@@ -133,7 +133,7 @@
 	})
 	summary = rapid.Custom(func(t *rapid.T) holder.Summary {
 		return holder.Summary{
-			Upstream: name.Draw(t, "upstream"), Epoch: number.Draw(t, "epoch"), FreePlaces: count.Draw(t, "free"),
+			Upstream: name.Draw(t, "upstream"), Epoch: number.Draw(t, "epoch"), FreeBatchSlots: count.Draw(t, "free"),
 			Backlog: millis.Draw(t, "backlog"), Resident: listOf(t, reference), Healthy: rapid.Bool().Draw(t, "healthy"),
 			Coldest: amount.Draw(t, "coldest"),
 		}
@@ -144,8 +144,8 @@
 			Crashes:     count.Draw(t, "crashes"), Cleared: count.Draw(t, "cleared"),
 		}
 	})
-	loanReturn = rapid.Custom(func(t *rapid.T) rate.Return {
-		return rate.Return{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
+	loanReturn = rapid.Custom(func(t *rapid.T) rate.LoanReturn {
+		return rate.LoanReturn{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
 	})
 	heartbeat = rapid.Custom(func(t *rapid.T) peer.Heartbeat {
 		return peer.Heartbeat{
@@ -223,7 +223,7 @@
 	same("Ping", err, sentHeartbeat, handler.heartbeat, gotHeartbeat)
 
 	tokens := peer.TokenRequest{Workspace: name.Draw(t, "workspace"), Tokens: amount.Draw(t, "tokens"), Borrower: identity.Draw(t, "borrower"), SpareOnly: rapid.Bool().Draw(t, "spare")}
-	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), Left: amount.Draw(t, "left")}
+	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), LenderLevel: amount.Draw(t, "left")}
 	loan, err := client.BorrowTokens(ctx, address, tokens)
 	same("BorrowTokens", err, tokens, handler.loan, loan)
 
@@ -254,7 +254,7 @@
 	same("Pins", err, pins, handler.pins, pinList)
 
 	load := broker.Load{Upstream: name.Draw(t, "upstream"), Model: reference.Draw(t, "model")}
-	permitRequest := broker.Asked{
+	permitRequest := broker.PermitRequested{
 		Load: load, Workspace: name.Draw(t, "workspace"), Demand: amount.Draw(t, "demand"),
 		Waited: millis.Draw(t, "waited"), Patience: millis.Draw(t, "patience"),
 	}
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -40,7 +40,7 @@
 		Loan:        loan.ID,
 		Instance:    loan.Lender.Name,
 		Incarnation: loan.Lender.Incarnation,
-		Left:        loan.Left,
+		Left:        loan.LenderLevel,
 	}, nil
 }
 
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -88,8 +88,8 @@
 	return changed
 }
 
-// Since gives what an instance lacks that is complete up to a revision.
-func (r *Replica) Since(after int64) Batch {
+// ChangesSince gives what an instance lacks that is complete up to a revision.
+func (r *Replica) ChangesSince(after int64) Batch {
 	batch := Batch{After: after, Through: r.revision, Snapshot: after < r.horizon}
 	for _, item := range r.items {
 		if batch.Snapshot && !item.Removed || !batch.Snapshot && item.Revision > after {
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -85,7 +85,7 @@
 	peer.Merge(replica.Batch{Snapshot: true, Through: 1})
 	peer.Merge(replica.Batch{After: 1, Through: 3, Items: []replica.Item{item("b", "x", 3)}})
 	returned.Merge(replica.Batch{Snapshot: true, Through: 4}) // b was removed at 4
-	peer.Merge(returned.Since(peer.Revision()))
+	peer.Merge(returned.ChangesSince(peer.Revision()))
 	is.Equal(value(&peer, "b"), "")
 	is.Equal(peer.Revision(), int64(4))
 }
@@ -106,7 +106,7 @@
 		ahead.Merge(replica.Batch{After: revision + 1, Through: revision + 2, Items: []replica.Item{removal}})
 		revision += 2
 	}
-	batch := ahead.Since(behind.Revision())
+	batch := ahead.ChangesSince(behind.Revision())
 	is.True(batch.Snapshot)
 	is.Equal(len(batch.Items), 1)
 	_, joined := behind.Merge(batch)
@@ -167,7 +167,7 @@
 				batch = snapshot(rapid.Int64Range(0, last).Draw(t, "snapshot"))
 			case 2:
 				other := &replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "peer")]
-				batch = other.Since(r.Revision())
+				batch = other.ChangesSince(r.Revision())
 			}
 			changed, _ := r.Merge(batch)
 			for _, one := range changed {
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// HeldUpstream tells of which upstream a key names the holder.
-func HeldUpstream(key string) (upstream string, found bool) {
+// UpstreamOfHolderKey tells of which upstream a key names the holder.
+func UpstreamOfHolderKey(key string) (upstream string, found bool) {
 	return strings.CutPrefix(key, prefixHolders)
 }
 
@@ -166,11 +166,11 @@
 	partsForEach = 1.25
 )
 
-// Parts is how many parts a limit is divided into that all instances share without asking each other, such as
+// LimitParts is how many parts a limit is divided into that all instances share without asking each other, such as
 // retries, or connections to an upstream, for an instance that knows a number of others. Each instance has to
 // stay within one part, as it may be cut off from the others; with a number fixed for a small fleet a large one
 // would pass the limit many times over, and nobody would notice but those who set it.
-func Parts(others int) float64 {
+func LimitParts(others int) float64 {
 	return max(fewestParts, partsForEach*float64(others+1))
 }
 
@@ -186,8 +186,8 @@
 	return rank
 }
 
-// Order lists the given names in the order in which a subject spreads them, as Rank does.
-func Order(subject string, names []string) []string {
+// SortByRank lists the given names in the order in which a subject spreads them, as Rank does.
+func SortByRank(subject string, names []string) []string {
 	weights := make(map[string]uint64, len(names))
 	for _, name := range names {
 		weights[name] = weight(subject, name)
@@ -195,14 +195,14 @@
 	return slices.SortedFunc(slices.Values(names), func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
 }
 
-// Turns gives, for each subject that has no holder, the place of an instance in the line of the named instances for it:
+// TakeoverRanks gives, for each subject that has no holder, the place of an instance in the line of the named instances for it:
 // those that hold the least come first, among equals as Rank spreads them. Each subject counts as held by the first in
 // its line when the next one's line is made. The instance has to be among the names.
 //
 // Made for instances that stop and start again one after the other. In the order of Rank alone what they held
 // goes to those who have not stopped yet, nothing comes back, and in the end one instance holds nearly all:
 // when that one freezes, no adapter can be loaded anywhere.
-func Turns(subjects, names []string, held map[string]int, instance string) map[string]int {
+func TakeoverRanks(subjects, names []string, held map[string]int, instance string) map[string]int {
 	line := make([]candidate, len(names))
 	own := slices.Index(names, instance)
 	for i, name := range names {
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -84,7 +84,7 @@
 			free = append(free, subject)
 		}
 		for _, name := range live {
-			for subject, turn := range roster.Turns(free, live, held, name) {
+			for subject, turn := range roster.TakeoverRanks(free, live, held, name) {
 				if turn == 0 {
 					holder[subject] = name
 				}
@@ -113,9 +113,9 @@
 func TestPartsAddUpToLessThanTheWhole(t *testing.T) {
 	is := is.New(t)
 	for _, instances := range []int{1, 2, 8, 9, 30, 81, 330} {
-		is.True(float64(instances) < roster.Parts(instances-1))
+		is.True(float64(instances) < roster.LimitParts(instances-1))
 	}
-	is.Equal(roster.Parts(0), roster.Parts(6)) // a small fleet's part does not depend on whom it has heard of yet
+	is.Equal(roster.LimitParts(0), roster.LimitParts(6)) // a small fleet's part does not depend on whom it has heard of yet
 }
 
 // Guards against lines that are sorted anew for each upstream without a holder: after a start of a large fleet that
@@ -129,11 +129,11 @@
 	for i := range 195 {
 		names = append(names, fmt.Sprint("instance", i))
 	}
-	used := testing.AllocsPerRun(3, func() { roster.Turns(subjects, names, nil, names[0]) })
+	used := testing.AllocsPerRun(3, func() { roster.TakeoverRanks(subjects, names, nil, names[0]) })
 	is.True(used < 100)
 	first := 0
 	for _, name := range names {
-		for _, turn := range roster.Turns(subjects, names, nil, name) {
+		for _, turn := range roster.TakeoverRanks(subjects, names, nil, name) {
 			if turn == 0 {
 				first++
 			}
@@ -151,6 +151,6 @@
 		names = append(names, fmt.Sprint("instance", i))
 	}
 	for b.Loop() {
-		roster.Turns(subjects, names, nil, names[0])
+		roster.TakeoverRanks(subjects, names, nil, names[0])
 	}
 }
--- a/internal/measure/capacity/placement.go
+++ b/internal/measure/capacity/placement.go
@@ -37,7 +37,7 @@
 	}
 	r.SetUpstreams(declared)
 	for i := range size.Upstreams {
-		r.Learn(now, summary(i, now))
+		r.UpdateSummary(now, summary(i, now))
 	}
 	return r
 }
@@ -79,7 +79,7 @@
 		if i%2 == 1 {
 			s.Resident = told[(i+1)%len(told)].Resident
 		}
-		r.Learn(now, s)
+		r.UpdateSummary(now, s)
 	})
 }
 
@@ -95,11 +95,11 @@
 		Upstream: resource.Upstream{Meta: resource.Meta{Name: "upstream"}, Slots: residentsEach, Batch: residentsEach, ChecksFencing: true},
 		Settings: holder.DefaultSettings(),
 	}
-	h.Settings.LongestBacklog = time.Hour
+	h.Settings.MaxBacklog = time.Hour
 	h.Handle(now, holder.Appointed{Epoch: 1, Members: []string{"i"}})
 	h.Handle(now, holder.EpochInForce{Epoch: 1})
 	h.Handle(now, holder.FenceNoted{Fence: 1})
-	h.Handle(now, holder.PinsTold{Instance: "i", Epoch: 1})
+	h.Handle(now, holder.PinsReported{Instance: "i", Epoch: 1})
 	h.Handle(now, holder.Reported{Incarnation: "1", Resident: references(residentsEach)})
 	return h
 }
--- a/internal/measure/capacity/series.go
+++ b/internal/measure/capacity/series.go
@@ -120,7 +120,7 @@
 	return timeOf(func(i int) {
 		now = now.Add(time.Millisecond)
 		load := broker.Load{Upstream: upstreamName(i % asking), Model: reference(i % asking)}
-		b.Handle(now, broker.Asked{Load: load, Workspace: "w", Demand: 100, Patience: time.Hour})
+		b.Handle(now, broker.PermitRequested{Load: load, Workspace: "w", Demand: 100, Patience: time.Hour})
 	})
 }
 
@@ -132,7 +132,7 @@
 func (known) InForce() int64                 { return 1 }
 
 func ledger(size Size) *rate.Ledger {
-	l := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Knowledge: known{}}
+	l := &rate.Ledger{Self: rate.Identity{Name: "i0", Incarnation: "1"}, Freshness: known{}}
 	h := rate.Head{Revision: 1, Since: 0}
 	for i := range size.Instances {
 		h.Members = append(h.Members, rate.Identity{Name: fmt.Sprint("i", i), Incarnation: "1"})
@@ -240,8 +240,8 @@
 			Address: "10.0.0.100:7000", DataCentre: "dc-01", Since: 1_000_000,
 		})
 	}
-	for range head.MaxChanges {
-		h.Changes = append(h.Changes, head.Change{Mark: "0123456789abcdef0123456789abcdef", Revision: 1_000_000})
+	for range head.MaxRecentSwaps {
+		h.RecentSwaps = append(h.RecentSwaps, head.SwapRecord{SwapID: "0123456789abcdef0123456789abcdef", Revision: 1_000_000})
 	}
 	data, err := codec.EncodeHead(h)
 	if err != nil {
--- a/internal/measure/policy/entry.go
+++ b/internal/measure/policy/entry.go
@@ -35,7 +35,7 @@
 	name     string
 	router   *route.Router
 	budget   *retry.Budget
-	suspects *suspect.Register
+	suspects *suspect.Tracker
 	shares   share.Tracker
 	rates    [workspaces]rateBucket
 	heard    []route.Summary
@@ -68,7 +68,7 @@
 		name:     fmt.Sprintf("i%d", number),
 		router:   &route.Router{Settings: policy.Route},
 		budget:   retry.New(policy.RetryRatio, policy.MaxSavedRetries),
-		suspects: &suspect.Register{Settings: policy.Suspect},
+		suspects: &suspect.Tracker{Settings: policy.Suspect},
 		rates:    newBuckets(s.load, 1.0/instances),
 		heard:    make([]route.Summary, len(declared)),
 		sentTo:   make([]int, len(declared)),
@@ -94,14 +94,14 @@
 
 // submit takes in a request as its caller sends it, or sends it again.
 func (e *entry) submit(c *call) {
-	c.fingerprint = suspect.Of(c.workspace(), c.request.ref.String(), []byte(c.request.id))
+	c.fingerprint = suspect.FingerprintOf(c.workspace(), c.request.ref.String(), []byte(c.request.id))
 	verdict, _ := e.suspects.Judge(e.sim.clock.now, c.fingerprint)
 	if verdict == suspect.Refused {
 		e.giveUp(c)
 		return
 	}
 	c.alone, c.apart = verdict == suspect.Alone, verdict == suspect.Apart
-	e.budget.First()
+	e.budget.CountFirstTry()
 	e.sim.tally.firsts++
 	e.place(c)
 }
@@ -161,10 +161,10 @@
 
 func (e *entry) learn(told holder.Summary, at time.Time) {
 	summary := route.Summary{
-		Upstream: told.Upstream, Epoch: told.Epoch, FreePlaces: told.FreePlaces,
+		Upstream: told.Upstream, Epoch: told.Epoch, FreePlaces: told.FreeBatchSlots,
 		Backlog: told.Backlog, Resident: told.Resident, Healthy: told.Healthy, Coldest: told.Coldest, At: at,
 	}
-	e.router.Learn(e.sim.clock.now, summary)
+	e.router.UpdateSummary(e.sim.clock.now, summary)
 	for i, engine := range e.sim.engines {
 		if engine.name() == told.Upstream {
 			e.heard[i] = summary
@@ -195,12 +195,12 @@
 		e.again(c)
 		return
 	}
-	e.router.Ended(e.sim.clock.now, route.Outcome{
+	e.router.RecordOutcome(e.sim.clock.now, route.Outcome{
 		Upstream: upstream, Tokens: released.Tokens, Took: took, Failed: released.UpstreamFailed,
 	})
 	if !released.UpstreamFailed {
 		e.shares.Served(e.sim.clock.now, c.workspace(), shares[c.request.workspace], released.Tokens)
-		e.suspects.Completed(e.sim.clock.now, c.fingerprint)
+		e.suspects.RecordCompletion(e.sim.clock.now, c.fingerprint)
 		e.sim.tally.answer(c)
 		return
 	}
@@ -221,7 +221,7 @@
 			mine = append(mine, r.call.fingerprint)
 		}
 	}
-	e.suspects.Crashed(e.sim.clock.now, mine)
+	e.suspects.RecordCrash(e.sim.clock.now, mine)
 }
 
 // giveUp refuses the request. The caller of a poisonous one sends it again, to another instance.
--- a/internal/measure/policy/simulation.go
+++ b/internal/measure/policy/simulation.go
@@ -95,7 +95,7 @@
 	for _, e := range s.engines {
 		s.tell(e, holder.Appointed{Epoch: 1, Members: []string{"all"}})
 		s.tell(e, holder.EpochInForce{Epoch: 1})
-		s.tell(e, holder.PinsTold{Instance: "all", Epoch: 1})
+		s.tell(e, holder.PinsReported{Instance: "all", Epoch: 1})
 		s.clock.every(tick, until, func() { s.tell(e, holder.Tick{}) })
 		s.clock.every(reports, until, func() { s.report(e) })
 		s.clock.every(heartbeat, until, func() { s.summarise(e) })
@@ -128,19 +128,19 @@
 		s.clock.after(hop, func() { c.entry.refused(c, e) })
 	case holder.OrderFence:
 		s.clock.after(2*hop, func() { s.tell(e, holder.FenceNoted(a)) })
-	case holder.AskPermit:
+	case holder.RequestPermit:
 		s.clock.after(hop, func() { s.askBroker(asked(e, a)) })
 	case holder.ReturnPermit:
 		load := broker.Load{Upstream: e.name(), Model: a.Model}
 		s.clock.after(hop, func() { s.askBroker(broker.Withdrawn{Load: load}) })
 	case holder.OrderLoad:
 		s.clock.after(hop, func() { e.order(a) })
-	case holder.AskPins:
+	case holder.RequestPins:
 	}
 }
 
-func asked(e *engine, a holder.AskPermit) broker.Asked {
-	return broker.Asked{
+func asked(e *engine, a holder.RequestPermit) broker.PermitRequested {
+	return broker.PermitRequested{
 		Load:      broker.Load{Upstream: e.name(), Model: a.Model},
 		Workspace: a.Workspace,
 		Demand:    a.Demand,
@@ -197,10 +197,10 @@
 
 func (s *simulation) shareSuspects() {
 	for _, from := range s.entries {
-		counts := from.suspects.Own(s.clock.now)
+		counts := from.suspects.LocalCounts(s.clock.now)
 		for _, to := range s.entries {
 			if to != from {
-				to.suspects.Merge(s.clock.now, from.name, counts)
+				to.suspects.SetPeerCounts(s.clock.now, from.name, counts)
 			}
 		}
 	}
--- a/internal/measure/policy/tables.go
+++ b/internal/measure/policy/tables.go
@@ -98,7 +98,7 @@
 	for _, p := range []deployment.Policy{deployment.BlueMountain(), deployment.Hellenic()} {
 		mean := meanOverCases(report, p.Name)
 		fmt.Fprintf(b, "| %s | %s | %s | %.0f | %.0f | %.3f | %.3f | %.2f s | %.4f |\n",
-			p.Name, p.Holder.LongestBacklog, p.Route.LoadPrice, mean.Stalls, mean.StallSeconds,
+			p.Name, p.Holder.MaxBacklog, p.Route.LoadPrice, mean.Stalls, mean.StallSeconds,
 			mean.Efficiency, mean.WorstShare, mean.WorstFirstToken, mean.Wrongful)
 	}
 }
--- a/internal/placement/broker/broker.go
+++ b/internal/placement/broker/broker.go
@@ -41,7 +41,7 @@
 // givesUpAt the time at which the last of the waiting requests gives up, and receivedAt when the holder last sent or
 // repeated it.
 type permitRequest struct {
-	Asked
+	PermitRequested
 	since      time.Time
 	givesUpAt  time.Time
 	receivedAt time.Time
@@ -62,11 +62,11 @@
 	b.ensureInitialised(now)
 	b.refill(now)
 	switch e := event.(type) {
-	case Asked:
-		b.requests[e.Load] = permitRequest{Asked: e, since: now.Add(-e.Waited), givesUpAt: now.Add(e.Patience), receivedAt: now}
+	case PermitRequested:
+		b.requests[e.Load] = permitRequest{PermitRequested: e, since: now.Add(-e.Waited), givesUpAt: now.Add(e.Patience), receivedAt: now}
 	case Withdrawn:
 		b.withdraw(e)
-	case Ended:
+	case LoadEnded:
 		delete(b.requests, e.Load)
 		delete(b.inFlight, e.Load)
 	case Tick:
@@ -142,7 +142,7 @@
 func (b *Broker) grant(now time.Time, request permitRequest) {
 	delete(b.requests, request.Load)
 	b.available--
-	b.inFlight[request.Load] = now.Add(b.Settings.Lapse)
+	b.inFlight[request.Load] = now.Add(b.Settings.InFlightTimeout)
 	b.recentLoads[request.Workspace] = decayingCount{value: b.recentLoads[request.Workspace].valueAt(now) + 1, updatedAt: now}
 }
 
--- a/internal/placement/broker/broker_test.go
+++ b/internal/placement/broker/broker_test.go
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-func permitRequest(i int, workspace string, demand float64, patience time.Duration) broker.Asked {
+func permitRequest(i int, workspace string, demand float64, patience time.Duration) broker.PermitRequested {
 	load := broker.Load{Upstream: fmt.Sprint("u", i), Model: model.Reference{Adapter: "a", Version: "v1"}}
-	return broker.Asked{Load: load, Workspace: workspace, Demand: demand, Patience: patience}
+	return broker.PermitRequested{Load: load, Workspace: workspace, Demand: demand, Patience: patience}
 }
 
 func permits(actions []broker.Action) (loads []broker.Load) {
@@ -55,7 +55,7 @@
 		is := is.New(t)
 		settings := broker.DefaultSettings()
 		settings.Rate = 100
-		settings.Lapse = time.Minute
+		settings.InFlightTimeout = time.Minute
 		b := &broker.Broker{Settings: settings}
 		granted := 0
 		for i := range 20 {
@@ -63,7 +63,7 @@
 			granted += len(permits(b.Handle(time.Now(), permitRequest(i, "w", 100, time.Hour))))
 		}
 		is.Equal(granted, 8)
-		is.Equal(len(permits(b.Handle(time.Now(), broker.Ended{Load: permitRequest(0, "", 0, 0).Load}))), 1)
+		is.Equal(len(permits(b.Handle(time.Now(), broker.LoadEnded{Load: permitRequest(0, "", 0, 0).Load}))), 1)
 		time.Sleep(time.Minute)
 		is.True(len(permits(b.Handle(time.Now(), permitRequest(30, "w", 100, time.Hour)))) > 0)
 	})
@@ -72,8 +72,8 @@
 func TestRankingOfPermitRequests(t *testing.T) {
 	tests := []struct {
 		name   string
-		first  broker.Asked
-		second broker.Asked
+		first  broker.PermitRequested
+		second broker.PermitRequested
 	}{
 		{"more waiting demand goes first", permitRequest(9, "w", 5000, time.Minute), permitRequest(1, "w", 100, time.Minute)},
 		{"longer wait goes first", withWait(permitRequest(9, "w", 100, time.Minute), 8*time.Second), permitRequest(1, "w", 100, time.Minute)},
@@ -96,7 +96,7 @@
 	}
 }
 
-func withWait(a broker.Asked, d time.Duration) broker.Asked {
+func withWait(a broker.PermitRequested, d time.Duration) broker.PermitRequested {
 	a.Waited = d
 	return a
 }
--- a/internal/placement/broker/events.go
+++ b/internal/placement/broker/events.go
@@ -20,10 +20,10 @@
 type Event interface{ event() }
 
 type (
-	// Asked is a holder's request for a permit. Demand is the number of waiting tokens, Waited the longest wait
+	// PermitRequested is a holder's request for a permit. Demand is the number of waiting tokens, Waited the longest wait
 	// among the waiting requests, Patience the time until the last of them gives up, and Workspace the workspace
 	// of the one that has waited longest. A repeated request replaces the earlier one.
-	Asked struct {
+	PermitRequested struct {
 		Load      Load
 		Workspace string
 		Demand    float64
@@ -32,17 +32,17 @@
 	}
 	// Withdrawn cancels a permit request, or returns an unused permit.
 	Withdrawn struct{ Load Load }
-	// Ended reports that the load has finished, failed or is no longer needed, whether a permit was only requested
+	// LoadEnded reports that the load has finished, failed or is no longer needed, whether a permit was only requested
 	// or already granted. Without it the permit expires after Settings.InFlightTimeout.
-	Ended struct{ Load Load }
+	LoadEnded struct{ Load Load }
 	// Tick triggers time-dependent decisions; send one at least every 50 milliseconds.
 	Tick struct{}
 )
 
-func (Asked) event()     {}
-func (Withdrawn) event() {}
-func (Ended) event()     {}
-func (Tick) event()      {}
+func (PermitRequested) event() {}
+func (Withdrawn) event()       {}
+func (LoadEnded) event()       {}
+func (Tick) event()            {}
 
 // Action is an answer to a holder. It is sealed.
 type Action interface{ action() }
@@ -71,11 +71,11 @@
 	InFlight int
 	// UseWithin is how long a permit is valid.
 	UseWithin time.Duration
-	// Lapse is how long a granted load counts as in flight if its end is not reported.
-	Lapse time.Duration
+	// InFlightTimeout is how long a granted load counts as in flight if its end is not reported.
+	InFlightTimeout time.Duration
 }
 
 // DefaultSettings returns the current limits of the weight store.
 func DefaultSettings() Settings {
-	return Settings{Rate: 2, InFlight: 8, UseWithin: time.Second, Lapse: 3 * time.Second}
+	return Settings{Rate: 2, InFlight: 8, UseWithin: time.Second, InFlightTimeout: 3 * time.Second}
 }
--- a/internal/placement/deployment/policy.go
+++ b/internal/placement/deployment/policy.go
@@ -34,7 +34,7 @@
 		Broker:          broker.DefaultSettings(),
 		Suspect:         suspect.DefaultSettings(),
 		RetryRatio:      retry.DefaultRatio,
-		MaxSavedRetries: retry.DefaultMost,
+		MaxSavedRetries: retry.DefaultMaxUnused,
 	}
 }
 
@@ -44,7 +44,7 @@
 func BlueMountain() Policy {
 	p := Default()
 	p.Name = "blue-mountain"
-	p.Holder.LongestBacklog = 10 * time.Second
+	p.Holder.MaxBacklog = 10 * time.Second
 	p.Route.LoadPrice = 12 * time.Second
 	return p
 }
@@ -55,7 +55,7 @@
 func Hellenic() Policy {
 	p := Default()
 	p.Name = "hellenic"
-	p.Holder.LongestBacklog = time.Minute
+	p.Holder.MaxBacklog = time.Minute
 	p.Route.LoadPrice = 6 * time.Second
 	return p
 }
--- a/internal/placement/forecast/engine.go
+++ b/internal/placement/forecast/engine.go
@@ -48,8 +48,8 @@
 	Moments [terms]float64
 }
 
-// Plus adds what others have seen, times a factor.
-func (v Evidence) Plus(other Evidence, factor float64) Evidence {
+// AddScaled adds what others have seen, times a factor.
+func (v Evidence) AddScaled(other Evidence, factor float64) Evidence {
 	v.Answers += factor * other.Answers
 	for i := range terms {
 		for j := range terms {
@@ -60,26 +60,26 @@
 	return v
 }
 
-// Own is what this instance has seen.
-func (e *Engine) Own() Evidence { return e.own }
+// LocalEvidence is what this instance has seen.
+func (e *Engine) LocalEvidence() Evidence { return e.own }
 
-// SetOthers replaces what other instances have seen.
+// SetPeerEvidence replaces what other instances have seen.
 //
 // Made for a large fleet, whose instances each see a few answers a second. From twenty answers, most of them of idle
 // engines, nobody can tell what thirty thousand tokens that await prefill cost: requests go where they wait for
 // seconds, and the next engine is idle.
-func (e *Engine) SetOthers(others Evidence) {
+func (e *Engine) SetPeerEvidence(others Evidence) {
 	e.others = others
 	e.fit()
 }
 
-// FirstEvent is the time from sending a prompt until its first event.
-func (e *Engine) FirstEvent(tokens int, backlog Backlog) time.Duration {
+// TimeToFirstEvent is the time from sending a prompt until its first event.
+func (e *Engine) TimeToFirstEvent(tokens int, backlog Backlog) time.Duration {
 	return e.predict(features(tokens, backlog))
 }
 
-// Prefill is the time that an engine needs for a prompt alone.
-func (e *Engine) Prefill(tokens int) time.Duration {
+// PrefillTime is the time that an engine needs for a prompt alone.
+func (e *Engine) PrefillTime(tokens int) time.Duration {
 	return seconds(e.coefficients()[1] * float64(tokens) / tokensUnit)
 }
 
@@ -102,7 +102,7 @@
 		}
 		seen.Moments[i] = weight * x[i] * took.Seconds()
 	}
-	e.own = seen.Plus(e.own, kept)
+	e.own = seen.AddScaled(e.own, kept)
 	e.fit()
 }
 
@@ -182,7 +182,7 @@
 // solve gives the least squares for the terms that are not out, by Gaussian elimination. The guesses' weights make
 // every pivot positive.
 func (e *Engine) solve(out [terms]bool) (solution [terms]float64) {
-	all := e.own.Plus(e.others, 1)
+	all := e.own.AddScaled(e.others, 1)
 	matrix := all.Squares
 	right := all.Moments
 	guess := guesses()
--- a/internal/placement/forecast/forecast.go
+++ b/internal/placement/forecast/forecast.go
@@ -9,10 +9,10 @@
 
 // Guesses count until some answers were seen.
 const (
-	// GuessLoad and GuessReload are what loading an adapter takes, from the weight store and where the upstream had it
+	// InitialLoadTime and GuessReload are what loading an adapter takes, from the weight store and where the upstream had it
 	// lately.
-	GuessLoad   = 300 * time.Millisecond
-	GuessReload = 30 * time.Millisecond
+	InitialLoadTime   = 300 * time.Millisecond
+	InitialReloadTime = 30 * time.Millisecond
 
 	guessBase    = 25 * time.Millisecond
 	guessToken   = 50 * time.Microsecond
--- a/internal/placement/forecast/forecast_test.go
+++ b/internal/placement/forecast/forecast_test.go
@@ -60,7 +60,7 @@
 	for _, tokens := range []int{1000, 5000, 10_000} {
 		for _, running := range []int{0, 6} {
 			backlog := forecast.Backlog{Running: running, Prefill: 1000}
-			ratio := float64(e.FirstEvent(tokens, backlog)) / float64(t.firstEvent(tokens, backlog))
+			ratio := float64(e.TimeToFirstEvent(tokens, backlog)) / float64(t.firstEvent(tokens, backlog))
 			if ratio < 0.75 || ratio > 1.25 {
 				is.Fail() // the forecast is off by more than a quarter
 			}
@@ -94,12 +94,12 @@
 	var all forecast.Evidence
 	for i := range engines {
 		observe(&engines[i], engine, rand.New(rand.NewPCG(uint64(i), 3)), 8)
-		all = all.Plus(engines[i].Own(), 1)
+		all = all.AddScaled(engines[i].LocalEvidence(), 1)
 	}
 	queue := forecast.Backlog{Running: 24, Prefill: 30_000}
 	misled := func() (count int) {
 		for i := range engines {
-			ratio := float64(engines[i].FirstEvent(1500, queue)) / float64(engine.firstEvent(1500, queue))
+			ratio := float64(engines[i].TimeToFirstEvent(1500, queue)) / float64(engine.firstEvent(1500, queue))
 			if ratio < 0.75 || ratio > 1.25 {
 				count++
 			}
@@ -108,7 +108,7 @@
 	}
 	t.Logf("%d of %d instances misled by what each has seen itself", misled(), instances)
 	for i := range engines {
-		engines[i].SetOthers(all.Plus(engines[i].Own(), -1))
+		engines[i].SetPeerEvidence(all.AddScaled(engines[i].LocalEvidence(), -1))
 	}
 	is.Equal(misled(), 0)
 }
@@ -137,7 +137,7 @@
 		for range 3 * sec {
 			s.Observe(0.5, usual*3/2)
 		}
-		ratio := float64(s.Answer(0)) / float64(usual)
+		ratio := float64(s.Latency(0)) / float64(usual)
 		is.True(ratio > 0.75 && ratio < 1.25)
 	}
 }
@@ -147,18 +147,18 @@
 func TestLoadsAreLookedAtInTime(t *testing.T) {
 	for _, took := range []time.Duration{25 * time.Millisecond, 80 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond} {
 		is := is.New(t)
-		load := forecast.Load{Guess: 250 * time.Millisecond}
+		load := forecast.LoadTime{InitialEstimate: 250 * time.Millisecond}
 		late, looks := time.Duration(0), 0
 		const loads, learning = 60, 20
 		for i := range loads {
-			at := load.FirstPoll()
+			at := load.FirstPollDelay()
 			first := true
 			count := 1
-			for ; at < took; at += load.NextPoll() {
+			for ; at < took; at += load.PollInterval() {
 				first = false
 				count++
 			}
-			load.Done(at, first)
+			load.Observe(at, first)
 			if i >= learning {
 				late += at - took
 				looks += count
--- a/internal/placement/forecast/load.go
+++ b/internal/placement/forecast/load.go
@@ -19,36 +19,38 @@
 	lengthen = 0.5
 )
 
-// Load predicts loads whose end nobody announces, so that the upstream has to be polled for it. Set Guess, what counts
+// LoadTime predicts loads whose end nobody announces, so that the upstream has to be polled for it. Set Guess, what counts
 // until one was seen. It is not safe for use by several goroutines.
-type Load struct {
-	Guess time.Duration
+type LoadTime struct {
+	InitialEstimate time.Duration
 
 	usual time.Duration
 }
 
-// Usual is how long a load takes.
-func (l *Load) Usual() time.Duration {
+// Expected is how long a load takes.
+func (l *LoadTime) Expected() time.Duration {
 	if l.usual == 0 {
-		return l.Guess
+		return l.InitialEstimate
 	}
 	return l.usual
 }
 
-// Seen tells whether any load was seen.
-func (l *Load) Seen() bool { return l.usual > 0 }
+// HasMeasurement tells whether any load was seen.
+func (l *LoadTime) HasMeasurement() bool { return l.usual > 0 }
 
-// FirstPoll is how long after its order a load is polled first.
-func (l *Load) FirstPoll() time.Duration { return time.Duration(firstPollAt * float64(l.Usual())) }
+// FirstPollDelay is how long after its order a load is polled first.
+func (l *LoadTime) FirstPollDelay() time.Duration {
+	return time.Duration(firstPollAt * float64(l.Expected()))
+}
 
-// NextPoll is the pause until the next poll.
-func (l *Load) NextPoll() time.Duration {
-	return min(max(l.Usual()/pollsEach, leastPause), mostPause)
+// PollInterval is the pause until the next poll.
+func (l *LoadTime) PollInterval() time.Duration {
+	return min(max(l.Expected()/pollsEach, leastPause), mostPause)
 }
 
-// Done takes note of a load that was found done some time after its order, at the first poll or a later one.
-func (l *Load) Done(took time.Duration, firstPoll bool) {
-	usual := l.Usual()
+// Observe takes note of a load that was found done some time after its order, at the first poll or a later one.
+func (l *LoadTime) Observe(took time.Duration, firstPoll bool) {
+	usual := l.Expected()
 	if firstPoll {
 		l.usual = min(usual, max(time.Duration(shorten*float64(usual)), time.Millisecond))
 		return
--- a/internal/placement/forecast/service.go
+++ b/internal/placement/forecast/service.go
@@ -19,9 +19,9 @@
 	answers int
 }
 
-// Answer is the time until the answer of a call that finds calls queued before it, in terms of the places that the
+// Latency is the time until the answer of a call that finds calls queued before it, in terms of the places that the
 // upstream has.
-func (s *Service) Answer(queued float64) time.Duration {
+func (s *Service) Latency(queued float64) time.Duration {
 	usual := s.usual
 	if s.answers == 0 {
 		usual = guessAnswer
@@ -31,7 +31,7 @@
 
 // Observe takes note of an answer.
 func (s *Service) Observe(queued float64, took time.Duration) {
-	usual := s.Answer(0)
+	usual := s.Latency(0)
 	sample := time.Duration(float64(took) / (1 + queued))
 	weight := learningFirst
 	if s.answers >= firstAnswers {
--- a/internal/placement/holder/actions.go
+++ b/internal/placement/holder/actions.go
@@ -43,15 +43,15 @@
 		WaitedLoad  time.Duration
 		WaitedQueue time.Duration
 	}
-	// AskPins requests the pins on the upstream from every member; answered by one PinsReported per member.
-	AskPins struct{ Epoch int64 }
+	// RequestPins requests the pins on the upstream from every member; answered by one PinsReported per member.
+	RequestPins struct{ Epoch int64 }
 	// OrderFence makes the upstream record the epoch as its fencing token, with any order that changes nothing;
 	// answered by FenceNoted. Without an answer the holder waits for Settings.OrderTimeout instead.
 	OrderFence struct{ Fence int64 }
-	// AskPermit requests a load permit from the load broker; answered by PermitGranted or PermitRefused.
+	// RequestPermit requests a load permit from the load broker; answered by PermitGranted or PermitRefused.
 	// Demand is the number of waiting tokens, Waited the longest wait, Patience the time until the last of the
 	// waiting requests gives up, and Workspace the workspace of the request that has waited longest.
-	AskPermit struct {
+	RequestPermit struct {
 		Model     model.Reference
 		Workspace string
 		Demand    float64
@@ -69,10 +69,10 @@
 	}
 )
 
-func (Grant) action()        {}
-func (Refuse) action()       {}
-func (AskPins) action()      {}
-func (OrderFence) action()   {}
-func (AskPermit) action()    {}
-func (ReturnPermit) action() {}
-func (OrderLoad) action()    {}
+func (Grant) action()         {}
+func (Refuse) action()        {}
+func (RequestPins) action()   {}
+func (OrderFence) action()    {}
+func (RequestPermit) action() {}
+func (ReturnPermit) action()  {}
+func (OrderLoad) action()     {}
--- a/internal/placement/holder/answers_test.go
+++ b/internal/placement/holder/answers_test.go
@@ -36,7 +36,7 @@
 			}
 		case holder.Refuse:
 			h.answers[a.RequestID]++
-		case holder.AskPermit:
+		case holder.RequestPermit:
 			h.permitRequests = append(h.permitRequests, a.Model)
 		case holder.OrderLoad:
 			h.orders = append(h.orders, a.Load)
@@ -137,7 +137,7 @@
 		h.handle(holder.Appointed{Epoch: 5, Members: []string{"i1"}})
 		h.handle(holder.EpochInForce{Epoch: 5})
 		h.handle(holder.FenceNoted{Fence: 5})
-		h.handle(holder.PinsTold{Instance: "i1", Epoch: 5})
+		h.handle(holder.PinsReported{Instance: "i1", Epoch: 5})
 		h.handle(holder.Reported{Incarnation: "a"})
 		step := func(do func()) func(*rapid.T) { return func(*rapid.T) { do() } }
 		steps := map[string]func(*rapid.T){
--- a/internal/placement/holder/change_of_holder_test.go
+++ b/internal/placement/holder/change_of_holder_test.go
@@ -94,7 +94,7 @@
 			s.orders = append(s.orders, sentOrder{from: name, order: a, at: s.now})
 		case holder.Grant:
 			s.grants = append(s.grants, a)
-		case holder.AskPermit:
+		case holder.RequestPermit:
 			s.handle(name, holder.PermitGranted{Model: a.Model, UseWithin: time.Second})
 		}
 	}
@@ -146,7 +146,7 @@
 		}
 	}
 	s.reportedEpoch[name] = s.epoch
-	s.handle(s.currentHolder, holder.PinsTold{Instance: name, Epoch: s.epoch, Pins: pins})
+	s.handle(s.currentHolder, holder.PinsReported{Instance: name, Epoch: s.epoch, Pins: pins})
 }
 
 func (s *simulation) arrive() {
@@ -192,7 +192,7 @@
 		s.orphans++
 	}
 	if !wasHolder {
-		s.handle(s.currentHolder, holder.InstanceGone{Instance: name, Incarnation: "1"})
+		s.handle(s.currentHolder, holder.InstanceStopped{Instance: name, Incarnation: "1"})
 		return
 	}
 	delete(s.acting, name)
@@ -308,7 +308,7 @@
 	sentOrders := s.orders
 	s.orders = nil
 	for _, sent := range sentOrders {
-		if s.now.Sub(sent.at) < holder.DefaultSettings().LongestOrder {
+		if s.now.Sub(sent.at) < holder.DefaultSettings().OrderTimeout {
 			kept = append(kept, sent)
 		} else {
 			s.handle(sent.from, holder.LoadFailed{Load: sent.order.Load, Cause: holder.CauseUpstream})
--- a/internal/placement/holder/events.go
+++ b/internal/placement/holder/events.go
@@ -73,16 +73,16 @@
 	EpochInForce struct{ Epoch int64 }
 	// FenceNoted answers OrderFence: from now on the upstream refuses orders of older epochs.
 	FenceNoted struct{ Fence int64 }
-	// PinsTold lists all of a member's pins on the upstream. The member has recorded the epoch and no longer
+	// PinsReported lists all of a member's pins on the upstream. The member has recorded the epoch and no longer
 	// accepts grants of older epochs.
-	PinsTold struct {
+	PinsReported struct {
 		Instance string
 		Epoch    int64
 		Pins     []Pin
 	}
-	// InstanceGone reports that this incarnation of the instance has certainly stopped, because its freshness
+	// InstanceStopped reports that this incarnation of the instance has certainly stopped, because its freshness
 	// bound has expired since its last heartbeat. Its pins are void and its list of pins is not awaited.
-	InstanceGone struct {
+	InstanceStopped struct {
 		Instance    string
 		Incarnation string
 	}
@@ -141,8 +141,8 @@
 func (Appointed) event()         {}
 func (EpochInForce) event()      {}
 func (FenceNoted) event()        {}
-func (PinsTold) event()          {}
-func (InstanceGone) event()      {}
+func (PinsReported) event()      {}
+func (InstanceStopped) event()   {}
 func (Yielded) event()           {}
 func (Arrived) event()           {}
 func (Cancelled) event()         {}
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -52,9 +52,9 @@
 		h.epochInForce(now, e)
 	case FenceNoted:
 		h.tenure = h.tenure.withFenceNoted(now, e.Fence)
-	case PinsTold:
+	case PinsReported:
 		h.pinsReported(e)
-	case InstanceGone:
+	case InstanceStopped:
 		h.instanceStopped(e)
 	case Yielded:
 		h.yielded()
@@ -88,12 +88,12 @@
 
 // Summary is the upstream's state as published to the other instances.
 type Summary struct {
-	Upstream   string
-	Epoch      int64
-	FreePlaces int
-	Backlog    time.Duration
-	Resident   []model.Reference
-	Healthy    bool
+	Upstream       string
+	Epoch          int64
+	FreeBatchSlots int
+	Backlog        time.Duration
+	Resident       []model.Reference
+	Healthy        bool
 	// Coldest is the recent demand, in requests, of the version that would be evicted next; zero while
 	// a slot is free.
 	Coldest float64
@@ -103,13 +103,13 @@
 func (h *Holder) Summary(now time.Time) Summary {
 	h.ensureInitialised()
 	return Summary{
-		Upstream:   h.Upstream.Meta.Name,
-		Epoch:      h.tenure.epoch,
-		FreePlaces: max(0, h.Upstream.Batch-h.pins.len()-h.queue.Len()),
-		Backlog:    h.occupancy(now).NextSlot + h.queue.Backlog(),
-		Resident:   h.residency.list(),
-		Healthy:    h.acceptsWork(),
-		Coldest:    h.coldest(now),
+		Upstream:       h.Upstream.Meta.Name,
+		Epoch:          h.tenure.epoch,
+		FreeBatchSlots: max(0, h.Upstream.Batch-h.pins.len()-h.queue.Len()),
+		Backlog:        h.occupancy(now).NextSlot + h.queue.Backlog(),
+		Resident:       h.residency.list(),
+		Healthy:        h.acceptsWork(),
+		Coldest:        h.coldest(now),
 	}
 }
 
@@ -125,8 +125,8 @@
 	}
 	h.queue = &queue.Queue{
 		Slots:      h.Upstream.Batch,
-		MaxBacklog: h.Settings.LongestBacklog,
-		MaxLength:  h.Settings.LongestQueue,
+		MaxBacklog: h.Settings.MaxBacklog,
+		MaxLength:  h.Settings.MaxQueueLength,
 		FIFO:       h.Settings.FirstInFirstOut,
 	}
 	h.waiting = newWaiting()
--- a/internal/placement/holder/holder_test.go
+++ b/internal/placement/holder/holder_test.go
@@ -33,7 +33,7 @@
 	h.Handle(time.Now(), holder.Appointed{Epoch: 5, Members: []string{"i1"}})
 	h.Handle(time.Now(), holder.EpochInForce{Epoch: 5})
 	h.Handle(time.Now(), holder.FenceNoted{Fence: 5})
-	h.Handle(time.Now(), holder.PinsTold{Instance: "i1", Epoch: 5})
+	h.Handle(time.Now(), holder.PinsReported{Instance: "i1", Epoch: 5})
 	h.Handle(time.Now(), holder.Reported{Incarnation: "a"})
 }
 
@@ -57,7 +57,7 @@
 func load(t *testing.T, h *holder.Holder, id string, ref model.Reference) (holder.OrderLoad, holder.Grant) {
 	t.Helper()
 	is := is.New(t)
-	asks := find[holder.AskPermit](h.Handle(time.Now(), holder.Arrived{Request: request(id, ref, 10*time.Second)}))
+	asks := find[holder.RequestPermit](h.Handle(time.Now(), holder.Arrived{Request: request(id, ref, 10*time.Second)}))
 	is.Equal(len(asks), 1)
 	orders := find[holder.OrderLoad](h.Handle(time.Now(), holder.PermitGranted{Model: ref, UseWithin: time.Second}))
 	is.Equal(len(orders), 1)
@@ -76,9 +76,9 @@
 		load(t, h, "r1", bids)
 		_, second := load(t, h, "r2", lawns)
 		actions := h.Handle(time.Now(), holder.Arrived{Request: request("r3", sites, 10*time.Second)})
-		is.Equal(len(find[holder.AskPermit](actions)), 0)
+		is.Equal(len(find[holder.RequestPermit](actions)), 0)
 		actions = h.Handle(time.Now(), holder.Released{Pin: second.Pin.ID, Tokens: 100})
-		is.Equal(len(find[holder.AskPermit](actions)), 1)
+		is.Equal(len(find[holder.RequestPermit](actions)), 1)
 		actions = h.Handle(time.Now(), holder.PermitGranted{Model: sites, UseWithin: time.Second})
 		is.Equal(find[holder.OrderLoad](actions), []holder.OrderLoad{{Load: sites, Evict: lawns, Fence: 5}})
 	})
@@ -105,7 +105,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				h := newHolder(tt.checksFencing)
-				is.Equal(len(find[holder.AskPins](h.Handle(time.Now(), holder.Appointed{Epoch: 5, Members: []string{"i1"}}))), 1)
+				is.Equal(len(find[holder.RequestPins](h.Handle(time.Now(), holder.Appointed{Epoch: 5, Members: []string{"i1"}}))), 1)
 				is.Equal(len(h.Handle(time.Now(), holder.Arrived{Request: request("r1", bids, time.Minute)})), 0)
 				h.Handle(time.Now(), holder.EpochInForce{Epoch: 5})
 				if tt.note {
@@ -128,16 +128,16 @@
 		h.Handle(time.Now(), holder.Appointed{Epoch: 5, Members: []string{"i1", "i2"}})
 		h.Handle(time.Now(), holder.EpochInForce{Epoch: 5})
 		h.Handle(time.Now(), holder.FenceNoted{Fence: 5})
-		h.Handle(time.Now(), holder.PinsTold{Instance: "i1", Epoch: 5})
+		h.Handle(time.Now(), holder.PinsReported{Instance: "i1", Epoch: 5})
 		h.Handle(time.Now(), holder.Reported{Incarnation: "a", Resident: []model.Reference{bids, lawns}})
 		actions := h.Handle(time.Now(), holder.Arrived{Request: request("r1", sites, 10*time.Second)})
-		is.Equal(len(find[holder.AskPermit](actions)), 0)
+		is.Equal(len(find[holder.RequestPermit](actions)), 0)
 		pin := holder.Pin{ID: "old", Instance: "i2", Incarnation: "y", Model: bids}
-		actions = h.Handle(time.Now(), holder.PinsTold{Instance: "i2", Epoch: 5, Pins: []holder.Pin{pin}})
-		is.Equal(len(find[holder.AskPermit](actions)), 1)
+		actions = h.Handle(time.Now(), holder.PinsReported{Instance: "i2", Epoch: 5, Pins: []holder.Pin{pin}})
+		is.Equal(len(find[holder.RequestPermit](actions)), 1)
 		actions = h.Handle(time.Now(), holder.PermitGranted{Model: sites, UseWithin: time.Second})
 		is.Equal(find[holder.OrderLoad](actions)[0].Evict, lawns)
-		h.Handle(time.Now(), holder.InstanceGone{Instance: "i2", Incarnation: "y"})
+		h.Handle(time.Now(), holder.InstanceStopped{Instance: "i2", Incarnation: "y"})
 		is.Equal(len(h.Pins()), 0)
 	})
 }
--- a/internal/placement/holder/loads.go
+++ b/internal/placement/holder/loads.go
@@ -154,7 +154,7 @@
 	l.state = loadRequested
 	l.expiresAt = now.Add(permitRequestInterval)
 	h.loads[version.ref] = l
-	h.emit(AskPermit{
+	h.emit(RequestPermit{
 		Model:     version.ref,
 		Workspace: version.workspace,
 		Demand:    version.demand,
@@ -180,7 +180,7 @@
 		}
 		evict = victim
 		h.residency.remove(now, victim)
-		h.residency.ignoreReportsBefore(victim, now.Add(h.Settings.LongestOrder))
+		h.residency.ignoreReportsBefore(victim, now.Add(h.Settings.OrderTimeout))
 	}
 	l.state = loadOrdered
 	l.orderedAt = now
@@ -277,7 +277,7 @@
 	}
 	h.residency.add(now, l.evicting)
 	if e.Cause == CauseInUse {
-		h.residency.protect(l.evicting, now.Add(h.Settings.LongestOrder))
+		h.residency.protect(l.evicting, now.Add(h.Settings.OrderTimeout))
 	}
 }
 
--- a/internal/placement/holder/residency.go
+++ b/internal/placement/holder/residency.go
@@ -199,7 +199,7 @@
 	if h.residency.unknownSince.After(from) {
 		from = h.residency.unknownSince
 	}
-	return now.Sub(from) > h.Settings.LongestOrder
+	return now.Sub(from) > h.Settings.OrderTimeout
 }
 
 func lessReference(a, b model.Reference) bool {
--- a/internal/placement/holder/settings.go
+++ b/internal/placement/holder/settings.go
@@ -22,15 +22,15 @@
 	Eviction Eviction
 	// FirstInFirstOut disables fairness between workspaces. It is the baseline for measurements.
 	FirstInFirstOut bool
-	// LongestBacklog limits the queue by the time that its work takes on this upstream.
-	LongestBacklog time.Duration
-	// LongestQueue limits the queue's length, and with it the memory and the cost of a decision.
-	LongestQueue int
+	// MaxBacklog limits the queue by the time that its work takes on this upstream.
+	MaxBacklog time.Duration
+	// MaxQueueLength limits the queue's length, and with it the memory and the cost of a decision.
+	MaxQueueLength int
 	// ExpectedLoad is the estimated load time until one was measured.
 	ExpectedLoad time.Duration
-	// LongestOrder is the timeout of an order, after which the daemon gives up on it. A new holder of an upstream
+	// OrderTimeout is the timeout of an order, after which the daemon gives up on it. A new holder of an upstream
 	// that ignores fencing waits that long before its first order.
-	LongestOrder time.Duration
+	OrderTimeout time.Duration
 	// TokenTime is the estimated time that one token of a request occupies a batch slot, until it was measured.
 	TokenTime time.Duration
 }
@@ -39,10 +39,10 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Eviction:       ByDemand{HalfLife: 2 * time.Minute},
-		LongestBacklog: 20 * time.Second,
-		LongestQueue:   256,
+		MaxBacklog:     20 * time.Second,
+		MaxQueueLength: 256,
 		ExpectedLoad:   250 * time.Millisecond,
-		LongestOrder:   5 * time.Second,
+		OrderTimeout:   5 * time.Second,
 		TokenTime:      20 * time.Millisecond,
 	}
 }
--- a/internal/placement/holder/tenure.go
+++ b/internal/placement/holder/tenure.go
@@ -50,7 +50,7 @@
 	}
 	h.residency = newResidency()
 	h.loads = make(map[model.Reference]*load)
-	h.emit(AskPins{Epoch: e.Epoch})
+	h.emit(RequestPins{Epoch: e.Epoch})
 }
 
 // epochInForce records that no earlier holder starts anything new.
@@ -77,7 +77,7 @@
 	if !t.fenceNotedAt.IsZero() {
 		return t.fenceNotedAt, true
 	}
-	return t.inForceSince.Add(h.Settings.LongestOrder), true
+	return t.inForceSince.Add(h.Settings.OrderTimeout), true
 }
 
 func (h *Holder) mayAct(now time.Time) bool {
@@ -92,7 +92,7 @@
 }
 
 // pinsReported adds the pins of requests that still run from earlier tenures.
-func (h *Holder) pinsReported(e PinsTold) {
+func (h *Holder) pinsReported(e PinsReported) {
 	if !h.tenure.holding || e.Epoch != h.tenure.epoch {
 		return
 	}
@@ -107,7 +107,7 @@
 // instanceStopped drops the pins of an instance that has certainly stopped. If they were dropped too early, a request
 // that still streams through a paused instance would lose its adapter. If they were never dropped, each crash of an
 // instance would take adapter slots and batch slots permanently.
-func (h *Holder) instanceStopped(e InstanceGone) {
+func (h *Holder) instanceStopped(e InstanceStopped) {
 	for _, pin := range h.pins.list() {
 		if pin.Instance == e.Instance && pin.Incarnation == e.Incarnation {
 			h.pins.remove(pin.ID)
--- a/internal/placement/pool/capacity.go
+++ b/internal/placement/pool/capacity.go
@@ -29,7 +29,7 @@
 func (p *Pool) recordRefusal(now time.Time, attempt *Attempt) {
 	u := attempt.upstream
 	stats := p.statsOf(u.declared.Service)
-	immediate := now.Sub(attempt.began) < stats.service.Answer(0)
+	immediate := now.Sub(attempt.began) < stats.service.Latency(0)
 	isStated := attempt.stated.Running > 0
 	found := attempt.found
 	if isStated {
--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -129,10 +129,10 @@
 		total = scale(u.explorationFactor(now), choice.Expected) + cost.wait + cost.charge
 		total += query.lateness(choice.Expected + cost.wait)
 		if engine.MemoryTokens > 0 && load.MemoryTokens+query.Tokens+query.Output > engine.MemoryTokens {
-			total += scale(slowdown, stats.engine.Prefill(load.MemoryTokens))
+			total += scale(slowdown, stats.engine.PrefillTime(load.MemoryTokens))
 		}
 	} else {
-		total = scale(u.explorationFactor(now), choice.Expected) + scale(float64(load.Running)/float64(u.slots()), stats.service.Answer(0))
+		total = scale(u.explorationFactor(now), choice.Expected) + scale(float64(load.Running)/float64(u.slots()), stats.service.Latency(0))
 	}
 	total += time.Duration(failureRate * float64(failureCost))
 	if u.declared.DataCentre != p.Settings.DataCentre {
--- a/internal/placement/pool/evidence.go
+++ b/internal/placement/pool/evidence.go
@@ -21,7 +21,7 @@
 func (p *Pool) Evidence() map[string]forecast.Evidence {
 	seen := make(map[string]forecast.Evidence)
 	for service, stats := range p.stats {
-		if own := stats.engine.Own(); own.Answers > 0 {
+		if own := stats.engine.LocalEvidence(); own.Answers > 0 {
 			seen[service] = own
 		}
 	}
@@ -49,7 +49,7 @@
 			delete(s.peers, instance)
 			continue
 		}
-		all = all.Plus(peer.seen, 1)
+		all = all.AddScaled(peer.seen, 1)
 	}
-	s.engine.SetOthers(all)
+	s.engine.SetPeerEvidence(all)
 }
--- a/internal/placement/pool/in_flight.go
+++ b/internal/placement/pool/in_flight.go
@@ -172,7 +172,7 @@
 	if u == nil {
 		return 0
 	}
-	return p.statsOf(u.declared.Service).engine.Prefill(tokens)
+	return p.statsOf(u.declared.Service).engine.PrefillTime(tokens)
 }
 
 // OwnLoads is what this instance has in flight at the selected upstreams, for its heartbeats.
@@ -245,7 +245,7 @@
 func (p *Pool) isLoadStale(now time.Time, u *upstream) bool {
 	maxAge := maxHolderLoadAge
 	if _, isEngine := p.engines[u.declared.Service]; !isEngine {
-		maxAge = p.statsOf(u.declared.Service).service.Answer(0) / time.Duration(u.slots())
+		maxAge = p.statsOf(u.declared.Service).service.Latency(0) / time.Duration(u.slots())
 	}
 	return now.Sub(u.holderLoadAt) > maxAge
 }
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -77,13 +77,13 @@
 func (p *Pool) occupiedTime(query Query) time.Duration {
 	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
-		return stats.engine.Prefill(query.Tokens)
+		return stats.engine.PrefillTime(query.Tokens)
 	}
 	slots := 0
 	for _, u := range p.upstreamsOf(query.Service) {
 		slots = max(slots, u.slots())
 	}
-	return stats.service.Answer(0) / time.Duration(max(slots, 1))
+	return stats.service.Latency(0) / time.Duration(max(slots, 1))
 }
 
 // RetryWhenFull is the retry delay of a caller that is refused because all upstreams of a service are full.
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -74,7 +74,7 @@
 func (p *Pool) statsOf(service string) *serviceStats {
 	stats := p.stats[service]
 	if stats == nil {
-		stats = &serviceStats{loads: loadTimes{full: forecast.GuessLoad, reload: forecast.GuessReload}}
+		stats = &serviceStats{loads: loadTimes{full: forecast.InitialLoadTime, reload: forecast.InitialReloadTime}}
 		p.stats[service] = stats
 	}
 	return stats
@@ -90,9 +90,9 @@
 func (p *Pool) typicalTime(u *upstream, query Query, load Load) time.Duration {
 	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
-		return stats.engine.FirstEvent(query.Tokens, backlog(load))
+		return stats.engine.TimeToFirstEvent(query.Tokens, backlog(load))
 	}
-	return stats.service.Answer(u.queued(load))
+	return stats.service.Latency(u.queued(load))
 }
 
 // observe records how long a request took until its first event or answer.
@@ -110,7 +110,7 @@
 }
 
 // slots is how many calls an upstream serves concurrently.
-func (u *upstream) slots() int { return max(u.declared.Places, 1) }
+func (u *upstream) slots() int { return max(u.declared.BatchSlots, 1) }
 
 // queued is how many calls have to end before one more gets a slot, per slot of the upstream.
 func (u *upstream) queued(load Load) float64 {
--- a/internal/placement/residence/load_times.go
+++ b/internal/placement/residence/load_times.go
@@ -13,7 +13,7 @@
 // LoadTimes returns how long an adapter takes to load: full from the weight store, reload where the upstream loaded
 // it recently. seen is false until some full loads were measured.
 func (p *Planner) LoadTimes() (full, reload time.Duration, seen bool) {
-	return p.fullLoads.Usual(), p.reloads.Usual(), p.fullLoads.Seen()
+	return p.fullLoads.Expected(), p.reloads.Expected(), p.fullLoads.HasMeasurement()
 }
 
 // firstPoll returns the delay between a load order and the first poll of its completion.
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	return p.loadForecast(s).FirstPoll()
+	return p.loadForecast(s).FirstPollDelay()
 }
 
 // pollDelay returns the interval between two polls of a load's completion.
@@ -33,10 +33,10 @@
 	if adapter.Name == "" || s.orderedAt.IsZero() {
 		return pollInterval
 	}
-	return p.loadForecast(s).NextPoll()
+	return p.loadForecast(s).PollInterval()
 }
 
-func (p *Planner) loadForecast(s *slot) *forecast.Load {
+func (p *Planner) loadForecast(s *slot) *forecast.LoadTime {
 	if s.reload {
 		return &p.reloads
 	}
@@ -55,7 +55,7 @@
 // replaced a version, as that waits for the requests that use the old version.
 func (p *Planner) recordLoadTime(now time.Time, adapter traffic.Adapter, s *slot) {
 	if adapter.Name != "" && s.state == loading && !s.orderedAt.IsZero() && s.polls > 0 {
-		p.loadForecast(s).Done(now.Sub(s.orderedAt), s.polls == 1)
+		p.loadForecast(s).Observe(now.Sub(s.orderedAt), s.polls == 1)
 	}
 	s.orderedAt = time.Time{}
 }
--- a/internal/placement/residence/load_times_test.go
+++ b/internal/placement/residence/load_times_test.go
@@ -18,10 +18,10 @@
 		t.Run(took.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				p := &residence.Planner{Engine: traffic.Engine{AdapterPlaces: 100}}
-				p.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
+				p := &residence.Planner{Engine: traffic.Engine{AdapterSlots: 100}}
+				p.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
 				time.Sleep(time.Second)
-				p.Learn(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
+				p.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
 				polls, delay := 0, time.Duration(0)
 				const loads = 30
 				for i := range loads {
@@ -45,28 +45,28 @@
 // loadOne loads one adapter and returns how often the load was polled and how late its completion was detected.
 func loadOne(is *is.I, p *residence.Planner, requested traffic.Adapter, took time.Duration) (polls int, delay time.Duration) {
 	is.Helper()
-	p.Want(time.Now(), requested, 0, 0, time.Now().Add(time.Minute))
-	defer p.Unwant(requested)
+	p.AddWaiter(time.Now(), requested, 0, 0, time.Now().Add(time.Minute))
+	defer p.RemoveWaiter(requested)
 	var done time.Time
 	sequence := int64(0)
 	for {
-		switch step := p.Next(time.Now()).(type) {
-		case residence.Give:
+		switch step := p.NextStep(time.Now()).(type) {
+		case residence.SendOrder:
 			if done.IsZero() {
 				done = time.Now().Add(took)
 				sequence = step.Order.Sequence + 1
-				p.Ordered(time.Now(), step.Order, residence.Accepted)
+				p.RecordOutcome(time.Now(), step.Order, residence.Accepted)
 				continue
 			}
 			polls++
 			if !time.Now().Before(done) {
-				p.Ordered(time.Now(), step.Order, residence.Holds)
+				p.RecordOutcome(time.Now(), step.Order, residence.AlreadyDone)
 				return polls, time.Since(done)
 			}
-			p.Ordered(time.Now(), step.Order, residence.Accepted)
-		case residence.Inspect:
-			p.Learn(time.Now(), residence.Report{Sequence: sequence, Models: []traffic.LoadedModel{{Name: model}}})
-		case residence.Rest:
+			p.RecordOutcome(time.Now(), step.Order, residence.Accepted)
+		case residence.FetchReport:
+			p.ApplyReport(time.Now(), residence.Report{Sequence: sequence, Models: []traffic.LoadedModel{{Name: model}}})
+		case residence.Idle:
 			time.Sleep(max(time.Until(step.Until), time.Millisecond))
 		}
 	}
--- a/internal/placement/residence/outcomes.go
+++ b/internal/placement/residence/outcomes.go
@@ -7,13 +7,13 @@
 
 // outcomes.go updates the planner's state from the outcomes of orders.
 
-// Ordered records an order's outcome.
+// RecordOutcome records an order's outcome.
 //
 // An order without an answer is repeated at once with the same sequence number. If the upstream accepted the first
 // copy, it answers the second accordingly. If it did not, the second copy replaces the first, which is void when it
 // arrives late. Waiting for the upstream's report instead would delay every request that waits for an adapter there
 // by half a second each time.
-func (p *Planner) Ordered(now time.Time, order Order, outcome Outcome) {
+func (p *Planner) RecordOutcome(now time.Time, order Order, outcome Outcome) {
 	p.ensureInitialised()
 	repeated := p.unanswered != nil
 	if outcome != NoAnswer {
@@ -25,7 +25,7 @@
 	switch outcome {
 	case Accepted:
 		p.recordAccepted(now, order)
-	case Holds:
+	case AlreadyDone:
 		p.recordDone(now, order, repeated)
 	case Conflict:
 		if repeated {
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -46,11 +46,11 @@
 // Planner decides for one upstream. Set Engine before use. It is not safe for concurrent use.
 type Planner struct {
 	Engine traffic.Engine
-	// LoadGuess is the time of a load from the weight store, measured at other upstreams of the service. It is used
+	// LoadEstimate is the time of a load from the weight store, measured at other upstreams of the service. It is used
 	// until a load was measured here; 0 if unknown.
-	LoadGuess time.Duration
-	// ReloadGuess is the same for a load from a recent copy near the upstream.
-	ReloadGuess time.Duration
+	LoadEstimate time.Duration
+	// ReloadEstimate is the same for a load from a recent copy near the upstream.
+	ReloadEstimate time.Duration
 
 	// stateKnown is true while sequence and slots match the upstream's state as far as its answers show.
 	stateKnown bool
@@ -67,8 +67,8 @@
 	inUse      map[traffic.Adapter]bool
 	recent     []traffic.Adapter
 	// fullLoads and reloads predict load times from the weight store and from a copy near the upstream.
-	fullLoads forecast.Load
-	reloads   forecast.Load
+	fullLoads forecast.LoadTime
+	reloads   forecast.LoadTime
 	grantedAt time.Time
 	grantPace time.Duration
 	// unanswered is the last order if it got no answer; repeats counts how often it was given.
@@ -122,9 +122,9 @@
 	p.newest[adapter] = max(p.newest[adapter], version)
 }
 
-// Has reports whether an adapter is loaded in the given version or a newer one, and reserves it for the request that
+// Reserve reports whether an adapter is loaded in the given version or a newer one, and reserves it for the request that
 // is about to use it. at is the loaded version.
-func (p *Planner) Has(now time.Time, adapter traffic.Adapter, version int64) (at int64, ok bool) {
+func (p *Planner) Reserve(now time.Time, adapter traffic.Adapter, version int64) (at int64, ok bool) {
 	s := p.slots[adapter]
 	if !p.stateKnown || s == nil || s.state != loaded || s.version < version || s.unloadOrdered {
 		return 0, false
@@ -137,8 +137,8 @@
 	return s.version, true
 }
 
-// Use sets which adapters have requests in flight, over all instances.
-func (p *Planner) Use(now time.Time, adapters []traffic.Adapter) {
+// SetInUse sets which adapters have requests in flight, over all instances.
+func (p *Planner) SetInUse(now time.Time, adapters []traffic.Adapter) {
 	p.inUse = make(map[traffic.Adapter]bool, len(adapters))
 	for _, adapter := range adapters {
 		p.inUse[adapter] = true
@@ -162,36 +162,36 @@
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Adapter.String() < list[j].Adapter.String() })
-	return list, p.Engine.AdapterPlaces - p.occupiedSlots(now)
+	return list, p.Engine.AdapterSlots - p.occupiedSlots(now)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// Next returns the next step.
-func (p *Planner) Next(now time.Time) Step {
+// NextStep returns the next step.
+func (p *Planner) NextStep(now time.Time) Step {
 	p.ensureInitialised()
 	if !p.stateKnown || now.Sub(p.reportedAt) > maxReportAge {
 		if now.Before(p.fetchAt) {
-			return Rest{Until: p.fetchAt}
+			return Idle{Until: p.fetchAt}
 		}
-		return Inspect{}
+		return FetchReport{}
 	}
 	if p.unanswered != nil {
 		if now.Before(p.repeatAt) {
-			return Rest{Until: p.repeatAt}
+			return Idle{Until: p.repeatAt}
 		}
-		return Give{Order: *p.unanswered}
+		return SendOrder{Order: *p.unanswered}
 	}
 	if !p.confirmed && !now.Before(p.confirmAt) && !now.Before(p.fetchAt) {
 		p.fetchAt = now.Add(fetchInterval)
-		return Inspect{}
+		return FetchReport{}
 	}
 	until := p.reportedAt.Add(maxReportAge)
 	if !p.confirmed {
 		until = later(p.confirmAt, p.fetchAt)
 	}
 	if order, at, found := p.nextPoll(now); found {
-		return Give{Order: order}
+		return SendOrder{Order: order}
 	} else if !at.IsZero() && at.Before(until) {
 		until = at
 	}
@@ -200,12 +200,12 @@
 		if order.Unload {
 			p.slots[order.Adapter].unloadOrdered = true
 		}
-		return Give{Order: order}
+		return SendOrder{Order: order}
 	}
 	if at := now.Add(idlePollInterval); len(p.waiters) > 0 && at.Before(until) {
 		until = at
 	}
-	return Rest{Until: until}
+	return Idle{Until: until}
 }
 
 // idlePollInterval is the poll interval for slots that became idle while an adapter waits for one.
@@ -248,7 +248,7 @@
 		p.slots = make(map[traffic.Adapter]*slot)
 		p.waiters = make(map[traffic.Adapter]*waiterGroup)
 		p.newest = make(map[traffic.Adapter]int64)
-		p.fullLoads.Guess = cmp.Or(p.LoadGuess, forecast.GuessLoad)
-		p.reloads.Guess = cmp.Or(p.ReloadGuess, forecast.GuessReload)
+		p.fullLoads.InitialEstimate = cmp.Or(p.LoadEstimate, forecast.InitialLoadTime)
+		p.reloads.InitialEstimate = cmp.Or(p.ReloadEstimate, forecast.InitialReloadTime)
 	}
 }
--- a/internal/placement/residence/planner_test.go
+++ b/internal/placement/residence/planner_test.go
@@ -85,7 +85,7 @@
 	}
 	version, isLoaded := e.loaded[name]
 	if !order.Unload && isLoaded && (order.Version == 0 || version >= order.Version) {
-		return residence.Holds
+		return residence.AlreadyDone
 	}
 	if order.Sequence != e.sequence {
 		return residence.Conflict
@@ -99,7 +99,7 @@
 			e.faults = append(e.faults, name+" was evicted while in use")
 		}
 		delete(e.loaded, name)
-		return residence.Holds
+		return residence.AlreadyDone
 	}
 	e.loading[name] = time.Now().Add(loadTime)
 	delete(e.loaded, name)
@@ -126,7 +126,7 @@
 }
 
 func newPlanner(slots int) *residence.Planner {
-	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: slots, Models: []traffic.Model{{Name: model}}}}
+	return &residence.Planner{Engine: traffic.Engine{AdapterSlots: slots, Models: []traffic.Model{{Name: model}}}}
 }
 
 // drive executes the planner's steps for the duration d. For each order, fault returns whether its answer is lost, and
@@ -138,27 +138,27 @@
 		for name := range e.inUse {
 			used = append(used, adapter(name))
 		}
-		p.Use(time.Now(), used)
-		switch step := p.Next(time.Now()).(type) {
-		case residence.Inspect:
-			p.Learn(time.Now(), e.report())
+		p.SetInUse(time.Now(), used)
+		switch step := p.NextStep(time.Now()).(type) {
+		case residence.FetchReport:
+			p.ApplyReport(time.Now(), e.report())
 			time.Sleep(time.Millisecond)
-		case residence.Give:
+		case residence.SendOrder:
 			lost, delay := fault()
 			switch {
 			case delay > 0:
 				e.delayed = append(e.delayed, delayedOrder{at: time.Now().Add(delay), order: step.Order, fence: e.fence})
 				time.Sleep(80 * time.Millisecond)
-				p.Ordered(time.Now(), step.Order, residence.NoAnswer)
+				p.RecordOutcome(time.Now(), step.Order, residence.NoAnswer)
 			case lost:
 				e.order(step.Order, e.fence)
 				time.Sleep(80 * time.Millisecond)
-				p.Ordered(time.Now(), step.Order, residence.NoAnswer)
+				p.RecordOutcome(time.Now(), step.Order, residence.NoAnswer)
 			default:
 				time.Sleep(2 * time.Millisecond)
-				p.Ordered(time.Now(), step.Order, e.order(step.Order, e.fence))
+				p.RecordOutcome(time.Now(), step.Order, e.order(step.Order, e.fence))
 			}
-		case residence.Rest:
+		case residence.Idle:
 			time.Sleep(min(max(time.Until(step.Until), time.Millisecond), 20*time.Millisecond))
 		}
 	}
@@ -170,11 +170,11 @@
 func noFaults() (bool, time.Duration) { return false, 0 }
 
 func want(p *residence.Planner, name string, priority int, onTime time.Duration) {
-	p.Want(time.Now(), adapter(name), 0, priority, time.Now().Add(onTime))
+	p.AddWaiter(time.Now(), adapter(name), 0, priority, time.Now().Add(onTime))
 }
 
 func isLoaded(p *residence.Planner, name string) bool {
-	_, ok := p.Has(time.Now(), adapter(name), 0)
+	_, ok := p.Reserve(time.Now(), adapter(name), 0)
 	return ok
 }
 
@@ -225,7 +225,7 @@
 		want(p, "c", 1, time.Second)
 		drive(p, e, time.Second, noFaults)
 		is.True(!isLoaded(p, "c"))
-		is.True(p.Wait(time.Now(), adapter("d")) > 0)
+		is.True(p.ExpectedWait(time.Now(), adapter("d")) > 0)
 		delete(e.inUse, "b")
 		drive(p, e, 400*time.Millisecond, noFaults)
 		is.True(isLoaded(p, "c"))
@@ -246,20 +246,20 @@
 		e.inUse = map[string]bool{"a": true, "b": true}
 		drive(p, e, startUpTime, noFaults)
 		past := time.Now().Add(-time.Second)
-		wait, tooLate := p.Hopeless(time.Now(), adapter("c"), past)
+		wait, tooLate := p.WouldBeLate(time.Now(), adapter("c"), past)
 		is.True(!tooLate) // the third slot is free
 		is.Equal(wait, time.Duration(0))
 		want(p, "c", 1, time.Second)
 		drive(p, e, 50*time.Millisecond, noFaults)
-		_, tooLate = p.Hopeless(time.Now(), adapter("c"), past)
+		_, tooLate = p.WouldBeLate(time.Now(), adapter("c"), past)
 		is.True(!tooLate) // it is being loaded
 		for _, name := range []string{"d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			want(p, name, 1, time.Second)
 		}
-		wait, tooLate = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Second))
+		wait, tooLate = p.WouldBeLate(time.Now(), adapter("m"), time.Now().Add(time.Second))
 		is.True(tooLate)
 		is.True(wait > time.Second)
-		_, tooLate = p.Hopeless(time.Now(), adapter("m"), time.Now().Add(time.Minute))
+		_, tooLate = p.WouldBeLate(time.Now(), adapter("m"), time.Now().Add(time.Minute))
 		is.True(!tooLate)
 	})
 }
@@ -293,7 +293,7 @@
 		e.inUse = map[string]bool{"a": true}
 		drive(p, e, startUpTime, noFaults)
 		want(p, "b", 1, time.Second)
-		p.Unwant(adapter("b"))
+		p.RemoveWaiter(adapter("b"))
 		e.inUse = map[string]bool{}
 		drive(p, e, time.Second, noFaults)
 		is.True(isLoaded(p, "a"))
@@ -313,7 +313,7 @@
 		e.newest["a"] = 4
 		p.SetNewest(adapter("a"), 4)
 		drive(p, e, 600*time.Millisecond, noFaults)
-		version, ok := p.Has(time.Now(), adapter("a"), 4)
+		version, ok := p.Reserve(time.Now(), adapter("a"), 4)
 		is.True(ok)
 		is.Equal(version, int64(4))
 	})
@@ -331,7 +331,7 @@
 		time.Sleep(time.Second)
 		want(p, "b", 1, time.Second)
 		drive(p, e, 200*time.Millisecond, func() (bool, time.Duration) { return false, time.Hour })
-		p.Unwant(adapter("b"))
+		p.RemoveWaiter(adapter("b"))
 		is.True(!isLoaded(p, "a"))
 		drive(p, e, time.Second, func() (bool, time.Duration) { return false, time.Hour })
 		is.True(!isLoaded(p, "a")) // nor after the report that still lists it
@@ -362,8 +362,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPlanner(2)
-		p.Learn(time.Now(), residence.Report{})
-		give, ok := p.Next(time.Now()).(residence.Give)
+		p.ApplyReport(time.Now(), residence.Report{})
+		give, ok := p.NextStep(time.Now()).(residence.SendOrder)
 		is.True(ok)
 		is.Equal(give.Order.Adapter, traffic.Adapter{Model: model})
 		is.True(!give.Order.Unload)
@@ -395,7 +395,7 @@
 				if isLoaded(p, name) && rapid.Bool().Draw(rt, "use") {
 					e.inUse[name] = true
 				}
-				p.Unwant(adapter(name))
+				p.RemoveWaiter(adapter(name))
 				if rapid.IntRange(0, 5).Draw(rt, "change") == 0 {
 					p = newPlanner(slots) // a new holder
 					e.fence++
--- a/internal/placement/residence/reports.go
+++ b/internal/placement/residence/reports.go
@@ -8,13 +8,13 @@
 
 // reports.go applies the upstream's reports to the planner's state.
 
-// Learn applies a report. A report that is older than the last accepted order is dropped.
+// ApplyReport applies a report. A report that is older than the last accepted order is dropped.
 //
 // Reports lag: an adapter whose load has just finished may be listed neither as pending nor as loaded. Its slot
 // would look free, and an upstream that is ordered to load more adapters than it has slots for crashes. So
 // adapters known at the same order count are kept, as only an order could have removed them, and no slot counts
 // as free until a second report agrees.
-func (p *Planner) Learn(now time.Time, report Report) {
+func (p *Planner) ApplyReport(now time.Time, report Report) {
 	p.ensureInitialised()
 	if p.stateKnown && report.Sequence < p.sequence {
 		p.fetchAt = now.Add(fetchInterval)
--- a/internal/placement/residence/residence.go
+++ b/internal/placement/residence/residence.go
@@ -30,8 +30,8 @@
 const (
 	// Accepted: the order is being executed.
 	Accepted Outcome = "accepted"
-	// Holds: the upstream is already in the ordered state.
-	Holds Outcome = "holds"
+	// AlreadyDone: the upstream is already in the ordered state.
+	AlreadyDone Outcome = "holds"
 	// Conflict: the sequence number does not match, or another order is in progress.
 	Conflict Outcome = "conflict"
 	// Fenced: another holder has given orders with a higher fencing token.
@@ -62,15 +62,15 @@
 // Step is the next step: SendOrder, FetchReport or Idle.
 type Step interface{ isStep() }
 
-// Give sends the order to the upstream.
-type Give struct{ Order Order }
+// SendOrder sends the order to the upstream.
+type SendOrder struct{ Order Order }
 
-// Inspect fetches the upstream's report.
-type Inspect struct{}
+// FetchReport fetches the upstream's report.
+type FetchReport struct{}
 
-// Rest waits until a time, or until a request waits for an adapter.
-type Rest struct{ Until time.Time }
+// Idle waits until a time, or until a request waits for an adapter.
+type Idle struct{ Until time.Time }
 
-func (Give) isStep()    {}
-func (Inspect) isStep() {}
-func (Rest) isStep()    {}
+func (SendOrder) isStep()   {}
+func (FetchReport) isStep() {}
+func (Idle) isStep()        {}
