--- a/internal/placement/residence/waiters.go
+++ b/internal/placement/residence/waiters.go
@@ -9,9 +9,9 @@
 
 // waiters.go tracks the adapters that requests wait for: their order and their expected wait.
 
-// Want registers one request that waits for an adapter, until RemoveWaiter is called for it. The request is on time
+// AddWaiter registers one request that waits for an adapter, until RemoveWaiter is called for it. The request is on time
 // if it is answered by onTimeUntil.
-func (p *Planner) Want(
+func (p *Planner) AddWaiter(
 	now time.Time, adapter traffic.Adapter, version int64, priority int, onTimeUntil time.Time,
 ) {
 	p.ensureInitialised()
@@ -28,9 +28,9 @@
 	}
 }
 
-// Unwant removes one request that waited for an adapter: it has its adapter, or no longer waits. Otherwise the
+// RemoveWaiter removes one request that waited for an adapter: it has its adapter, or no longer waits. Otherwise the
 // upstream would load an adapter that no request uses, and evict another for it.
-func (p *Planner) Unwant(adapter traffic.Adapter) {
+func (p *Planner) RemoveWaiter(adapter traffic.Adapter) {
 	w := p.waiters[adapter]
 	if w == nil {
 		return
@@ -41,13 +41,13 @@
 	}
 }
 
-// HasWants reports whether any request waits.
-func (p *Planner) HasWants() bool { return len(p.waiters) > 0 }
+// HasWaiters reports whether any request waits.
+func (p *Planner) HasWaiters() bool { return len(p.waiters) > 0 }
 
-// Wait estimates how long a new waiter waits until its adapter's load begins: the number of adapters ahead of it
+// ExpectedWait estimates how long a new waiter waits until its adapter's load begins: the number of adapters ahead of it
 // times the recent interval between two freed slots. It is zero while a slot is available, and for an adapter
 // that is being loaded.
-func (p *Planner) Wait(now time.Time, adapter traffic.Adapter) time.Duration {
+func (p *Planner) ExpectedWait(now time.Time, adapter traffic.Adapter) time.Duration {
 	if s := p.slots[adapter]; s != nil && s.state == loading {
 		return 0
 	}
@@ -57,22 +57,22 @@
 			ahead++
 		}
 	}
-	free := p.Engine.AdapterPlaces - p.occupiedSlots(now)
+	free := p.Engine.AdapterSlots - p.occupiedSlots(now)
 	if ahead < free {
 		return 0
 	}
 	return time.Duration(ahead-free+1) * p.pace()
 }
 
-// Hopeless reports whether a request that is on time until worthUntil would get its adapter only after that, and
+// WouldBeLate reports whether a request that is on time until worthUntil would get its adapter only after that, and
 // how long it would wait.
 //
 // It applies under overload, when requests wait for more adapters than there are slots. Requests that can be on time go
 // first, so one that cannot waits until they are all served: for seconds, mostly until its deadline, and if it gets a
 // slot it takes it from the next caller. Refused at once, its caller can retry when there is room. While a
 // slot is available, or expected within acceptableWait, late requests get it.
-func (p *Planner) Hopeless(now time.Time, adapter traffic.Adapter, worthUntil time.Time) (time.Duration, bool) {
-	wait := p.Wait(now, adapter)
+func (p *Planner) WouldBeLate(now time.Time, adapter traffic.Adapter, worthUntil time.Time) (time.Duration, bool) {
+	wait := p.ExpectedWait(now, adapter)
 	return wait, wait > acceptableWait && now.Add(wait).After(worthUntil)
 }
 
@@ -84,7 +84,7 @@
 	if p.grantPace > 0 {
 		return p.grantPace
 	}
-	return defaultTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
+	return defaultTurnover / time.Duration(max(p.Engine.AdapterSlots, 1))
 }
 
 // updatePace updates the pace when a slot goes to an adapter that had to wait for it.
--- a/internal/placement/retry/budget_test.go
+++ b/internal/placement/retry/budget_test.go
@@ -13,11 +13,11 @@
 // each other, the retries stay at a tenth of the first tries.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
+		budget := retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 0, 500).Draw(t, "steps") {
 			if isFirst {
-				budget.First()
+				budget.CountFirstTry()
 				first++
 			} else if budget.Allow() {
 				retries++
@@ -32,30 +32,30 @@
 // A quiet hour must not save up retries for a burst that hits an upstream just as it comes back.
 func TestUnusedRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	budget := retry.New(retry.DefaultRatio, retry.DefaultMost)
+	budget := retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 	for range 100_000 {
-		budget.First()
+		budget.CountFirstTry()
 	}
 	allowed := 0
 	for budget.Allow() {
 		allowed++
 	}
-	is.Equal(allowed, retry.DefaultMost)
+	is.Equal(allowed, retry.DefaultMaxUnused)
 }
 
 // A fleet grows from a few instances to eighty, which share one limit. An instance that kept its old part would
 // have the fleet send eight times as many retries as were allowed, just when an upstream is down.
 func TestPartOfTheLimitFollowsTheFleet(t *testing.T) {
 	is := is.New(t)
-	budget := retry.Filled(0.1, 20)
-	budget.Bound(2)
+	budget := retry.NewHalfFull(0.1, 20)
+	budget.SetMax(2)
 	allowed := 0
 	for budget.Allow() {
 		allowed++
 	}
 	is.Equal(allowed, 2)
 	for range 1000 {
-		budget.First()
+		budget.CountFirstTry()
 	}
 	for budget.Allow() {
 		allowed++
@@ -67,7 +67,7 @@
 // beside its ratio; with an empty budget the caller would get the failure all the same.
 func TestFilledBudgetAllowsRetriesFromTheStart(t *testing.T) {
 	is := is.New(t)
-	budget := retry.Filled(0.1, 6)
+	budget := retry.NewHalfFull(0.1, 6)
 	allowed := 0
 	for budget.Allow() {
 		allowed++
@@ -80,20 +80,20 @@
 // while it is failing. What bookings may add to their service's load follows from the bookings.
 func TestRetriesOfAServiceArePaidByItsOwnCalls(t *testing.T) {
 	is := is.New(t)
-	budgets := &retry.Budgets{Ratio: 0.16, Most: 2}
+	budgets := &retry.Budgets{Ratio: 0.16, MaxUnused: 2}
 	retries := 0
 	for range 100 {
 		for range 20 {
-			budgets.Of("generations").First()
+			budgets.For("generations").CountFirstTry()
 		}
-		budgets.Of("bookings").First()
-		if budgets.Of("bookings").Allow() {
+		budgets.For("bookings").CountFirstTry()
+		if budgets.For("bookings").Allow() {
 			retries++
 		}
 	}
 	is.True(retries <= 16+1) // the ratio, and the half of Most that is there at the beginning
-	is.True(budgets.Of("generations").Allow())
-	budgets.Bound(0)
-	is.True(!budgets.Of("generations").Allow())
-	is.True(!budgets.Of("another").Allow())
+	is.True(budgets.For("generations").Allow())
+	budgets.SetMax(0)
+	is.True(!budgets.For("generations").Allow())
+	is.True(!budgets.For("another").Allow())
 }
--- a/internal/placement/retry/budgets.go
+++ b/internal/placement/retry/budgets.go
@@ -9,28 +9,28 @@
 type Budgets struct {
 	// Ratio is the share of a service's first tries that may be retried there.
 	Ratio float64
-	// Most is how many unused retries are kept for a service; half of them are there at the beginning.
-	Most float64
+	// MaxUnused is how many unused retries are kept for a service; half of them are there at the beginning.
+	MaxUnused float64
 
 	services map[string]*Budget
 }
 
-// Of gives the budget of a service.
-func (b *Budgets) Of(service string) *Budget {
+// For gives the budget of a service.
+func (b *Budgets) For(service string) *Budget {
 	if known := b.services[service]; known != nil {
 		return known
 	}
 	if b.services == nil {
 		b.services = make(map[string]*Budget)
 	}
-	b.services[service] = Filled(b.Ratio, b.Most)
+	b.services[service] = NewHalfFull(b.Ratio, b.MaxUnused)
 	return b.services[service]
 }
 
-// Bound changes how many unused retries are kept for each service.
-func (b *Budgets) Bound(most float64) {
-	b.Most = most
+// SetMax changes how many unused retries are kept for each service.
+func (b *Budgets) SetMax(most float64) {
+	b.MaxUnused = most
 	for _, budget := range b.services {
-		budget.Bound(most)
+		budget.SetMax(most)
 	}
 }
--- a/internal/placement/route/route.go
+++ b/internal/placement/route/route.go
@@ -39,25 +39,25 @@
 	Exclude   []string
 }
 
-// Why names the rule that decided, for logs and measurements.
-type Why string
+// Reason names the rule that decided, for logs and measurements.
+type Reason string
 
 // The rules of a Choice.
 const (
-	// WhyResident: the version is loaded there and the wait is the shortest of those.
-	WhyResident Why = "resident"
-	// WhyHome: the version is loaded nowhere within reach, and this is its rendezvous home.
-	WhyHome Why = "home"
-	// WhySpill: the home or the resident ones are busy, and a load elsewhere is sooner.
-	WhySpill Why = "spill"
-	// WhyProbe: the upstream has failed and is tried with one request.
-	WhyProbe Why = "probe"
+	// ReasonResident: the version is loaded there and the wait is the shortest of those.
+	ReasonResident Reason = "resident"
+	// ReasonHome: the version is loaded nowhere within reach, and this is its rendezvous home.
+	ReasonHome Reason = "home"
+	// ReasonSpill: the home or the resident ones are busy, and a load elsewhere is sooner.
+	ReasonSpill Reason = "spill"
+	// ReasonProbe: the upstream has failed and is tried with one request.
+	ReasonProbe Reason = "probe"
 )
 
 // Choice is the upstream to ask for a place. Expected is the time until dispatch as far as known.
 type Choice struct {
 	Upstream  string
-	Why       Why
+	Reason    Reason
 	Expected  time.Duration
 	NeedsLoad bool
 }
@@ -84,8 +84,8 @@
 	LoadRate float64
 	// StaleAfter is the age at which a summary is not used any more.
 	StaleAfter time.Duration
-	// ProbeEvery is the time between two requests to an upstream that has failed.
-	ProbeEvery time.Duration
+	// ProbeInterval is the time between two requests to an upstream that has failed.
+	ProbeInterval time.Duration
 	// TokenTime is how long one token is expected to take until measured.
 	TokenTime time.Duration
 }
@@ -93,11 +93,11 @@
 // DefaultSettings for today's sizes.
 func DefaultSettings() Settings {
 	return Settings{
-		ExpectedLoad: 500 * time.Millisecond,
-		LoadPrice:    4 * time.Second,
-		LoadRate:     2,
-		StaleAfter:   5 * time.Second,
-		ProbeEvery:   2 * time.Second,
-		TokenTime:    20 * time.Millisecond,
+		ExpectedLoad:  500 * time.Millisecond,
+		LoadPrice:     4 * time.Second,
+		LoadRate:      2,
+		StaleAfter:    5 * time.Second,
+		ProbeInterval: 2 * time.Second,
+		TokenTime:     20 * time.Millisecond,
 	}
 }
--- a/internal/placement/route/router.go
+++ b/internal/placement/route/router.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Learn takes note of a holder's summary; one that is older than the known one is dropped.
-func (r *Router) Learn(now time.Time, summary Summary) {
+// UpdateSummary takes note of a holder's summary; one that is older than the known one is dropped.
+func (r *Router) UpdateSummary(now time.Time, summary Summary) {
 	u := r.upstreams[summary.Upstream]
 	if u == nil || summary.Epoch < u.summary.Epoch || !summary.At.After(u.summary.At) {
 		return
@@ -104,24 +104,24 @@
 		return Choice{}, ErrNoUpstream
 	}
 	best.at.noteSent(now, r.work(now, best.at, query))
-	if best.why == WhyProbe {
-		best.at.nextProbe = now.Add(r.Settings.ProbeEvery)
+	if best.why == ReasonProbe {
+		best.at.nextProbe = now.Add(r.Settings.ProbeInterval)
 	}
 	if best.needsLoad {
 		r.noteLoading(now, query.Model, best.at)
 	}
-	return Choice{Upstream: best.at.name(), Why: best.why, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
+	return Choice{Upstream: best.at.name(), Reason: best.why, Expected: best.wait, NeedsLoad: best.needsLoad}, nil
 }
 
-// Ended takes note of how a request ended.
-func (r *Router) Ended(now time.Time, outcome Outcome) {
+// RecordOutcome takes note of how a request ended.
+func (r *Router) RecordOutcome(now time.Time, outcome Outcome) {
 	u := r.upstreams[outcome.Upstream]
 	if u == nil {
 		return
 	}
 	u.ended(now, outcome, r.Settings.TokenTime)
 	if u.hasFailed() {
-		u.nextProbe = now.Add(r.Settings.ProbeEvery)
+		u.nextProbe = now.Add(r.Settings.ProbeInterval)
 	}
 }
 
@@ -130,7 +130,7 @@
 // candidate is an upstream that may be chosen. wait is the time until dispatch, total what is compared.
 type candidate struct {
 	at        *upstream
-	why       Why
+	why       Reason
 	wait      time.Duration
 	total     time.Duration
 	needsLoad bool
@@ -143,13 +143,13 @@
 	for i := 0; i < len(with) && len(list) < residentsSeen; i++ {
 		u := with[(i+r.turn)%len(with)]
 		if r.eligible(now, u, query) && u.isFresh(now, r.Settings.StaleAfter) {
-			list = append(list, r.weigh(now, u, query, WhyResident, 0))
+			list = append(list, r.weigh(now, u, query, ReasonResident, 0))
 		}
 	}
 	if l, ok := r.loading[query.Model]; ok && r.eligible(now, l.at, query) && !hasCandidate(list, l.at) {
 		left := max(0, r.Settings.ExpectedLoad-now.Sub(l.since))
 		if now.Sub(l.since) < r.Settings.StaleAfter {
-			list = append(list, r.weigh(now, l.at, query, WhyHome, left))
+			list = append(list, r.weigh(now, l.at, query, ReasonHome, left))
 		}
 	}
 	return r.addHomes(now, query, list)
@@ -158,7 +158,7 @@
 // addHomes adds the upstreams next to the version's place on the ring.
 func (r *Router) addHomes(now time.Time, query Query, list []candidate) []candidate {
 	points := r.rings[query.BaseModel]
-	why := WhyHome
+	why := ReasonHome
 	start := points.start(query.Model)
 	found := 0
 	for i := 0; i < len(points) && found < homesSeen; i++ {
@@ -171,7 +171,7 @@
 		}
 		found++
 		list = append(list, r.weigh(now, u, query, why, r.loadCost(now, u)))
-		why = WhySpill
+		why = ReasonSpill
 	}
 	return list
 }
@@ -192,12 +192,12 @@
 
 // weigh compares upstreams by when the request would be done there: the wait for a place, the load,
 // and the work at the upstream's own speed.
-func (r *Router) weigh(now time.Time, u *upstream, query Query, why Why, load time.Duration) candidate {
-	c := candidate{at: u, why: why, needsLoad: why != WhyResident}
+func (r *Router) weigh(now time.Time, u *upstream, query Query, why Reason, load time.Duration) candidate {
+	c := candidate{at: u, why: why, needsLoad: why != ReasonResident}
 	c.wait = u.wait(now, r.Settings.StaleAfter) + load
 	c.total = c.wait + r.work(now, u, query)
 	if u.hasFailed() {
-		c.why = WhyProbe
+		c.why = ReasonProbe
 	}
 	return c
 }
--- a/internal/placement/route/router_test.go
+++ b/internal/placement/route/router_test.go
@@ -35,7 +35,7 @@
 }
 
 func tell(r *route.Router, upstream string, free int, backlog time.Duration, resident ...model.Reference) {
-	r.Learn(time.Now(), route.Summary{
+	r.UpdateSummary(time.Now(), route.Summary{
 		Upstream: upstream, Epoch: 1, FreePlaces: free, Backlog: backlog,
 		Resident: resident, Healthy: true, At: time.Now(),
 	})
@@ -74,7 +74,7 @@
 		for range 8 {
 			choice, err := r.Choose(time.Now(), query(1))
 			is.NoErr(err)
-			is.Equal(choice.Why, route.WhyResident)
+			is.Equal(choice.Reason, route.ReasonResident)
 			used[choice.Upstream]++
 		}
 		is.Equal(used["u0"], 4)
@@ -129,8 +129,8 @@
 		tell(r, "u0", 8, 0, ref(1))
 		tell(r, "u1", 8, 0, ref(1))
 		for range 20 {
-			r.Ended(time.Now(), route.Outcome{Upstream: "u0", Tokens: 100, Took: 6 * time.Second})
-			r.Ended(time.Now(), route.Outcome{Upstream: "u1", Tokens: 100, Took: 2 * time.Second})
+			r.RecordOutcome(time.Now(), route.Outcome{Upstream: "u0", Tokens: 100, Took: 6 * time.Second})
+			r.RecordOutcome(time.Now(), route.Outcome{Upstream: "u1", Tokens: 100, Took: 2 * time.Second})
 		}
 		for range 8 {
 			choice, err := r.Choose(time.Now(), query(1))
@@ -160,7 +160,7 @@
 			is.NoErr(err)
 			if choice.Upstream == "u0" {
 				sent++
-				r.Ended(time.Now(), route.Outcome{Upstream: "u0", Failed: true})
+				r.RecordOutcome(time.Now(), route.Outcome{Upstream: "u0", Failed: true})
 			}
 			time.Sleep(100 * time.Millisecond)
 			tell(r, "u0", 8, 0, ref(1))
@@ -177,7 +177,7 @@
 		r := newRouter(3)
 		tell(r, "u0", 8, 0, ref(1))
 		r.SetLeaving([]string{"u0"})
-		r.Learn(time.Now(), route.Summary{Upstream: "u1", Epoch: 1, Resident: []model.Reference{ref(1)}, At: time.Now()})
+		r.UpdateSummary(time.Now(), route.Summary{Upstream: "u1", Epoch: 1, Resident: []model.Reference{ref(1)}, At: time.Now()})
 		choice, err := r.Choose(time.Now(), query(1))
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "u2")
--- a/internal/placement/suspect/register.go
+++ b/internal/placement/suspect/register.go
@@ -48,23 +48,23 @@
 	ApartAfter  int
 	AloneAfter  int
 	RefuseAfter int
-	// Forget is how long after its last crash a fingerprint is remembered.
-	Forget time.Duration
-	// Most is how many fingerprints an instance remembers of its own.
-	Most int
+	// Retention is how long after its last crash a fingerprint is remembered.
+	Retention time.Duration
+	// MaxFingerprints is how many fingerprints an instance remembers of its own.
+	MaxFingerprints int
 }
 
 // DefaultSettings bound a request to three crashes within ten minutes.
 func DefaultSettings() Settings {
-	return Settings{ApartAfter: 1, AloneAfter: 2, RefuseAfter: 3, Forget: 10 * time.Minute, Most: 1024}
+	return Settings{ApartAfter: 1, AloneAfter: 2, RefuseAfter: 3, Retention: 10 * time.Minute, MaxFingerprints: 1024}
 }
 
-// Register holds the counts. Set the exported field before use; it is not safe for use by several
+// Tracker holds the counts. Set the exported field before use; it is not safe for use by several
 // goroutines.
 //
 // Made for the request that crashes each upstream that runs it and that its caller sends again. The
 // harm it prevents: one more upstream lost, with all that runs in the same batch, for each try.
-type Register struct {
+type Tracker struct {
 	Settings Settings
 
 	own   map[Fingerprint]record
@@ -83,8 +83,8 @@
 	at time.Time
 }
 
-// Of gives the fingerprint of a request: the same for the caller's next send of the same body.
-func Of(workspace, model string, body []byte) Fingerprint {
+// FingerprintOf gives the fingerprint of a request: the same for the caller's next send of the same body.
+func FingerprintOf(workspace, model string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{workspace, model} {
 		hash.Write([]byte(part))
@@ -94,8 +94,8 @@
 	return Fingerprint(hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes]))
 }
 
-// Crashed tells that the upstream was lost while these requests of this instance were in flight there.
-func (r *Register) Crashed(now time.Time, inFlight []Fingerprint) {
+// RecordCrash tells that the upstream was lost while these requests of this instance were in flight there.
+func (r *Tracker) RecordCrash(now time.Time, inFlight []Fingerprint) {
 	r.prepare()
 	r.forget(now)
 	for _, fingerprint := range inFlight {
@@ -105,14 +105,14 @@
 		known.at = now
 		r.own[fingerprint] = known
 	}
-	for len(r.own) > r.Settings.Most {
+	for len(r.own) > r.Settings.MaxFingerprints {
 		r.dropOldest()
 	}
 }
 
-// Completed tells that the request ran to its end: it is no cause of the crashes so far. What peers
+// RecordCompletion tells that the request ran to its end: it is no cause of the crashes so far. What peers
 // counted is cleared by an own count, which they learn in turn.
-func (r *Register) Completed(now time.Time, fingerprint Fingerprint) {
+func (r *Tracker) RecordCompletion(now time.Time, fingerprint Fingerprint) {
 	r.prepare()
 	open := r.suspicions(fingerprint)
 	if open <= 0 {
@@ -126,13 +126,13 @@
 }
 
 // Judge tells how the request may run, and when to come back if it is refused.
-func (r *Register) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
+func (r *Tracker) Judge(now time.Time, fingerprint Fingerprint) (verdict Verdict, retryAfter time.Duration) {
 	r.prepare()
 	r.forget(now)
 	open := r.suspicions(fingerprint)
 	switch {
 	case open >= r.Settings.RefuseAfter:
-		return Refused, r.Settings.Forget
+		return Refused, r.Settings.Retention
 	case open >= r.Settings.AloneAfter:
 		return Alone, 0
 	case open >= r.Settings.ApartAfter:
@@ -142,8 +142,8 @@
 	}
 }
 
-// Own lists this instance's counts, for its heartbeat, in the order of the fingerprints.
-func (r *Register) Own(now time.Time) []Count {
+// LocalCounts lists this instance's counts, for its heartbeat, in the order of the fingerprints.
+func (r *Tracker) LocalCounts(now time.Time) []Count {
 	r.prepare()
 	r.forget(now)
 	counts := make([]Count, 0, len(r.own))
@@ -154,9 +154,9 @@
 	return counts
 }
 
-// Merge replaces what a peer told earlier by what it tells now. A peer tells all its counts each time,
+// SetPeerCounts replaces what a peer told earlier by what it tells now. A peer tells all its counts each time,
 // so that a lost heartbeat loses nothing and one told twice counts once.
-func (r *Register) Merge(now time.Time, instance string, counts []Count) {
+func (r *Tracker) SetPeerCounts(now time.Time, instance string, counts []Count) {
 	r.prepare()
 	if len(counts) == 0 {
 		delete(r.peers, instance)
@@ -172,7 +172,7 @@
 // ---------------------------------------------------------------------------------------------
 
 // suspicions is the number of crashes, seen by any instance, that the request is not cleared of.
-func (r *Register) suspicions(fingerprint Fingerprint) (open int) {
+func (r *Tracker) suspicions(fingerprint Fingerprint) (open int) {
 	known := r.own[fingerprint]
 	open = known.Crashes - known.Cleared
 	for _, peer := range r.peers {
@@ -183,20 +183,20 @@
 
 // forget drops own counts that have not changed for long, and those of instances that are gone. A caller that sends a refused request again
 // does not extend its time, so an engine that was mended is tried again.
-func (r *Register) forget(now time.Time) {
+func (r *Tracker) forget(now time.Time) {
 	for fingerprint, known := range r.own {
-		if now.Sub(known.at) > r.Settings.Forget {
+		if now.Sub(known.at) > r.Settings.Retention {
 			delete(r.own, fingerprint)
 		}
 	}
 	for instance, peer := range r.peers {
-		if now.Sub(peer.at) > r.Settings.Forget {
+		if now.Sub(peer.at) > r.Settings.Retention {
 			delete(r.peers, instance)
 		}
 	}
 }
 
-func (r *Register) dropOldest() {
+func (r *Tracker) dropOldest() {
 	var oldest Fingerprint
 	for fingerprint, known := range r.own {
 		if oldest == "" || known.at.Before(r.own[oldest].at) {
@@ -207,7 +207,7 @@
 }
 
 // prepare makes the zero value usable, as the exported field is set after it is made.
-func (r *Register) prepare() {
+func (r *Tracker) prepare() {
 	if r.own == nil {
 		r.own = make(map[Fingerprint]record)
 		r.peers = make(map[string]told)
--- a/internal/placement/suspect/register_test.go
+++ b/internal/placement/suspect/register_test.go
@@ -10,11 +10,11 @@
 	"lacewingrock.example/lacewingrock/internal/placement/suspect"
 )
 
-func newRegister() *suspect.Register {
-	return &suspect.Register{Settings: suspect.DefaultSettings()}
+func newRegister() *suspect.Tracker {
+	return &suspect.Tracker{Settings: suspect.DefaultSettings()}
 }
 
-func verdict(r *suspect.Register, f suspect.Fingerprint) suspect.Verdict {
+func verdict(r *suspect.Tracker, f suspect.Fingerprint) suspect.Verdict {
 	v, _ := r.Judge(time.Now(), f)
 	return v
 }
@@ -25,21 +25,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, b := newRegister(), newRegister()
-		bad := suspect.Of("w", "bids@v1", []byte("body"))
-		a.Crashed(time.Now(), []suspect.Fingerprint{bad, "innocent"})
-		b.Merge(time.Now(), "a", a.Own(time.Now()))
+		bad := suspect.FingerprintOf("w", "bids@v1", []byte("body"))
+		a.RecordCrash(time.Now(), []suspect.Fingerprint{bad, "innocent"})
+		b.SetPeerCounts(time.Now(), "a", a.LocalCounts(time.Now()))
 		is.Equal(verdict(b, bad), suspect.Apart)
-		b.Crashed(time.Now(), []suspect.Fingerprint{bad})
-		a.Merge(time.Now(), "b", b.Own(time.Now()))
-		a.Merge(time.Now(), "b", b.Own(time.Now())) // a heartbeat told twice counts once
+		b.RecordCrash(time.Now(), []suspect.Fingerprint{bad})
+		a.SetPeerCounts(time.Now(), "b", b.LocalCounts(time.Now()))
+		a.SetPeerCounts(time.Now(), "b", b.LocalCounts(time.Now())) // a heartbeat told twice counts once
 		is.Equal(verdict(a, bad), suspect.Alone)
 		is.Equal(verdict(a, "innocent"), suspect.Apart)
-		a.Crashed(time.Now(), []suspect.Fingerprint{bad})
+		a.RecordCrash(time.Now(), []suspect.Fingerprint{bad})
 		refused, retryAfter := a.Judge(time.Now(), bad)
 		is.Equal(refused, suspect.Refused)
 		is.True(retryAfter > 0)
-		time.Sleep(suspect.DefaultSettings().Forget + time.Second)
-		b.Merge(time.Now(), "a", a.Own(time.Now()))
+		time.Sleep(suspect.DefaultSettings().Retention + time.Second)
+		b.SetPeerCounts(time.Now(), "a", a.LocalCounts(time.Now()))
 		is.Equal(verdict(b, bad), suspect.Free)
 	})
 }
@@ -50,12 +50,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, b := newRegister(), newRegister()
-		a.Crashed(time.Now(), []suspect.Fingerprint{"innocent"})
-		a.Crashed(time.Now(), []suspect.Fingerprint{"innocent"})
-		b.Merge(time.Now(), "a", a.Own(time.Now()))
+		a.RecordCrash(time.Now(), []suspect.Fingerprint{"innocent"})
+		a.RecordCrash(time.Now(), []suspect.Fingerprint{"innocent"})
+		b.SetPeerCounts(time.Now(), "a", a.LocalCounts(time.Now()))
 		is.Equal(verdict(b, "innocent"), suspect.Alone)
-		b.Completed(time.Now(), "innocent")
-		a.Merge(time.Now(), "b", b.Own(time.Now()))
+		b.RecordCompletion(time.Now(), "innocent")
+		a.SetPeerCounts(time.Now(), "b", b.LocalCounts(time.Now()))
 		is.Equal(verdict(a, "innocent"), suspect.Free)
 		is.Equal(verdict(b, "innocent"), suspect.Free)
 	})
@@ -66,11 +66,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRegister()
-		r.Settings.Most = 10
+		r.Settings.MaxFingerprints = 10
 		for i := range 100 {
 			time.Sleep(time.Second)
-			r.Crashed(time.Now(), []suspect.Fingerprint{suspect.Of("w", "m", []byte{byte(i)})})
+			r.RecordCrash(time.Now(), []suspect.Fingerprint{suspect.FingerprintOf("w", "m", []byte{byte(i)})})
 		}
-		is.Equal(len(r.Own(time.Now())), 10)
+		is.Equal(len(r.LocalCounts(time.Now())), 10)
 	})
 }
--- a/internal/placement/turn/line.go
+++ b/internal/placement/turn/line.go
@@ -32,15 +32,15 @@
 	// Tokens is its length.
 	Tokens   int
 	Priority int
-	// OnTimeUntil is until when its turn has to come for it to be on time.
-	OnTimeUntil time.Time
+	// LatestDispatch is until when its turn has to come for it to be on time.
+	LatestDispatch time.Time
 
 	joined time.Time
 }
 
-// Line is the prompts that wait for one engine. The zero value is ready for use; it is not safe for use by several
+// Queue is the prompts that wait for one engine. The zero value is ready for use; it is not safe for use by several
 // goroutines.
-type Line struct {
+type Queue struct {
 	waiting []*Prompt
 	// prefillUntil is when the prefill of what was let through is predicted to end; next is when the next prompt may be
 	// sent, and last when the latest one was.
@@ -49,26 +49,26 @@
 	last         time.Time
 }
 
-// Join adds a prompt. It has to be taken out by Take or Leave.
-func (l *Line) Join(now time.Time, prompt *Prompt) {
+// Enqueue adds a prompt. It has to be taken out by Take or Leave.
+func (l *Queue) Enqueue(now time.Time, prompt *Prompt) {
 	prompt.joined = now
 	l.waiting = append(l.waiting, prompt)
 }
 
-// Leave takes a prompt out that does not wait any more.
-func (l *Line) Leave(prompt *Prompt) {
+// Remove takes a prompt out that does not wait any more.
+func (l *Queue) Remove(prompt *Prompt) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(other *Prompt) bool { return other == prompt })
 }
 
-// Take lets a prompt through if it is its turn; else it tells when to ask again at the latest.
-func (l *Line) Take(now time.Time, prompt *Prompt, streams bool) (again time.Time, taken bool) {
+// TryDispatch lets a prompt through if it is its turn; else it tells when to ask again at the latest.
+func (l *Queue) TryDispatch(now time.Time, prompt *Prompt, streams bool) (again time.Time, taken bool) {
 	if now.Before(l.next) {
 		return l.next, false
 	}
 	if l.first(now) != prompt {
 		return now.Add(lead), false
 	}
-	l.Leave(prompt)
+	l.Remove(prompt)
 	l.last = now
 	if l.prefillUntil.Before(now) {
 		l.prefillUntil = now
@@ -81,8 +81,8 @@
 	return time.Time{}, true
 }
 
-// Idle takes note that no prefill is left: a prompt whose prefix was cached takes less than predicted.
-func (l *Line) Idle(now time.Time) {
+// PrefillDone takes note that no prefill is left: a prompt whose prefix was cached takes less than predicted.
+func (l *Queue) PrefillDone(now time.Time) {
 	if now.Sub(l.last) < settle || !now.Before(l.next) {
 		return
 	}
@@ -90,8 +90,8 @@
 	l.next = now
 }
 
-// Wait is how long a prompt that waits, or one that would join, has to wait for its turn.
-func (l *Line) Wait(now time.Time, prompt *Prompt) time.Duration {
+// QueueingDelay is how long a prompt that waits, or one that would join, has to wait for its turn.
+func (l *Queue) QueueingDelay(now time.Time, prompt *Prompt) time.Duration {
 	wait := max(l.next.Sub(now), 0)
 	for _, other := range l.waiting {
 		if other != prompt && l.isBefore(now, other, prompt) {
@@ -101,14 +101,14 @@
 	return wait
 }
 
-// IsHopeless tells whether a prompt had better not wait: its answer would be late, and the wait is not short.
-func (l *Line) IsHopeless(now time.Time, prompt *Prompt) bool {
-	wait := l.Wait(now, prompt)
-	return wait > shortWait && now.Add(wait).After(prompt.OnTimeUntil)
+// ShouldReject tells whether a prompt had better not wait: its answer would be late, and the wait is not short.
+func (l *Queue) ShouldReject(now time.Time, prompt *Prompt) bool {
+	wait := l.QueueingDelay(now, prompt)
+	return wait > shortWait && now.Add(wait).After(prompt.LatestDispatch)
 }
 
-// Tokens is the length of all that wait.
-func (l *Line) Tokens() (total int) {
+// QueuedTokens is the length of all that wait.
+func (l *Queue) QueuedTokens() (total int) {
 	for _, prompt := range l.waiting {
 		total += prompt.Tokens
 	}
@@ -117,7 +117,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-func (l *Line) first(now time.Time) (first *Prompt) {
+func (l *Queue) first(now time.Time) (first *Prompt) {
 	for _, prompt := range l.waiting {
 		if first == nil || l.isBefore(now, prompt, first) {
 			first = prompt
@@ -128,8 +128,8 @@
 
 // isBefore puts those first who can still be on time, of them the most urgent, and of them who came first. Who is
 // late has lost most of what the answer is worth; before the others they would make all of them late as well.
-func (l *Line) isBefore(now time.Time, a, b *Prompt) bool {
-	if late := now.After(a.OnTimeUntil); late != now.After(b.OnTimeUntil) {
+func (l *Queue) isBefore(now time.Time, a, b *Prompt) bool {
+	if late := now.After(a.LatestDispatch); late != now.After(b.LatestDispatch) {
 		return !late
 	}
 	if a.Priority != b.Priority {
--- a/internal/placement/turn/line_test.go
+++ b/internal/placement/turn/line_test.go
@@ -14,21 +14,21 @@
 
 func prompt(reading time.Duration, priority int, onTimeFor time.Duration) *turn.Prompt {
 	return &turn.Prompt{
-		Prefill: reading, Tokens: int(reading / ms), Priority: priority, OnTimeUntil: time.Now().Add(onTimeFor),
+		Prefill: reading, Tokens: int(reading / ms), Priority: priority, LatestDispatch: time.Now().Add(onTimeFor),
 	}
 }
 
 // joined adds prompts to a line, one a millisecond.
-func joined(l *turn.Line, prompts ...*turn.Prompt) []*turn.Prompt {
+func joined(l *turn.Queue, prompts ...*turn.Prompt) []*turn.Prompt {
 	for _, one := range prompts {
-		l.Join(time.Now(), one)
+		l.Enqueue(time.Now(), one)
 		time.Sleep(ms)
 	}
 	return prompts
 }
 
 // serve lets all prompts through that wait, and tells when each was.
-func serve(l *turn.Line, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
+func serve(l *turn.Queue, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
 	began := time.Now()
 	taken := make(map[*turn.Prompt]time.Duration)
 	for len(taken) < len(prompts) {
@@ -36,7 +36,7 @@
 			if _, done := taken[one]; done {
 				continue
 			}
-			if _, now := l.Take(time.Now(), one, streams); now {
+			if _, now := l.TryDispatch(time.Now(), one, streams); now {
 				taken[one] = time.Since(began)
 			}
 		}
@@ -51,16 +51,16 @@
 func TestBurstOfLongPromptsLeavesTimeForStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		prompts := joined(&l, prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second),
 			prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second))
-		is.Equal(l.Tokens(), 1200)
+		is.Equal(l.QueuedTokens(), 1200)
 		taken := serve(&l, true, prompts...)
 		for i := 1; i < len(prompts); i++ {
 			is.True(taken[prompts[i]]-taken[prompts[i-1]] >= 320*ms) // 300 to read, and more than 20 for the streams
 		}
 		is.True(taken[prompts[3]] < 1050*ms) // and the engine is hardly ever idle
-		is.Equal(l.Tokens(), 0)
+		is.Equal(l.QueuedTokens(), 0)
 	})
 }
 
@@ -68,7 +68,7 @@
 func TestWithoutStreamsTheEngineIsNeverIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		a, b := prompt(200*ms, 1, time.Second), prompt(200*ms, 1, time.Second)
 		joined(&l, a, b)
 		taken := serve(&l, false, a, b)
@@ -81,13 +81,13 @@
 func TestWhoCanBeOnTimeGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		late := prompt(300*ms, 0, -ms)
 		patient := prompt(300*ms, 2, 5*time.Second)
 		urgent := prompt(20*ms, 0, time.Second)
 		joined(&l, late, patient, urgent)
-		is.Equal(l.Wait(time.Now(), urgent), time.Duration(0))
-		is.Equal(l.Wait(time.Now(), late), 320*ms)
+		is.Equal(l.QueueingDelay(time.Now(), urgent), time.Duration(0))
+		is.Equal(l.QueueingDelay(time.Now(), late), 320*ms)
 		taken := serve(&l, true, late, patient, urgent)
 		is.True(taken[urgent] < taken[patient])
 		is.True(taken[patient] < taken[late])
@@ -99,17 +99,17 @@
 func TestPromptThatIsReadSoonerLetsTheNextThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		kept, next := prompt(500*ms, 1, time.Second), prompt(100*ms, 1, time.Second)
 		joined(&l, kept, next)
-		_, taken := l.Take(time.Now(), kept, true)
+		_, taken := l.TryDispatch(time.Now(), kept, true)
 		is.True(taken)
-		l.Idle(time.Now()) // its sender has not told yet that it is on its way
-		_, taken = l.Take(time.Now(), next, true)
+		l.PrefillDone(time.Now()) // its sender has not told yet that it is on its way
+		_, taken = l.TryDispatch(time.Now(), next, true)
 		is.True(!taken)
 		time.Sleep(80 * ms)
-		l.Idle(time.Now())
-		_, taken = l.Take(time.Now(), next, true)
+		l.PrefillDone(time.Now())
+		_, taken = l.TryDispatch(time.Now(), next, true)
 		is.True(taken)
 	})
 }
@@ -118,11 +118,11 @@
 func TestWhoLeavesHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		gone, next := prompt(300*ms, 0, time.Second), prompt(300*ms, 1, time.Second)
 		joined(&l, gone, next)
-		l.Leave(gone)
-		_, taken := l.Take(time.Now(), next, true)
+		l.Remove(gone)
+		_, taken := l.TryDispatch(time.Now(), next, true)
 		is.True(taken)
 	})
 }
@@ -132,13 +132,13 @@
 func TestHopelessWaitsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Line
+		var l turn.Queue
 		before := joined(&l, prompt(400*ms, 1, 5*time.Second), prompt(400*ms, 1, 5*time.Second))
 		hasty, calm := prompt(100*ms, 1, 600*ms), prompt(100*ms, 1, 5*time.Second)
 		joined(&l, hasty, calm)
-		is.True(l.IsHopeless(time.Now(), hasty))
-		is.True(!l.IsHopeless(time.Now(), calm))
-		l.Leave(before[0])
-		is.True(!l.IsHopeless(time.Now(), hasty)) // 400 ms are left
+		is.True(l.ShouldReject(time.Now(), hasty))
+		is.True(!l.ShouldReject(time.Now(), calm))
+		l.Remove(before[0])
+		is.True(!l.ShouldReject(time.Now(), hasty)) // 400 ms are left
 	})
 }
