--- a/internal/entry/pipeline/service_call_test.go
+++ b/internal/entry/pipeline/service_call_test.go
@@ -81,7 +81,7 @@
 // The request or the response of the write that claims an order is lost. In both cases the order must run exactly once.
 func TestLostClaimRequestOrResponse(t *testing.T) {
 	for _, lose := range []func(kv *store.Memory){
-		func(kv *store.Memory) { kv.LoseAnswers(1) },
+		func(kv *store.Memory) { kv.LoseResponses(1) },
 		func(kv *store.Memory) { kv.LoseRequests(1) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
