--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -1,6 +1,6 @@
-// Package api is what an instance answers operators: changes and look-ups of resources, keys, watches,
-// where a revision is in force, and the burn report. It speaks JSON over HTTP. What it needs of the
-// rest of the instance comes through the small interfaces below.
+// Package api implements the operators' API of an instance: changes and look-ups of resources, keys,
+// watches, the revision in force on each instance, and the burn report. It uses JSON over HTTP. The
+// interfaces below are its dependencies on the rest of the instance.
 package api
 
 import (
@@ -17,17 +17,17 @@
 )
 
 const (
-	// maxBody bounds what an operator may send. A file of 45,000 adapters with a version each is some
-	// 15 MB; the limit keeps one call from using up the instance's memory.
+	// maxBody bounds a request body. A file of 45,000 adapters with a version each is about 15 MB; the
+	// limit keeps one call from exhausting the instance's memory.
 	maxBody = 32 << 20
-	// commitWithin bounds a change. It is long enough to find out what became of a swap whose answer
-	// was lost in a short outage, and short enough for someone who waits at a terminal.
-	commitWithin = 10 * time.Second
-	// longestWait bounds waiting for a revision to be in force, or for the next one.
-	longestWait = 25 * time.Second
+	// commitTimeout bounds a change. It is long enough to determine the outcome of a compare-and-swap
+	// whose response was lost in a short outage, and short enough for someone waiting at a terminal.
+	commitTimeout = 10 * time.Second
+	// maxWait bounds waiting for a revision to be in force, or for the next revision.
+	maxWait = 25 * time.Second
 )
 
-// Configurations is the repository.
+// Configurations reads and changes the configuration; the catalog's repository implements it.
 type Configurations interface {
 	Current() repository.Snapshot
 	Apply(
@@ -38,21 +38,22 @@
 	) (current repository.Snapshot, changed []repository.Changed, complete bool)
 }
 
-// InstanceStatus is what is known of one member.
+// InstanceStatus is the last known state of one instance.
 type InstanceStatus struct {
 	Name       string
 	DataCentre string
-	// Revision is the one in force there, as last heard, and InForceSince since when.
+	// Revision is the last reported revision in force there, and InForceSince the time it came into
+	// force.
 	Revision     int64
 	InForceSince time.Time
-	// Reachable is false when nothing was heard of it lately.
+	// Reachable is false when the instance has not been heard from recently.
 	Reachable bool
 }
 
-// Fleet knows how far the members are.
+// Fleet reports which revision is in force on each instance.
 type Fleet interface {
 	Status() []InstanceStatus
-	// WaitInForce returns nil once the revision is in force everywhere, or the context's error.
+	// WaitInForce returns nil once the revision is in force on every instance, or the context's error.
 	WaitInForce(ctx context.Context, revision int64) error
 }
 
@@ -68,34 +69,34 @@
 	Bad        int64
 }
 
-// Report is the burn report over all instances, the worst workspace first.
+// Report is the burn report over all instances, sorted with the worst workspace first.
 type Report struct {
 	ShortWindow time.Duration
 	LongWindow  time.Duration
 	Lines       []BurnLine
 }
 
-// Reports makes the burn report.
+// Reports produces the burn report.
 type Reports interface {
 	BurnReport(ctx context.Context) (Report, error)
 }
 
-// Server answers operators. Set the exported fields before Handler is called.
+// Server serves the operators' API. Set the exported fields before calling Handler.
 type Server struct {
 	Configurations Configurations
 	Fleet          Fleet
 	Reports        Reports
-	// TokenHashes are the SHA-256, in lower-case hex, of the tokens that operators may present.
+	// TokenHashes are the SHA-256 hashes, in lower-case hex, of the accepted operator tokens.
 	TokenHashes []string
-	// Log takes one line for each call.
+	// Log receives one line for each call.
 	Log zerolog.Logger
 }
 
-// Handler gives the HTTP handler.
+// Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
-	e.HTTPErrorHandler = s.fail
-	e.Use(s.logged, s.authenticated)
+	e.HTTPErrorHandler = s.writeFailure
+	e.Use(s.logCall, s.authenticate)
 	e.POST("/v1/apply", s.apply)
 	e.GET("/v1/resources/:kind", s.list)
 	e.GET("/v1/resources/:kind/:name", s.get)
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -21,7 +21,7 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// failing answers every change with one error.
+// failing fails every change with the same error.
 type failing struct {
 	repository.Repository
 	err error
@@ -107,9 +107,9 @@
 	}
 }
 
-// A change fails in the store. What the operator is told about whether anything was changed has to be
-// true for each way of failing; "nothing was changed" about a change that was made leads to a second
-// one.
+// A change fails in the store. For each kind of failure, the message must state correctly whether
+// anything was changed: after a false "nothing was changed" the operator would make the change a second
+// time.
 func TestFailuresOfTheStore(t *testing.T) {
 	both := errors.WithMessage(store.ErrUnknown, store.ErrUnavailable.Error())
 	cases := []struct {
--- a/internal/operator/api/authentication.go
+++ b/internal/operator/api/authentication.go
@@ -1,4 +1,4 @@
-// Who may call, and the line each call leaves in the log.
+// Authentication of operators, and the log line of each call.
 
 package api
 
@@ -13,19 +13,19 @@
 	"github.com/labstack/echo/v4"
 )
 
-// authenticated lets a call through whose token has one of the hashes. Every hash is compared in
-// constant time, so that the time an answer takes tells nothing of how near a guess was.
-func (s *Server) authenticated(next echo.HandlerFunc) echo.HandlerFunc {
+// authenticate accepts a call if the hash of its token is one of TokenHashes. Every hash is compared in
+// constant time, so that the response time reveals nothing about how close a guessed token was.
+func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, found := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
-		if !found || token == "" || !s.known(token) {
+		if !found || token == "" || !s.isAcceptedToken(token) {
 			return errUnauthenticated
 		}
 		return next(c)
 	}
 }
 
-func (s *Server) known(token string) bool {
+func (s *Server) isAcceptedToken(token string) bool {
 	presented := []byte(hashOf(token))
 	known := 0
 	for _, hash := range s.TokenHashes {
@@ -39,9 +39,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// logged writes one line for each call. Neither headers nor bodies go into it: they hold tokens and
-// secrets. The path holds names only.
-func (s *Server) logged(next echo.HandlerFunc) echo.HandlerFunc {
+// logCall writes one log line for each call. It omits headers and bodies, because they contain tokens and
+// secrets. The path contains names only.
+func (s *Server) logCall(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		began := time.Now()
 		err := next(c)
--- a/internal/operator/api/change.go
+++ b/internal/operator/api/change.go
@@ -1,4 +1,4 @@
-// Changes of resources: files, removals, keys.
+// Changes of resources: applying files, removing resources, granting and withdrawing keys.
 
 package api
 
@@ -21,13 +21,13 @@
 )
 
 const (
-	// secretBytes is the length of a key's secret: 256 bits cannot be guessed.
+	// secretBytes is the length of a key's secret. 256 bits cannot be guessed.
 	secretBytes = 32
-	// secretPrefix lets a secret be recognised where it does not belong, such as in a file.
+	// secretPrefix makes a leaked secret recognisable, for example in a file.
 	secretPrefix = "lwr-"
 )
 
-// decision makes a change of the newest configuration.
+// decision computes a change from the newest configuration.
 type decision func(c configuration.Configuration) (configuration.Change, error)
 
 func (s *Server) apply(c echo.Context) error {
@@ -71,8 +71,8 @@
 	return c.JSON(http.StatusOK, accepted)
 }
 
-// grant makes a key. The secret is made here, hashed here, and sent once; if the answer is lost, the
-// key is of no use to anyone and is withdrawn by name.
+// grant creates a key. The secret is generated and hashed here and sent once. If the response is lost,
+// nobody can use the key, and the operator withdraws it by name.
 func (s *Server) grant(c echo.Context) error {
 	body, err := bodyOf(c)
 	if err != nil {
@@ -116,19 +116,20 @@
 
 func newSecret() string {
 	secret := make([]byte, secretBytes)
-	_, _ = rand.Read(secret) // it never fails: the runtime ends the process instead
+	_, _ = rand.Read(secret) // it never returns an error: on failure the runtime ends the process
 	return secretPrefix + base64.RawURLEncoding.EncodeToString(secret)
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// commit makes a change and, if the call says wait=5s, waits for it to be in force everywhere.
+// commit makes a change. With a parameter such as wait=5s, it then waits until the change is in force on
+// every instance.
 func (s *Server) commit(c echo.Context, decide decision, ids []resource.ID) (accepted message.Accepted, err error) {
 	wait, err := waitOf(c, 0)
 	if err != nil {
 		return message.Accepted{}, err
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), commitWithin)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), commitTimeout)
 	defer cancel()
 	var before []int64
 	revision, err := s.Configurations.Apply(ctx, func(
@@ -141,7 +142,7 @@
 		return message.Accepted{}, err
 	}
 	after := versionsIn(s.Configurations.Current().Configuration, ids)
-	accepted = message.Accepted{Revision: revision, Resources: compared(ids, before, after)}
+	accepted = message.Accepted{Revision: revision, Resources: versionChanges(ids, before, after)}
 	if wait > 0 {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), wait)
 		defer cancel()
@@ -150,7 +151,7 @@
 	return accepted, nil
 }
 
-// versionsIn gives the resource version of each ID, 0 for what is not declared.
+// versionsIn returns the resource version of each ID, 0 if it is not declared.
 func versionsIn(c configuration.Configuration, ids []resource.ID) []int64 {
 	versions := make([]int64, len(ids))
 	for i, id := range ids {
@@ -161,8 +162,8 @@
 	return versions
 }
 
-// compared lists the resource versions that a change found and left behind.
-func compared(ids []resource.ID, before, after []int64) []message.Version {
+// versionChanges lists the resource versions after a change, and whether the change made them.
+func versionChanges(ids []resource.ID, before, after []int64) []message.Version {
 	versions := make([]message.Version, len(ids))
 	for i, id := range ids {
 		versions[i] = message.Version{
@@ -190,7 +191,7 @@
 	return io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBody))
 }
 
-// waitOf reads the parameter wait, a duration such as 5s.
+// waitOf parses the parameter wait, a duration such as 5s, and limits it to maxWait.
 func waitOf(c echo.Context, absent time.Duration) (wait time.Duration, err error) {
 	text := c.QueryParam("wait")
 	if text == "" {
@@ -200,5 +201,5 @@
 	if err != nil || wait < 0 {
 		return 0, invalid(`wait must be a duration such as "5s"`)
 	}
-	return min(wait, longestWait), nil
+	return min(wait, maxWait), nil
 }
--- a/internal/operator/api/failure.go
+++ b/internal/operator/api/failure.go
@@ -1,5 +1,5 @@
-// How an error becomes an answer: a status, a code, and the problems. Above all it must be true
-// whether something was changed.
+// Mapping of errors to responses: a status, a code, and the problems. The response must state correctly
+// whether anything was changed.
 
 package api
 
@@ -16,18 +16,18 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// retryAfter is when to come back after the store failed, in seconds. Operators are few, so that a
-// short time burdens nobody.
+// retryAfter is the Retry-After value in seconds when the store failed. There are few operators, so a
+// short time causes no overload.
 const retryAfter = 2
 
-// refusal is an error of this package, with the answer it becomes.
+// refusal is an error of this package, with the response it is mapped to.
 type refusal struct {
 	status  int
 	code    message.Code
 	message string
 }
 
-// Error gives the message.
+// Error returns the message.
 func (r refusal) Error() string { return r.message }
 
 func invalid(text string) error {
@@ -43,8 +43,8 @@
 	message: "an operator's token is needed: Authorization: Bearer TOKEN",
 }
 
-// fail answers with what the error means.
-func (s *Server) fail(err error, c echo.Context) {
+// writeFailure responds with the status and the body that the error is mapped to.
+func (s *Server) writeFailure(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -55,11 +55,11 @@
 	if status == http.StatusUnauthorized {
 		c.Response().Header().Set("WWW-Authenticate", "Bearer")
 	}
-	_ = c.JSON(status, message.Failure{Error: detail}) // the operator has gone
+	_ = c.JSON(status, message.Failure{Error: detail}) // fails only if the operator has disconnected
 }
 
-// failureOf sorts errors. ErrUnknown goes before ErrUnavailable: what is not known must not be told
-// as "nothing was changed".
+// failureOf maps an error to a status and a failure detail. ErrUnknown is checked before ErrUnavailable:
+// an unknown outcome must not be reported as "nothing was changed".
 func failureOf(err error) (status int, detail message.FailureDetail) {
 	var own refusal
 	var problems configuration.Problems
@@ -73,11 +73,11 @@
 	case errors.As(err, &problems):
 		status, detail.Code = http.StatusBadRequest, message.CodeInvalid
 		detail.Message = "the change is invalid; nothing was changed"
-		detail.Problems = told(problems)
+		detail.Problems = problemMessages(problems)
 	case errors.As(err, &conflicts):
 		status, detail.Code = http.StatusConflict, message.CodeConflict
 		detail.Message = "the change was made on an old resource version; nothing was changed"
-		detail.Problems = told(conflicts)
+		detail.Problems = problemMessages(conflicts)
 	case errors.Is(err, repository.ErrTooLarge), errors.As(err, &tooLarge):
 		status, detail.Code = http.StatusRequestEntityTooLarge, message.CodeTooLarge
 		detail.Message = "too large; nothing was changed"
@@ -109,7 +109,7 @@
 	return message.CodeInternal
 }
 
-func told(problems []configuration.Problem) []message.Problem {
+func problemMessages(problems []configuration.Problem) []message.Problem {
 	list := make([]message.Problem, len(problems))
 	for i, p := range problems {
 		list[i] = message.Problem(p)
--- a/internal/operator/api/lookup.go
+++ b/internal/operator/api/lookup.go
@@ -1,4 +1,4 @@
-// Look-ups of resources, from what this instance has in force, and the watch.
+// Look-ups of resources in the configuration in force on this instance, and the watch.
 
 package api
 
@@ -50,14 +50,14 @@
 	return c.JSON(http.StatusOK, answer)
 }
 
-// watch waits until this instance has a revision above after in force, or for the time asked for, and
-// tells what changed. An operator calls it again with the revision it was told.
+// watch waits until a revision above after is in force on this instance, or until the requested time has
+// passed, and returns what changed. The operator's next call passes the returned revision as after.
 func (s *Server) watch(c echo.Context) error {
 	after, err := strconv.ParseInt(c.QueryParam("after"), 10, 64)
 	if err != nil || after < 0 {
 		return invalid("after must be a revision")
 	}
-	wait, err := waitOf(c, longestWait)
+	wait, err := waitOf(c, maxWait)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -1,5 +1,5 @@
 // Package client calls the operators' API of an instance. lacewingctl is built on it. It makes one
-// attempt for each call: whether a change may be sent again is the operator's to decide.
+// attempt for each call: only the operator can decide whether a change may be sent again.
 package client
 
 import (
@@ -20,19 +20,19 @@
 )
 
 const (
-	// DefaultTimeout bounds a call beyond what it waits for; the instance itself gives a change 10 s.
+	// DefaultTimeout bounds a call, in addition to its wait; the instance itself bounds a change by 10 s.
 	DefaultTimeout = 15 * time.Second
-	// maxAnswer bounds an answer: a list of 45,000 adapters is some 10 MB.
-	maxAnswer = 256 << 20
+	// maxResponse bounds a response body: a list of 45,000 adapters is about 10 MB.
+	maxResponse = 256 << 20
 )
 
 // Client calls one instance. Set the exported fields before the first call.
 type Client struct {
 	// Server is the instance's URL for operators, such as "http://10.0.0.1:7002".
 	Server string
-	// Token is the operator's.
+	// Token is the operator's token.
 	Token string
-	// Timeout bounds each call beyond what it waits for; zero means DefaultTimeout.
+	// Timeout bounds each call, in addition to its wait; zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
@@ -42,7 +42,7 @@
 	Detail message.FailureDetail
 }
 
-// Error gives the message and every problem, one a line.
+// Error returns the message and every problem, one per line.
 func (r *Refused) Error() string {
 	lines := []string{r.Detail.Message}
 	for _, p := range r.Detail.Problems {
@@ -55,14 +55,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unreachable is the error of a call without a usable answer: no connection, or a lost answer. Whether
-// a change was made is not known unless Sent is false.
+// Unreachable is the error of a call without a usable response: the connection failed, or the response
+// was lost. If Sent is false, nothing was changed; otherwise that is not known.
 type Unreachable struct {
 	Sent  bool
 	Cause error
 }
 
-// Error says whether anything can have been changed.
+// Error states whether anything can have been changed.
 func (u *Unreachable) Error() string {
 	if u.Sent {
 		return "the answer was lost: " + u.Cause.Error()
@@ -72,7 +72,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// Apply sends a file of resources, and waits up to wait for it to be in force everywhere.
+// Apply declares the resources of a file, and waits up to wait until they are in force on every instance.
 func (c *Client) Apply(ctx context.Context, file []byte, wait time.Duration) (accepted message.Accepted, err error) {
 	err = c.call(ctx, call{method: http.MethodPost, path: "/v1/apply", body: file, wait: wait}, &accepted)
 	return accepted, err
@@ -91,7 +91,7 @@
 	return resources, err
 }
 
-// Delete removes a resource that has the version, or any version if it is 0.
+// Delete removes a resource if its version is the given one; version 0 accepts any.
 func (c *Client) Delete(
 	ctx context.Context, kind, name string, version int64, wait time.Duration,
 ) (accepted message.Accepted, err error) {
@@ -105,14 +105,14 @@
 	return accepted, err
 }
 
-// Watch waits for a revision above after, and tells what changed.
+// Watch waits for a revision above after, and returns what changed.
 func (c *Client) Watch(ctx context.Context, after int64, wait time.Duration) (changes message.Changes, err error) {
 	query := url.Values{"after": {strconv.FormatInt(after, 10)}}
 	err = c.call(ctx, call{method: http.MethodGet, path: "/v1/watch", query: query, wait: wait}, &changes)
 	return changes, err
 }
 
-// GrantKey makes a key. Its secret is in the answer and nowhere else.
+// GrantKey creates a key. Only the response contains its secret.
 func (c *Client) GrantKey(
 	ctx context.Context, workspace, name string, wait time.Duration,
 ) (granted message.Granted, err error) {
@@ -124,7 +124,7 @@
 	return granted, err
 }
 
-// WithdrawKey ends the use of a key.
+// WithdrawKey withdraws a key, so that it is no longer accepted.
 func (c *Client) WithdrawKey(
 	ctx context.Context, name string, wait time.Duration,
 ) (accepted message.Accepted, err error) {
@@ -133,13 +133,13 @@
 	return accepted, err
 }
 
-// Status says on which instances which revision is in force.
+// Status reads which revision is in force on each instance.
 func (c *Client) Status(ctx context.Context) (status message.Status, err error) {
 	err = c.call(ctx, call{method: http.MethodGet, path: "/v1/status"}, &status)
 	return status, err
 }
 
-// Burn reads the report on service-level burn.
+// Burn reads the burn report: how fast each workspace uses up its error budget.
 func (c *Client) Burn(ctx context.Context) (report message.Burn, err error) {
 	err = c.call(ctx, call{method: http.MethodGet, path: "/v1/report/burn"}, &report)
 	return report, err
@@ -151,7 +151,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// call is one request. wait goes into the query and lengthens the time limit.
+// call is one request. wait is sent in the query and added to the timeout.
 type call struct {
 	method string
 	path   string
@@ -178,7 +178,7 @@
 		return &Unreachable{Sent: !dialFailed(err), Cause: err}
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return &Unreachable{Sent: true, Cause: err}
 	}
@@ -206,7 +206,8 @@
 	return target + "?" + query.Encode()
 }
 
-// refused reads the refusal; what is no refusal of ours came from something in between.
+// refused decodes a refusal. A body that is not a refusal of the API comes from an intermediary, such as a
+// proxy.
 func refused(status int, body []byte) error {
 	var failure message.Failure
 	err := json.Unmarshal(body, &failure)
--- a/internal/operator/client/dial.go
+++ b/internal/operator/client/dial.go
@@ -1,4 +1,4 @@
-// Telling a call that was never sent from one whose answer was lost.
+// Distinguishes a call that was never sent from one whose response was lost.
 
 package client
 
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// dialFailed tells whether no connection came about, so that nothing can have been changed.
+// dialFailed reports whether no connection was established, so that nothing can have been changed.
 func dialFailed(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/operator/message/message.go
+++ b/internal/operator/message/message.go
@@ -1,16 +1,16 @@
-// Package message holds what operators and instances send each other, as it stands in JSON. The
-// operators' API writes these values and the operators' client reads them; resources themselves are
-// mapped by the catalog's codec and pass through here as raw JSON.
+// Package message defines the JSON messages between operators and instances. The operators' API encodes
+// and the operators' client decodes them. The catalog's codec encodes the resources themselves; here they
+// are raw JSON.
 package message
 
 import "encoding/json"
 
-// Code tells a program what a refusal means.
+// Code is the machine-readable reason of a refusal.
 type Code string
 
-// The codes of refusals, each with the HTTP status it comes with.
+// The codes of refusals, each with its HTTP status.
 const (
-	// CodeInvalid (400): the request is wrong, and Problems says where. Nothing was changed.
+	// CodeInvalid (400): the request is invalid; Problems lists the reasons. Nothing was changed.
 	CodeInvalid Code = "Invalid"
 	// CodeUnauthenticated (401): the operator's token is missing or wrong.
 	CodeUnauthenticated Code = "Unauthenticated"
@@ -18,17 +18,17 @@
 	CodeNotFound Code = "NotFound"
 	// CodeConflict (409): the change was made on an old resource version. Nothing was changed.
 	CodeConflict Code = "Conflict"
-	// CodeTooLarge (413): the request, or the configuration it would make, is too large.
+	// CodeTooLarge (413): the request, or the configuration that would result from it, is too large.
 	CodeTooLarge Code = "TooLarge"
 	// CodeInternal (500): a fault of the instance.
 	CodeInternal Code = "Internal"
-	// CodeUnavailable (503): the store is down. Nothing was changed.
+	// CodeUnavailable (503): the store is unavailable. Nothing was changed.
 	CodeUnavailable Code = "Unavailable"
-	// CodeUnknown (503): the store's answer was lost; whether something was changed is not known.
+	// CodeUnknown (503): the store's response was lost; whether anything was changed is not known.
 	CodeUnknown Code = "Unknown"
 )
 
-// Problem is one thing that is wrong with a change.
+// Problem is one reason why a change is invalid or conflicts.
 type Problem struct {
 	Kind    string
 	Name    string
@@ -41,23 +41,22 @@
 	Error FailureDetail
 }
 
-// FailureDetail says why.
+// FailureDetail is the reason of a refusal.
 type FailureDetail struct {
 	Code     Code
 	Message  string
 	Problems []Problem
 }
 
-// Accepted is the answer to a change. Revision is the one since which it is accepted. InForce tells
-// whether it was in force on every instance when the answer was given; it is false when the caller
-// did not wait for that.
+// Accepted is the response to a change. Revision is the revision that contains it. InForce reports whether
+// it was in force on every instance when the response was sent; it is false if the caller did not wait.
 type Accepted struct {
 	Revision  int64
 	InForce   bool
 	Resources []Version
 }
 
-// Version is a resource's version. Changed tells whether the change at hand made it.
+// Version is a resource's version. Changed reports whether the change in question created it.
 type Version struct {
 	Kind            string
 	Name            string
@@ -66,13 +65,13 @@
 	Removed         bool
 }
 
-// Grant asks for a key.
+// Grant requests a key.
 type Grant struct {
 	Workspace string
 	Name      string
 }
 
-// Granted is the answer to Grant. Secret is shown this once.
+// Granted is the response to Grant. It is the only message that contains Secret.
 type Granted struct {
 	Accepted  Accepted
 	Name      string
@@ -86,21 +85,21 @@
 	Resources []json.RawMessage
 }
 
-// Changes lists what changed after a revision. Complete is false when that revision lies too far back:
-// then the reader lists everything again.
+// Changes lists what changed after a revision. Complete is false when that revision is too old: the reader
+// then has to list all resources again.
 type Changes struct {
 	Revision int64
 	Complete bool
 	Changes  []Version
 }
 
-// Status says on which instances which revision is in force.
+// Status lists which revision is in force on each instance.
 type Status struct {
 	Revision  int64
 	Instances []Instance
 }
 
-// Instance is the state of one member. InForceSince is in RFC 3339 and empty if it is not known.
+// Instance is the state of one instance. InForceSince is in RFC 3339 format, and empty if it is not known.
 type Instance struct {
 	Name         string
 	DataCentre   string
@@ -109,16 +108,16 @@
 	Reachable    bool
 }
 
-// Burn is the report on service-level burn, the worst workspace first. The windows are durations such
-// as "1h0m0s".
+// Burn is the burn report, sorted with the worst workspace first. The windows are durations such as
+// "1h0m0s".
 type Burn struct {
 	ShortWindow string
 	LongWindow  string
 	Lines       []BurnLine
 }
 
-// BurnLine is one objective of one workspace. A burn of 1 uses the budget up exactly at the end of
-// the window; BudgetLeft is the share of the long window's budget that is left, negative when it is
+// BurnLine is one objective of one workspace. At a burn of 1 the error budget is used up exactly at the
+// end of the window. BudgetLeft is the remaining share of the long window's budget, negative if it is
 // overspent.
 type BurnLine struct {
 	Workspace  string
