--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -46,7 +46,7 @@
 	// force.
 	Revision     int64
 	InForceSince time.Time
-	// Reachable is false when the instance has not been heard from recently.
+	// Reachable is false when no heartbeat of the instance has arrived recently.
 	Reachable bool
 }
 
--- a/internal/platform/listing/client.go
+++ b/internal/platform/listing/client.go
@@ -1,4 +1,4 @@
-// The HTTP client of the platform's list. What it reads is handed on as it is: a hint.
+// The HTTP client of the platform's list. It returns the list as read; callers use it only as a hint.
 
 package listing
 
@@ -15,29 +15,29 @@
 )
 
 const (
-	// DefaultTimeout bounds a read when Timeout is not set; it has no measured reason yet.
+	// DefaultTimeout bounds a read if Timeout is not set.
 	DefaultTimeout = 2 * time.Second
-	// maxAnswer bounds the list: some 4,500 machines at the target, far below it.
-	maxAnswer = 4 << 20
+	// maxResponse bounds the response body. The target of about 4,500 machines stays far below it.
+	maxResponse = 4 << 20
 )
 
-// ErrUnavailable tells that the list could not be read, or what came was not a list.
+// ErrUnavailable means that the list could not be read, or that the response is not a list.
 var ErrUnavailable = errors.New("listing: unavailable")
 
-// Client is a Listing over HTTP. Set the exported fields before the first call.
+// Client is a Listing that uses HTTP. Set the exported fields before the first call.
 type Client struct {
 	// Address is the list's IP and port.
 	Address string
 	// Timeout bounds each read; zero means DefaultTimeout.
 	Timeout time.Duration
-	// Calls counts the reads sent.
+	// Calls counts the read requests sent.
 	Calls atomic.Int64
 }
 
 var _ Listing = (*Client)(nil)
 
-// Members reads the list. Lines with a role that is not known are left out, so that the platform may
-// list more than this program knows.
+// Members reads the list. It skips entries with an unknown role, so that the platform can add roles that
+// this program does not support.
 func (c *Client) Members(ctx context.Context) (members []Member, err error) {
 	defer func() { err = errors.WithMessage(err, "read the instance list") }()
 	timeout := c.Timeout
@@ -51,8 +51,8 @@
 	if err != nil {
 		return nil, errors.WithMessage(ErrUnavailable, err.Error())
 	}
-	// The list is read every few seconds at the most. A connection of its own for each read cannot
-	// have gone silent since the last one.
+	// The list is read at most once every few seconds. A new connection for each read avoids a kept
+	// connection that has stopped responding since the previous read.
 	request.Close = true
 	c.Calls.Add(1)
 	response, err := http.DefaultTransport.RoundTrip(request)
@@ -63,14 +63,14 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.WithMessagef(ErrUnavailable, "status %d", response.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return nil, errors.WithMessage(ErrUnavailable, err.Error())
 	}
 	return decode(body)
 }
 
-// decode maps the list's JSON; its field names are the list's own.
+// decode parses the list's JSON; the platform defines the field names.
 func decode(body []byte) (members []Member, err error) {
 	var wire []struct {
 		Name       string
--- a/internal/platform/listing/listing.go
+++ b/internal/platform/listing/listing.go
@@ -1,22 +1,22 @@
-// Package listing reads the platform's list of instances and upstreams. The list lags: what it says
-// is seconds old, and it may be unreachable. It is a hint about who is there and who is leaving, and
-// nothing that must hold is built on it alone.
+// Package listing reads the platform's list of instances and upstreams. The list is seconds out of date
+// and can be unreachable. It is only a hint about which machines exist and which are leaving; no
+// guarantee relies on it alone.
 package listing
 
 import "context"
 
-// Role tells what a listed machine is.
+// Role is the kind of a listed machine.
 type Role string
 
-// The roles the platform lists.
+// The roles in the platform's list.
 const (
 	RoleInstance Role = "instance"
 	RoleEngine   Role = "engine"
 	RoleService  Role = "service"
 )
 
-// Member is one line of the list. Address is where the others reach it (IP and port): for an
-// instance its peer address, otherwise its HTTP address.
+// Member is one entry of the list. Address is an IP and port: for an instance its peer address, otherwise
+// its HTTP address.
 type Member struct {
 	Name       string
 	Role       Role
--- a/internal/platform/store/client.go
+++ b/internal/platform/store/client.go
@@ -1,5 +1,5 @@
-// The HTTP client of the key-value service. Every call of an instance to the store goes through it:
-// it bounds the time, counts the call, and sorts what came back into the errors of this package.
+// The HTTP client of the key-value service. Every call of an instance to the store uses it. It applies
+// the timeout, counts the call, and maps failures to the errors of this package.
 
 package store
 
@@ -22,27 +22,27 @@
 )
 
 const (
-	// DefaultTimeout bounds a call when Timeout is not set. The service answers in milliseconds; the
-	// limit is for a connection that went silent, and has no measured reason yet.
+	// DefaultTimeout bounds a call if Timeout is not set. The service responds in milliseconds; the
+	// timeout is for a connection that has stopped responding.
 	DefaultTimeout = 2 * time.Second
-	// maxValue is a little above the largest value the service holds.
+	// maxValue is slightly above the largest value that the service stores.
 	maxValue = 1<<20 + 1<<16
-	// maxList bounds the answer to List.
+	// maxList bounds the response to List.
 	maxList = 64 << 20
-	// idleFor is how long an unused connection is kept. Something between the two ends may lose track
-	// of an idle connection; the shorter it is kept, the rarer a call is lost to one.
-	idleFor = 20 * time.Second
+	// idleTimeout is how long an unused connection is kept open. A middlebox may drop an idle connection
+	// silently; the shorter the timeout, the fewer calls are lost on such a connection.
+	idleTimeout = 20 * time.Second
 	// revisionHeader carries the revision of a value.
 	revisionHeader = "X-Revision"
 )
 
-// Client is a Store over HTTP. Set the exported fields before the first call.
+// Client is a Store that uses HTTP. Set the exported fields before the first call.
 type Client struct {
 	// Address is the service's IP and port.
 	Address string
-	// Timeout bounds each call, a watch beyond its wait; zero means DefaultTimeout.
+	// Timeout bounds each call; for a watch it is added to the wait. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// Calls counts the calls sent, a waiting watch as one.
+	// Calls counts the calls sent; a watch counts once.
 	Calls atomic.Int64
 
 	once      sync.Once
@@ -54,11 +54,11 @@
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (entry Entry, err error) {
 	defer func() { err = errors.WithMessagef(err, "get %s", key) }()
-	answer, err := c.call(ctx, request{method: http.MethodGet, path: "/v1/kv/" + key})
+	response, err := c.call(ctx, request{method: http.MethodGet, path: "/v1/kv/" + key})
 	if err != nil {
 		return Entry{}, err
 	}
-	return answer.entry(key)
+	return response.entry(key)
 }
 
 // CompareAndSwap writes a key whose revision is the expected one.
@@ -66,17 +66,17 @@
 	ctx context.Context, key string, expected int64, value []byte,
 ) (entry Entry, err error) {
 	defer func() { err = errors.WithMessagef(err, "swap %s", key) }()
-	answer, err := c.call(ctx, request{
-		method: http.MethodPut, path: "/v1/kv/" + key, query: expecting(expected), body: value, writes: true,
+	response, err := c.call(ctx, request{
+		method: http.MethodPut, path: "/v1/kv/" + key, query: expectQuery(expected), body: value, writes: true,
 	})
 	if err != nil {
 		return Entry{}, err
 	}
-	answer.body = value
-	entry, err = answer.entry(key)
+	response.body = value
+	entry, err = response.entry(key)
 	if err != nil {
-		// The write was accepted, but what it made cannot be told.
-		return Entry{}, because(ErrUnknown, err)
+		// The write succeeded, but the response does not state the new revision.
+		return Entry{}, withCause(ErrUnknown, err)
 	}
 	return entry, nil
 }
@@ -85,7 +85,7 @@
 func (c *Client) Delete(ctx context.Context, key string, expected int64) (err error) {
 	defer func() { err = errors.WithMessagef(err, "delete %s", key) }()
 	_, err = c.call(ctx, request{
-		method: http.MethodDelete, path: "/v1/kv/" + key, query: expecting(expected), writes: true,
+		method: http.MethodDelete, path: "/v1/kv/" + key, query: expectQuery(expected), writes: true,
 	})
 	return err
 }
@@ -93,17 +93,17 @@
 // List reads all keys with a prefix.
 func (c *Client) List(ctx context.Context, prefix string) (entries []Entry, err error) {
 	defer func() { err = errors.WithMessagef(err, "list %s", prefix) }()
-	answer, err := c.call(ctx, request{
+	response, err := c.call(ctx, request{
 		method: http.MethodGet, path: "/v1/kv", query: url.Values{"prefix": {prefix}}, limit: maxList,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return decodeList(answer.body)
+	return decodeList(response.body)
 }
 
-// Watch waits for a revision of the key above after. wait must be above zero: the service takes zero
-// for its own default.
+// Watch waits for a revision of the key above after. wait must be above zero: the service replaces zero
+// with its own default.
 func (c *Client) Watch(
 	ctx context.Context, key string, after int64, wait time.Duration,
 ) (entry Entry, err error) {
@@ -113,20 +113,20 @@
 		}
 	}()
 	query := url.Values{"after": {strconv.FormatInt(after, 10)}, "wait": {wait.String()}}
-	answer, err := c.call(ctx, request{
+	response, err := c.call(ctx, request{
 		method: http.MethodGet, path: "/v1/watch/" + key, query: query, wait: wait,
 	})
 	if err != nil {
 		return Entry{}, err
 	}
-	return answer.entry(key)
+	return response.entry(key)
 }
 
-func expecting(revision int64) url.Values {
+func expectQuery(revision int64) url.Values {
 	return url.Values{"expect": {strconv.FormatInt(revision, 10)}}
 }
 
-// decodeList maps the service's JSON array; its field names are the service's own.
+// decodeList parses the service's JSON array; the service defines the field names.
 func decodeList(body []byte) (entries []Entry, err error) {
 	var wire []struct {
 		Key      string
@@ -134,13 +134,13 @@
 		Revision int64
 	}
 	if err := json.Unmarshal(body, &wire); err != nil {
-		return nil, because(ErrUnavailable, err)
+		return nil, withCause(ErrUnavailable, err)
 	}
 	entries = make([]Entry, len(wire))
 	for i, w := range wire {
 		value, err := base64.StdEncoding.DecodeString(w.Value)
 		if err != nil {
-			return nil, because(ErrUnavailable, err)
+			return nil, withCause(ErrUnavailable, err)
 		}
 		entries[i] = Entry{Key: w.Key, Value: value, Revision: w.Revision}
 	}
@@ -149,7 +149,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// request is one call. writes says that a lost answer leaves the outcome unknown.
+// request is one call. writes marks a write, whose outcome is unknown if the response is lost.
 type request struct {
 	method string
 	path   string
@@ -160,57 +160,57 @@
 	limit  int64
 }
 
-// answer is what came back with a status that means success.
-type answer struct {
+// result is the header and the body of a successful response.
+type result struct {
 	header http.Header
 	body   []byte
 }
 
-func (a answer) entry(key string) (entry Entry, err error) {
-	revision, err := strconv.ParseInt(a.header.Get(revisionHeader), 10, 64)
+func (r result) entry(key string) (entry Entry, err error) {
+	revision, err := strconv.ParseInt(r.header.Get(revisionHeader), 10, 64)
 	if err != nil {
-		return Entry{}, because(ErrUnavailable, err)
+		return Entry{}, withCause(ErrUnavailable, err)
 	}
-	return Entry{Key: key, Value: a.body, Revision: revision}, nil
+	return Entry{Key: key, Value: r.body, Revision: revision}, nil
 }
 
-// call sends one request and maps its outcome. It makes no second attempt: only the caller knows
-// whether the write may be sent again.
-func (c *Client) call(ctx context.Context, r request) (a answer, err error) {
+// call sends one request and maps its outcome to a result or an error. It does not retry: only the
+// caller knows whether a write may be sent again.
+func (c *Client) call(ctx context.Context, r request) (received result, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.wait+c.timeout())
 	defer cancel()
-	// A connection that could not be had means that nothing was sent. From the moment there is one,
-	// bytes may have reached the service though the call fails: then a write's outcome is unknown.
-	// Without the distinction an operator would read "nothing was changed" about a change that was.
+	// Without a connection, nothing was sent. Once there is a connection, bytes may have reached the
+	// service even if the call fails, so the outcome of a write is unknown. Without this distinction an
+	// operator would read "nothing was changed" about a change that was made.
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	target := url.URL{Scheme: "http", Host: c.Address, Path: r.path, RawQuery: r.query.Encode()}
 	httpRequest, err := http.NewRequestWithContext(
 		httptrace.WithClientTrace(ctx, trace), r.method, target.String(), bytes.NewReader(r.body))
 	if err != nil {
-		return answer{}, because(ErrUnavailable, err)
+		return result{}, withCause(ErrUnavailable, err)
 	}
 	c.Calls.Add(1)
 	response, err := c.roundTripper().RoundTrip(httpRequest)
 	if err != nil {
-		c.dropSilent(err)
-		return answer{}, lost(r.writes && sent.Load(), err)
+		c.closeIdleOnTimeout(err)
+		return result{}, lostResponse(r.writes && sent.Load(), err)
 	}
 	defer response.Body.Close()
 	if err := statusError(response.StatusCode, r.writes); err != nil {
-		return answer{}, err
+		return result{}, err
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, r.bodyLimit()))
 	if err != nil {
-		c.dropSilent(err)
-		return answer{}, lost(r.writes, err)
+		c.closeIdleOnTimeout(err)
+		return result{}, lostResponse(r.writes, err)
 	}
-	return answer{header: response.Header, body: body}, nil
+	return result{header: response.Header, body: body}, nil
 }
 
-// statusError sorts the statuses of the service. It refuses before doing anything when it is out, over
-// its rate, or does not take the request. An unexpected status, such as that of something that stands
-// in between, does not say that nothing was written.
+// statusError maps a status to an error. During an outage, over its rate limit, or on an invalid request
+// the service refuses before it writes anything. An unexpected status, such as one from a proxy in
+// between, does not mean that nothing was written.
 func statusError(status int, writes bool) error {
 	switch status {
 	case http.StatusOK:
@@ -226,27 +226,27 @@
 		return ErrConflict
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
 		http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		return because(ErrUnavailable, errors.Errorf("status %d", status))
+		return withCause(ErrUnavailable, errors.Errorf("status %d", status))
 	}
-	return lost(writes, errors.Errorf("unexpected status %d", status))
+	return lostResponse(writes, errors.Errorf("unexpected status %d", status))
 }
 
-// lost gives the error of a call without a usable answer.
-func lost(mayHaveWritten bool, cause error) error {
+// lostResponse returns the error of a call without a usable response.
+func lostResponse(mayHaveWritten bool, cause error) error {
 	if mayHaveWritten {
-		return because(ErrUnknown, cause)
+		return withCause(ErrUnknown, cause)
 	}
-	return because(ErrUnavailable, cause)
+	return withCause(ErrUnavailable, cause)
 }
 
-// because gives an error that is the sentinel to errors.Is and tells the cause as well.
-func because(sentinel, cause error) error {
+// withCause returns an error that matches the sentinel with errors.Is and whose text includes the cause.
+func withCause(sentinel, cause error) error {
 	return errors.WithMessage(sentinel, cause.Error())
 }
 
-// dropSilent closes the idle connections after a call that ran out of time. If one connection went
-// silent, those idle beside it probably did too, and each would swallow one more call.
-func (c *Client) dropSilent(err error) {
+// closeIdleOnTimeout closes the idle connections if the call timed out. If one connection has stopped
+// responding, the other idle ones probably have too, and each of them would fail one more call.
+func (c *Client) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.roundTripper().CloseIdleConnections()
 	}
@@ -266,15 +266,15 @@
 	return maxValue
 }
 
-// roundTripper is made on the first call. It is used without http.Client, which would follow
-// redirects and so send a write twice.
+// roundTripper returns the transport, which the first call creates. It is used without http.Client, which
+// would follow redirects and so send a write twice.
 func (c *Client) roundTripper() *http.Transport {
 	c.once.Do(func() {
-		dialer := &net.Dialer{Timeout: c.timeout(), KeepAlive: idleFor}
+		dialer := &net.Dialer{Timeout: c.timeout(), KeepAlive: idleTimeout}
 		c.transport = &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxIdleConnsPerHost: 8,
-			IdleConnTimeout:     idleFor,
+			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		}
 	})
--- a/internal/platform/store/client_test.go
+++ b/internal/platform/store/client_test.go
@@ -17,7 +17,7 @@
 	"lacewingrock.example/lacewingrock/internal/standin/kv"
 )
 
-// service starts the stand-in of the key-value service.
+// service starts the stand-in for the key-value service.
 func service(t *testing.T) *kv.Server {
 	t.Helper()
 	s := &kv.Server{}
@@ -36,8 +36,8 @@
 	return s
 }
 
-// TestStoresAgree runs one sequence of calls against the client before the stand-in and against the
-// store in memory, which stands in for it in other tests.
+// TestStoresAgree runs the same sequence of calls against Client, connected to the stand-in, and against
+// Memory, which replaces Client in other tests.
 func TestStoresAgree(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -82,9 +82,9 @@
 	}
 }
 
-// The store's answer to a write is lost, by a cut connection or by something in between that answers
-// in its place. The caller may neither take the write for made nor for not made; a user would see a
-// change that was told to have failed come into force all the same.
+// The response to a write is lost: the connection is cut, or a proxy in between responds instead. The
+// client must report neither success nor failure; otherwise a change that was reported as failed could
+// come into force.
 func TestOutcomesOfWrites(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -120,13 +120,13 @@
 			is.True(errors.Is(err, c.write))
 			_, err = kv.Get(t.Context(), "k")
 			is.True(errors.Is(err, c.read))
-			is.Equal(kv.Calls.Load(), int64(2)) // no call is made twice
+			is.Equal(kv.Calls.Load(), int64(2)) // no call is retried
 		})
 	}
 }
 
-// Nothing listens at the store's address. No byte was sent, so the caller may say that nothing was
-// changed, and the operator need not look.
+// Nothing listens at the store's address. No byte was sent, so the error must state that nothing was
+// written, and the operator need not check.
 func TestNoConnectionMeansNothingWasWritten(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +139,7 @@
 	is.True(!errors.Is(err, store.ErrUnknown))
 }
 
-// A write that its sender gave up on still arrives, after another write was made.
+// A write whose sender has given up takes effect later, after another call.
 func TestMemoryDeliversLateWrites(t *testing.T) {
 	is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 	kv.LateWrites(1, 2)
--- a/internal/platform/store/connection_test.go
+++ b/internal/platform/store/connection_test.go
@@ -14,7 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// proxied starts a proxy before an address that lets so many bytes through in one direction.
+// proxied starts a proxy in front of an address that cuts the connection after the given number of bytes in
+// one direction.
 func proxied(t *testing.T, upstream, direction string, bytes int) *toxiproxy.Proxy {
 	t.Helper()
 	proxy := toxiproxy.NewProxy()
@@ -29,12 +30,11 @@
 	return proxy
 }
 
-// The connection to the store is cut after each number of bytes, of the request and of the answer. A
-// caller acts on what it is told of its write: told that nothing was written, it says so to whoever
-// asked; told that it was written, it goes on. Either would be false about some cut if the client
-// sorted them wrongly, and a user would see a change that failed and is there, or the other way round.
+// Cuts the connection to the store after each possible number of bytes of the request and of the response.
+// The reported outcome must match the store. If the client misclassified a cut, a change reported as failed
+// would exist, or a change reported as made would not.
 func TestOutcomeIsTrueForACutAtEachByte(t *testing.T) {
-	const longest = 320 // beyond the whole request, and beyond the whole answer
+	const longest = 320 // longer than the whole request and than the whole response
 	kv := service(t)
 	direct := &store.Client{Address: kv.Address}
 	for _, direction := range []string{"upstream", "downstream"} {
@@ -69,10 +69,10 @@
 	}
 }
 
-// Something between an instance and the store loses track of all open connections, and they go silent
-// for good while new ones work. Each pooled connection would swallow a call, one after the other; an
-// operator would see change after change end as unknown. The first call that runs out of time takes
-// the idle ones with it.
+// A middlebox between an instance and the store drops all open connections silently, while new ones work.
+// Without countermeasures each pooled connection would fail one call after another, and the operator would
+// see change after change end with an unknown outcome. The first call that times out must close the idle
+// connections.
 func TestSilentConnectionsAreDroppedTogether(t *testing.T) {
 	is := is.New(t)
 	kv := service(t)
--- a/internal/platform/store/memory.go
+++ b/internal/platform/store/memory.go
@@ -1,5 +1,5 @@
-// A Store in memory, for tests of code that keeps something in the store: it behaves as the service
-// does, and fails on demand in the ways the service fails.
+// An in-memory Store for tests of code that uses the store. It behaves like the service, and injects the
+// service's faults on demand.
 
 package store
 
@@ -13,37 +13,37 @@
 	"time"
 )
 
-// Memory is a Store in memory. The zero value is empty and works. Its faults are switched on while it
-// is used; it is safe for use by many goroutines.
+// Memory is an in-memory Store. The zero value is an empty store. Faults can be switched on at any time.
+// It is safe for concurrent use.
 type Memory struct {
-	// Calls counts the calls, a waiting watch as one.
+	// Calls counts the calls; a watch counts once.
 	Calls atomic.Int64
 
-	mutex        sync.Mutex
-	entries      map[string]Entry
-	previous     map[string]Entry
-	revision     int64
-	changed      chan struct{}
-	outage       bool
-	lostAnswers  int
-	lostRequests int
-	staleReads   int
-	lateWrites   int
-	lateBy       int64
-	late         []lateWrite
-	callNumber   int64
+	mutex         sync.Mutex
+	entries       map[string]Entry
+	previous      map[string]Entry
+	revision      int64
+	changed       chan struct{}
+	outage        bool
+	lostResponses int
+	lostRequests  int
+	staleReads    int
+	writesToDelay int
+	delayCalls    int64
+	delayedWrites []delayedWrite
+	callNumber    int64
 }
 
-// lateWrite is a write whose sender has given up on it, and which still takes effect when the call
-// with the number due arrives.
-type lateWrite struct {
+// delayedWrite is a write whose sender has given up. It takes effect when the call with the number due
+// arrives.
+type delayedWrite struct {
 	due int64
 	do  func()
 }
 
 var _ Store = (*Memory)(nil)
 
-// SetOutage switches an outage on or off: every call fails with ErrUnavailable and does nothing.
+// SetOutage starts or ends an outage, in which every call fails with ErrUnavailable and has no effect.
 func (m *Memory) SetOutage(outage bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -51,29 +51,29 @@
 	m.wake()
 }
 
-// LoseAnswers makes the next writes take effect, or fail, with their answers lost: ErrUnknown.
+// LoseAnswers lets the next count writes take effect, or fail, but returns ErrUnknown for each.
 func (m *Memory) LoseAnswers(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.lostAnswers = count
+	m.lostResponses = count
 }
 
-// LoseRequests makes the next writes do nothing and end in ErrUnknown: they were lost on their way.
+// LoseRequests drops the next count writes: they have no effect, and each returns ErrUnknown.
 func (m *Memory) LoseRequests(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lostRequests = count
 }
 
-// LateWrites makes the next writes end in ErrUnknown at once and arrive only just before the call
-// that comes so many calls after each.
+// LateWrites makes the next count writes return ErrUnknown at once. Each takes effect later, just before
+// the call that follows it by the given number of calls.
 func (m *Memory) LateWrites(count int, calls int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.lateWrites, m.lateBy = count, int64(calls)
+	m.writesToDelay, m.delayCalls = count, int64(calls)
 }
 
-// StaleReads makes the next reads of single keys return the value before the last write.
+// StaleReads makes the next count reads of single keys return the value before the last write.
 func (m *Memory) StaleReads(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -111,7 +111,7 @@
 	if m.loseRequest(func() { _, _ = write() }) {
 		return Entry{}, ErrUnknown
 	}
-	defer func() { err = m.loseAnswer(err) }()
+	defer func() { err = m.loseResponse(err) }()
 	return write()
 }
 
@@ -140,7 +140,7 @@
 	if m.loseRequest(func() { _ = m.remove(key, expected) }) {
 		return ErrUnknown
 	}
-	defer func() { err = m.loseAnswer(err) }()
+	defer func() { err = m.loseResponse(err) }()
 	return m.remove(key, expected)
 }
 
@@ -182,7 +182,7 @@
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		entry, changed, err := m.look(key, after)
+		entry, changed, err := m.poll(key, after)
 		if err != nil || entry.Revision > after {
 			return entry, err
 		}
@@ -191,19 +191,19 @@
 		case <-end.C:
 			return Entry{}, ErrNotChanged
 		case <-ctx.Done():
-			return Entry{}, because(ErrUnavailable, ctx.Err())
+			return Entry{}, withCause(ErrUnavailable, ctx.Err())
 		}
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// begin counts a call and says whether it can be done.
+// begin counts a call and returns an error if it cannot be executed.
 func (m *Memory) begin(ctx context.Context) error {
 	m.Calls.Add(1)
 	m.deliver()
 	if err := ctx.Err(); err != nil {
-		return because(ErrUnavailable, err)
+		return withCause(ErrUnavailable, err)
 	}
 	if m.outage {
 		return ErrUnavailable
@@ -218,36 +218,37 @@
 	m.deliver()
 }
 
-// deliver counts a call and makes the late writes that are due.
+// deliver counts a call and executes the delayed writes that are due.
 func (m *Memory) deliver() {
 	m.callNumber++
-	waiting := m.late
-	m.late = nil
+	waiting := m.delayedWrites
+	m.delayedWrites = nil
 	for _, write := range waiting {
 		if write.due <= m.callNumber {
 			write.do()
 			continue
 		}
-		m.late = append(m.late, write)
+		m.delayedWrites = append(m.delayedWrites, write)
 	}
 }
 
-// loseRequest tells whether a write is lost or late.
+// loseRequest reports whether the fault injection drops or delays a write.
 func (m *Memory) loseRequest(write func()) bool {
 	if m.lostRequests > 0 {
 		m.lostRequests--
 		return true
 	}
-	if m.lateWrites > 0 {
-		m.lateWrites--
-		m.late = append(m.late, lateWrite{due: m.callNumber + m.lateBy, do: write})
+	if m.writesToDelay > 0 {
+		m.writesToDelay--
+		m.delayedWrites = append(m.delayedWrites, delayedWrite{due: m.callNumber + m.delayCalls, do: write})
 		return true
 	}
 	return false
 }
 
-// look gives the key's entry and a channel that is closed at the next change of anything.
-func (m *Memory) look(key string, after int64) (entry Entry, changed <-chan struct{}, err error) {
+// poll returns the key's entry if its revision is above after, and otherwise an empty entry with a channel
+// that is closed at the next change of any key.
+func (m *Memory) poll(key string, after int64) (entry Entry, changed <-chan struct{}, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.outage {
@@ -270,9 +271,9 @@
 	}
 }
 
-func (m *Memory) loseAnswer(err error) error {
-	if m.lostAnswers > 0 {
-		m.lostAnswers--
+func (m *Memory) loseResponse(err error) error {
+	if m.lostResponses > 0 {
+		m.lostResponses--
 		return ErrUnknown
 	}
 	return err
