--- a/internal/command/control/apply.go
+++ b/internal/command/control/apply.go
@@ -19,30 +19,30 @@
 	wait    time.Duration
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*applyVerb) Name() string { return "apply" }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (*applyVerb) Synopsis() string { return "declare the resources of a file, all or none" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*applyVerb) Usage() string {
 	return `apply -f FILE [-wait 5s] [-o table|json]
   Declares the resources of a JSON file {"Resources": [{"Kind": ..., "Name": ..., ...}]}.
-  All are accepted or none. A resource that states the ResourceVersion it was read at is refused
-  as a conflict when it has changed since; 0 says that it must be new. A resource that states none is
-  declared against whatever is current. Applying the same file again changes nothing.
+  Either all are accepted or none. A resource with the ResourceVersion it was read at is refused as
+  a conflict when it has changed since; 0 means that it must be new. A resource without a
+  ResourceVersion replaces any version. Applying the same file again changes nothing.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *applyVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.file, "f", "", "the file, or - for standard input")
 	setWait(f, &v.wait)
 }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *applyVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
@@ -76,7 +76,7 @@
 	return os.ReadFile(v.file)
 }
 
-// setWait sets the flag -wait of a verb that changes something.
+// setWait defines the flag -wait of a verb that makes a change.
 func setWait(f *flag.FlagSet, wait *time.Duration) {
 	f.DurationVar(wait, "wait", 0, "wait up to that long until the change is in force on every instance, at most 25s")
 }
--- a/internal/command/control/control.go
+++ b/internal/command/control/control.go
@@ -1,6 +1,6 @@
-// Package control holds the verbs of lacewingctl, the operators' client. Each verb is a file of its
-// own, and all of them stand in the look-up table of this one. A verb calls one instance through the
-// operators' client and prints a table, or JSON with -o json.
+// Package control implements the verbs of lacewingctl, the operators' command-line client. Each verb has
+// a file of its own and is listed in the look-up table in this file. A verb calls one instance through the
+// operators' client package and prints a table, or JSON with -o json.
 package control
 
 import (
@@ -32,7 +32,7 @@
   5  unavailable, or the answer was lost; the message says whether anything can have changed
 `
 
-// Names of the settings in the environment.
+// Environment variables.
 const (
 	serverVariable = "LACEWING_SERVER"
 	tokenVariable  = "LACEWING_TOKEN"
@@ -50,7 +50,7 @@
 	token  string
 }
 
-// verbs is the look-up table: the verbs by the word that stands before them.
+// verbs returns the look-up table of the verbs by their group; the group "" holds those without one.
 func (p *Program) verbs() map[string][]subcommands.Command {
 	return map[string][]subcommands.Command{
 		"": {
@@ -72,14 +72,14 @@
 	}
 }
 
-// Run carries out the verb that the arguments name, and gives the exit code.
+// Run executes the verb that the arguments name, and returns the exit code.
 func (p *Program) Run(ctx context.Context, arguments []string) int {
 	flags := flag.NewFlagSet("lacewingctl", flag.ContinueOnError)
 	flags.SetOutput(p.Err)
-	// The token's default is not given to the flag: it would stand in the help text.
+	// The token from the environment is not set as the flag's default, because the help text would show it.
 	flags.StringVar(&p.server, "server", "", "URL of an instance for operators (default $"+serverVariable+")")
 	flags.StringVar(&p.token, "token", "", "operator's token (default $"+tokenVariable+")")
-	commander := p.commander(flags, "lacewingctl")
+	commander := p.newCommander(flags, "lacewingctl")
 	commander.ImportantFlag("server")
 	commander.ImportantFlag("token")
 	verbs := p.verbs()
@@ -94,21 +94,21 @@
 	return int(commander.Execute(ctx))
 }
 
-// commander makes one level of the command line, with help.
-func (p *Program) commander(flags *flag.FlagSet, name string) *subcommands.Commander {
+// newCommander creates the parser of one level of the command line, with its help.
+func (p *Program) newCommander(flags *flag.FlagSet, name string) *subcommands.Commander {
 	commander := subcommands.NewCommander(flags, name)
 	commander.Output, commander.Error = p.Out, p.Err
 	explain := commander.Explain
 	commander.Explain = func(w io.Writer) {
 		explain(w)
-		_, _ = io.WriteString(w, exitCodes) // help is for a terminal
+		_, _ = io.WriteString(w, exitCodes) // help goes to a terminal, so a write error is ignored
 	}
 	commander.Register(commander.HelpCommand(), "help")
 	commander.Register(commander.FlagsCommand(), "help")
 	return commander
 }
 
-// client gives the client of the instance that flags or environment name.
+// client returns a client of the instance that the flags or the environment name.
 func (p *Program) client() (*client.Client, error) {
 	c := &client.Client{Server: p.server, Token: p.token}
 	if c.Server == "" {
@@ -128,7 +128,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// group is the word before several verbs, such as key before grant and withdraw.
+// group is a word that precedes several verbs, such as key before grant and withdraw.
 type group struct {
 	program  *Program
 	word     string
@@ -136,13 +136,13 @@
 	verbs    []subcommands.Command
 }
 
-// Name is the word.
+// Name returns the group's word.
 func (g *group) Name() string { return g.word }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (g *group) Synopsis() string { return g.synopsis }
 
-// Usage says which verbs follow the word.
+// Usage returns the help texts of the group's verbs.
 func (g *group) Usage() string {
 	usage := ""
 	for _, verb := range g.verbs {
@@ -151,12 +151,12 @@
 	return usage
 }
 
-// SetFlags sets none: the verbs have their own.
+// SetFlags defines no flags; the verbs have their own.
 func (g *group) SetFlags(*flag.FlagSet) {}
 
-// Execute carries out the verb after the word.
+// Execute executes the verb after the group's word.
 func (g *group) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	commander := g.program.commander(f, "lacewingctl "+g.word)
+	commander := g.program.newCommander(f, "lacewingctl "+g.word)
 	for _, verb := range g.verbs {
 		commander.Register(verb, "")
 	}
--- a/internal/command/control/control_test.go
+++ b/internal/command/control/control_test.go
@@ -25,7 +25,7 @@
 
 const token = "operator-token"
 
-// fleet is one instance that has everything in force, or is stuck.
+// fleet is one instance on which every revision is in force, or, if stuck, never comes into force.
 type fleet struct{ stuck bool }
 
 func (f *fleet) Status() []api.InstanceStatus {
@@ -46,7 +46,7 @@
 	}}}, nil
 }
 
-// deployment is one instance's API before a store in memory.
+// deployment is one instance's API with an in-memory store.
 type deployment struct {
 	kv     *store.Memory
 	fleet  *fleet
@@ -57,13 +57,13 @@
 func deploy(t *testing.T) *deployment {
 	t.Helper()
 	kv := &store.Memory{}
-	d := deployBefore(t, kv)
+	d := deployWithStore(t, kv)
 	d.kv = kv
 	return d
 }
 
-// deployBefore makes the deployment before any store.
-func deployBefore(t *testing.T, kv store.Store) *deployment {
+// deployWithStore creates a deployment that uses the given store.
+func deployWithStore(t *testing.T, kv store.Store) *deployment {
 	t.Helper()
 	d := &deployment{fleet: &fleet{}, log: &strings.Builder{}}
 	sum := sha256.Sum256([]byte(token))
@@ -79,7 +79,7 @@
 	return d
 }
 
-// run carries out one command line.
+// run executes one command line.
 func (d *deployment) run(in string, arguments ...string) (code int, out, errors string) {
 	var stdout, stderr strings.Builder
 	environment := map[string]string{"LACEWING_SERVER": d.server.URL, "LACEWING_TOKEN": token}
@@ -115,14 +115,14 @@
 		{"apply again changes nothing", example, "apply -f -", 0, "unchanged", ""},
 		{"get", "", "get Workspace lines -o json", 0, `"FirstTokenWithin": "540ms"`, ""},
 		{"get a version", "", "get AdapterVersion bids@1", 0, "bids/1", ""},
-		{"get what is not there", "", "get Workspace nobody", 1, "", "no Workspace/nobody"},
+		{"get a missing resource", "", "get Workspace nobody", 1, "", "no Workspace/nobody"},
 		{"list", "", "list Adapter", 0, "bids", ""},
-		{"list of no kind", "", "list Adaptor", 1, "", "no such kind"},
+		{"list an unknown kind", "", "list Adaptor", 1, "", "no such kind"},
 		{"bad file", `{"Resources": [{"Kind": "Workspace", "Name": "x", "Rat": 1, "Burst": "y"}]}`, "apply -f -", 4, "", "Workspace/x Rat: no such field"},
-		{"refers to nothing", `{"Resources": [{"Kind": "Adapter", "Name": "x", "BaseModel": "none"}]}`, "apply -f -", 4, "", "Adapter/x BaseModel"},
+		{"refers to a missing resource", `{"Resources": [{"Kind": "Adapter", "Name": "x", "BaseModel": "none"}]}`, "apply -f -", 4, "", "Adapter/x BaseModel"},
 		{"old version", `{"Resources": [{"Kind": "BaseModel", "Name": "base", "ResourceVersion": 7}]}`, "apply -f -", 3, "", "made on version 7"},
-		{"delete of an old version", "", "delete BaseModel base -version 7", 3, "", "made on version 7"},
-		{"delete of what is named", "", "delete BaseModel base -version 1", 4, "", "still named by Adapter/bids"},
+		{"delete an old version", "", "delete BaseModel base -version 7", 3, "", "made on version 7"},
+		{"delete a referenced resource", "", "delete BaseModel base -version 1", 4, "", "still named by Adapter/bids"},
 		{"delete", "", "delete Workspace lines", 0, "removed", ""},
 		{"watch", "", "watch -after 1 -count 1", 0, "Workspace/lines version 0 removed", ""},
 		{"watch from the beginning", "", "watch -after 0 -count 1", 0, "BaseModel/base version 1 changed", ""},
@@ -131,7 +131,7 @@
 		{"burn", "", "report burn", 0, "2.50", ""},
 		{"version", "", "version -o json", 0, `"Go"`, ""},
 		{"wrong token", "", "-token wrong status", 1, "", "token is needed"},
-		{"instance that is not there", "", "-server http://127.0.0.1:1 status", 5, "", "nothing was sent"},
+		{"unreachable instance", "", "-server http://127.0.0.1:1 status", 5, "", "nothing was sent"},
 		{"no verb", "", "", 2, "", "Exit codes"},
 		{"unknown verb", "", "destroy", 2, "", "Usage"},
 		{"too few arguments", "", "get Workspace", 2, "", "KIND NAME"},
@@ -150,8 +150,8 @@
 	}
 }
 
-// A key's secret is shown to the operator once. Were it kept or logged anywhere, whoever reads the
-// store or a log could send requests for that workspace.
+// A key's secret is shown to the operator once. If it were stored or logged, anyone who can read the store
+// or a log could send requests for that workspace.
 func TestKeyIsShownOnceAndNowhereElse(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t)
@@ -164,7 +164,7 @@
 	is.True(len(granted.Secret) > 40)
 
 	code, _, _ = d.run("", "key", "grant", "-workspace", "lines", "-name", "night")
-	is.Equal(code, 3) // there is one of that name
+	is.Equal(code, 3) // a key of that name exists
 	code, out, _ = d.run("", "list", "Key", "-o", "json")
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "night"))
@@ -182,8 +182,8 @@
 	is.True(!strings.Contains(d.log.String(), token))
 }
 
-// The store is down, or its answer is lost and stays lost, while an operator changes something. Told
-// "nothing was changed" about a change that was made, she would make it a second time.
+// The store is unavailable, or its response to a change is lost for good. After a false "nothing was changed"
+// the operator would make the change a second time.
 func TestStoreFailures(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t)
@@ -193,7 +193,7 @@
 	is.True(strings.Contains(errors, "nothing was changed"))
 
 	d.kv.SetOutage(false)
-	d.kv.LoseAnswers(3) // of parts and of the head; the instance finds out what became of them
+	d.kv.LoseAnswers(3) // responses to the writes of the parts and the head; the instance determines their outcome
 	code, _, _ = d.run(example, "apply", "-f", "-")
 	is.Equal(code, 0)
 
@@ -203,8 +203,8 @@
 	is.True(strings.Contains(errors, "not yet in force"))
 }
 
-// The whole way over TCP: command line, API, repository, the store's client and the stand-in of the
-// store, which cuts the connection after writes that it has made.
+// The whole path over TCP: command line, API, repository, the store's client and the stand-in for the
+// store, which cuts the connection after it has executed a write.
 func TestOverTCPWithLostAnswers(t *testing.T) {
 	is := is.New(t)
 	service := &kv.Server{}
@@ -216,7 +216,7 @@
 		cancel()
 		is.NoErr(<-ended)
 	}()
-	d := deployBefore(t, &store.Client{Address: service.Address})
+	d := deployWithStore(t, &store.Client{Address: service.Address})
 	service.SetFaults(kv.Faults{LoseAnswers: 5})
 	code, out, errors := d.run(example, "apply", "-f", "-")
 	t.Log(out, errors)
--- a/internal/command/control/delete.go
+++ b/internal/command/control/delete.go
@@ -1,4 +1,4 @@
-// The verb delete: takes a resource out.
+// The verb delete: removes a resource.
 
 package control
 
@@ -17,28 +17,28 @@
 	wait    time.Duration
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*deleteVerb) Name() string { return "delete" }
 
-// Synopsis is one line for the list of verbs.
-func (*deleteVerb) Synopsis() string { return "take a resource out" }
+// Synopsis returns the line in the list of verbs.
+func (*deleteVerb) Synopsis() string { return "remove a resource" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*deleteVerb) Usage() string {
 	return `delete KIND NAME [-version N] [-wait 5s] [-o table|json]
-  Takes a resource out. With -version it is refused as a conflict when the resource has another
-  ResourceVersion. A resource that others name is refused as invalid.
+  Removes a resource. With -version it is refused as a conflict when the resource has another
+  ResourceVersion. Removing a resource that others refer to is refused as invalid.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *deleteVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
-	f.Int64Var(&v.version, "version", 0, "the ResourceVersion it was read at; 0: whatever is current")
+	f.Int64Var(&v.version, "version", 0, "the ResourceVersion it was read at; 0: any")
 	setWait(f, &v.wait)
 }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *deleteVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/get.go
+++ b/internal/command/control/get.go
@@ -14,13 +14,13 @@
 	output  output
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*getVerb) Name() string { return "get" }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (*getVerb) Synopsis() string { return "show one resource" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*getVerb) Usage() string {
 	return `get KIND NAME [-o table|json]
   Shows one resource as it is in force at the instance. Kinds: BaseModel, Workspace, Key, Adapter,
@@ -28,10 +28,10 @@
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *getVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *getVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/key_grant.go
+++ b/internal/command/control/key_grant.go
@@ -1,4 +1,4 @@
-// The verb key grant: makes a caller's key and shows its secret once.
+// The verb key grant: creates a caller's key and shows its secret once.
 
 package control
 
@@ -19,21 +19,21 @@
 	wait      time.Duration
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*keyGrantVerb) Name() string { return "grant" }
 
-// Synopsis is one line for the list of verbs.
-func (*keyGrantVerb) Synopsis() string { return "make a caller's key and show its secret once" }
+// Synopsis returns the line in the list of verbs.
+func (*keyGrantVerb) Synopsis() string { return "create a caller's key and show its secret once" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*keyGrantVerb) Usage() string {
 	return `key grant -workspace W -name N [-wait 5s] [-o table|json]
-  Makes a key for a workspace. The secret is shown this once; only its hash is kept. If the answer is
-  lost, withdraw the key by its name and grant another.
+  Creates a key for a workspace. The secret is shown only this time; only its hash is stored. If the
+  response is lost, withdraw the key by its name and grant another.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *keyGrantVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.workspace, "workspace", "", "the workspace the key is for")
@@ -41,7 +41,7 @@
 	setWait(f, &v.wait)
 }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *keyGrantVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/key_withdraw.go
+++ b/internal/command/control/key_withdraw.go
@@ -1,4 +1,4 @@
-// The verb key withdraw: ends the use of a caller's key.
+// The verb key withdraw: withdraws a caller's key, so that it is no longer accepted.
 
 package control
 
@@ -17,28 +17,28 @@
 	wait    time.Duration
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*keyWithdrawVerb) Name() string { return "withdraw" }
 
-// Synopsis is one line for the list of verbs.
-func (*keyWithdrawVerb) Synopsis() string { return "end the use of a caller's key" }
+// Synopsis returns the line in the list of verbs.
+func (*keyWithdrawVerb) Synopsis() string { return "withdraw a caller's key" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*keyWithdrawVerb) Usage() string {
 	return `key withdraw -name N [-wait 5s] [-o table|json]
-  Ends the use of a key. It stops within seconds on every instance, also on one that is cut off; with
-  -wait the answer says that it has.
+  Withdraws a key. Within seconds no instance accepts it any more, even one that is partitioned; with
+  -wait the response confirms it.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *keyWithdrawVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.name, "name", "", "the key's name")
 	setWait(f, &v.wait)
 }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *keyWithdrawVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/list.go
+++ b/internal/command/control/list.go
@@ -16,13 +16,13 @@
 	output  output
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*listVerb) Name() string { return "list" }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (*listVerb) Synopsis() string { return "show all resources of a kind" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*listVerb) Usage() string {
 	return `list KIND [-o table|json]
   Shows all resources of a kind as they are in force at the instance. Kinds: BaseModel, Workspace,
@@ -30,10 +30,10 @@
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *listVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *listVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/outcome.go
+++ b/internal/command/control/outcome.go
@@ -1,4 +1,4 @@
-// How a verb ends: the arguments it takes, the exit code of an error, and the message.
+// The arguments of a verb, and the exit code and message of an error.
 
 package control
 
@@ -17,28 +17,28 @@
 // usageError is an error of the command line.
 type usageError string
 
-// Error gives the message.
+// Error returns the message.
 func (u usageError) Error() string { return string(u) }
 
-// notInForceError: the change is accepted, but it was not in force everywhere in the time asked for.
+// notInForceError means that the change is accepted, but was not in force on every instance within -wait.
 type notInForceError struct{ revision int64 }
 
-// Error gives the message.
+// Error returns the message.
 func (n notInForceError) Error() string {
 	return fmt.Sprintf("accepted as revision %d, but not yet in force on every instance; see lacewingctl status", n.revision)
 }
 
-// finish prints an error and gives the exit code.
+// finish prints an error and returns the exit code.
 func (p *Program) finish(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
-	p.complain(err.Error())
+	p.printError(err.Error())
 	return exitCodeOf(err)
 }
 
-// complain writes a line to the error output; where that is closed, the exit code is all there is.
-func (p *Program) complain(text string) {
+// printError writes a line to the error output. If that is closed, only the exit code reports the error.
+func (p *Program) printError(text string) {
 	_, _ = fmt.Fprintln(p.Err, "lacewingctl: "+text)
 }
 
@@ -70,7 +70,7 @@
 	return exitFailed
 }
 
-// begin reads a verb's arguments, looks at its format, and gives the client to call.
+// begin parses a verb's arguments, checks its output format, and returns them with the client to call.
 func (p *Program) begin(
 	f *flag.FlagSet, o output, names ...string,
 ) (c *client.Client, values []string, err error) {
@@ -85,8 +85,8 @@
 	return c, values, err
 }
 
-// arguments gives the arguments that are no flags, as many as there are names for. Flags may stand
-// between and after them, which the flag package alone does not take.
+// arguments returns the arguments that are not flags; their number must equal that of names. Flags may
+// appear between and after them, which the flag package alone does not support.
 func arguments(f *flag.FlagSet, names ...string) (values []string, err error) {
 	rest := f.Args()
 	for len(rest) > 0 {
@@ -110,7 +110,7 @@
 	return values, nil
 }
 
-// inForce fails if the operator asked to wait and the change is not in force everywhere.
+// inForce returns an error if the operator used -wait and the change is not in force on every instance.
 func inForce(accepted message.Accepted, waited bool) error {
 	if waited && !accepted.InForce {
 		return notInForceError{revision: accepted.Revision}
--- a/internal/command/control/output.go
+++ b/internal/command/control/output.go
@@ -1,4 +1,4 @@
-// Printing: a table for people, JSON for programs.
+// Output formats: a table for people, JSON for programs.
 
 package control
 
@@ -20,7 +20,7 @@
 	formatJSON  = "json"
 )
 
-// output is the choice of format, a part of every verb.
+// output is the chosen output format, a part of every verb.
 type output struct {
 	format string
 }
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// print writes the value as JSON, or the table.
+// print writes the value as JSON, or the table, depending on the format.
 func (o *output) print(w io.Writer, value any, t table) error {
 	if o.format == formatJSON {
 		encoder := json.NewEncoder(w)
@@ -46,7 +46,7 @@
 	return t.write(w)
 }
 
-// table is a heading and rows of as many columns.
+// table is a heading and rows with the same number of columns.
 type table struct {
 	heading []string
 	rows    [][]string
@@ -66,7 +66,7 @@
 	return aligned.Flush()
 }
 
-// acceptedTable shows what a change left behind.
+// acceptedTable lists the resources of a change with their new versions.
 func acceptedTable(accepted message.Accepted) table {
 	t := table{heading: []string{"KIND", "NAME", "RESOURCEVERSION", "OUTCOME"}}
 	for _, v := range accepted.Resources {
--- a/internal/command/control/report_burn.go
+++ b/internal/command/control/report_burn.go
@@ -1,4 +1,4 @@
-// The verb report burn: shows how fast each workspace's service-level budget is used up.
+// The verb report burn: shows how fast each workspace uses up its error budget.
 
 package control
 
@@ -17,25 +17,25 @@
 	output  output
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*reportBurnVerb) Name() string { return "burn" }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (*reportBurnVerb) Synopsis() string { return "show service-level burn, worst workspace first" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*reportBurnVerb) Usage() string {
 	return `report burn [-o table|json]
-  Shows for each workspace and objective the burn rate over a short and a long window and the share of
-  the budget that is left, over all instances, the worst workspace first. A burn of 1 uses the budget
-  up exactly at the end of the window.
+  Shows for each workspace and objective, over all instances, the burn rate over a short and a long
+  window and the remaining share of the error budget, the worst workspace first. At a burn of 1 the
+  budget is used up exactly at the end of the window.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *reportBurnVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *reportBurnVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/resource_table.go
+++ b/internal/command/control/resource_table.go
@@ -1,4 +1,4 @@
-// The columns in which resources of each kind are shown.
+// The table columns of each kind of resource.
 
 package control
 
@@ -12,7 +12,7 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// resourceTable shows resources of one kind.
+// resourceTable lists resources of one kind.
 func resourceTable(raw []json.RawMessage) (t table, err error) {
 	for _, item := range raw {
 		r, _, err := codec.DecodeResource(item)
@@ -30,8 +30,8 @@
 	return t, nil
 }
 
-// columnsOf gives the headings of the resource's kind and its row. A key's hash is left out: it is of
-// no use to a reader.
+// columnsOf returns the headings of the resource's kind and the resource's row. It omits a key's hash,
+// which is of no use to operators.
 func columnsOf(r resource.Resource) (heading, row []string) {
 	switch r := r.(type) {
 	case resource.BaseModel:
@@ -42,7 +42,7 @@
 	case resource.Key:
 		return []string{"WORKSPACE", "WITHDRAWN"}, []string{r.Workspace, strconv.FormatBool(r.Withdrawn)}
 	case resource.Adapter:
-		return []string{"BASEMODEL", "CURRENT", "WORKSPACES"}, []string{r.BaseModel, r.Current, listOf(r.Workspaces)}
+		return []string{"BASEMODEL", "CURRENT", "WORKSPACES"}, []string{r.BaseModel, r.Current, namesOrAll(r.Workspaces)}
 	case resource.AdapterVersion:
 		return []string{"ADAPTER", "VERSION", "SOURCE"}, []string{r.Adapter, r.Version, r.Source}
 	case resource.Upstream:
@@ -53,7 +53,7 @@
 			}
 	case resource.Service:
 		return []string{"ADDRESSES", "REPEATABLE", "WORKSPACES"},
-			[]string{listOf(r.Addresses), strings.Join(r.Repeatable, ","), listOf(r.Workspaces)}
+			[]string{namesOrAll(r.Addresses), strings.Join(r.Repeatable, ","), namesOrAll(r.Workspaces)}
 	}
 	panic(fmt.Sprintf("control: kind %s is missing from columnsOf", r.ID().Kind))
 }
@@ -62,8 +62,8 @@
 	return strconv.FormatFloat(value, 'f', -1, 64)
 }
 
-// listOf shows an empty list, which means no restriction, as all.
-func listOf(names []string) string {
+// namesOrAll joins the names. An empty list means no restriction and is shown as "(all)".
+func namesOrAll(names []string) string {
 	if len(names) == 0 {
 		return "(all)"
 	}
--- a/internal/command/control/status.go
+++ b/internal/command/control/status.go
@@ -1,4 +1,4 @@
-// The verb status: shows on which instances which revision is in force, and since when.
+// The verb status: shows which revision is in force on each instance, and since when.
 
 package control
 
@@ -19,25 +19,25 @@
 	output  output
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*statusVerb) Name() string { return "status" }
 
-// Synopsis is one line for the list of verbs.
+// Synopsis returns the line in the list of verbs.
 func (*statusVerb) Synopsis() string { return "show which revision is in force on which instance" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*statusVerb) Usage() string {
 	return `status [KIND NAME] [-o table|json]
-  Shows each instance with the revision in force there, as last heard, since when, and whether it can
-  be reached. With KIND and NAME it shows also where that resource is in force as it was last changed:
-  where the revision is at least its ResourceVersion.
+  Shows for each instance the last reported revision in force there, since when, and whether the
+  instance is reachable. With KIND and NAME it also shows on which instances the last change of that
+  resource is in force: those whose revision is at least its ResourceVersion.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *statusVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *statusVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
@@ -57,7 +57,7 @@
 	return v.output.print(v.program.Out, status, statusTable(status))
 }
 
-// resourceStatus says where one resource is in force as it was last changed.
+// resourceStatus lists the instances on which the last change of one resource is in force.
 type resourceStatus struct {
 	Kind            string
 	Name            string
--- a/internal/command/control/version.go
+++ b/internal/command/control/version.go
@@ -1,4 +1,4 @@
-// The verb version: tells which build this is.
+// The verb version: shows the version of this build.
 
 package control
 
@@ -15,30 +15,30 @@
 	output  output
 }
 
-// build tells what the program was built from; Commit is empty outside a checkout.
+// build identifies the source of the program; Commit is empty if it was built outside a checkout.
 type build struct {
 	Version string
 	Commit  string
 	Go      string
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*versionVerb) Name() string { return "version" }
 
-// Synopsis is one line for the list of verbs.
-func (*versionVerb) Synopsis() string { return "tell which build this is" }
+// Synopsis returns the line in the list of verbs.
+func (*versionVerb) Synopsis() string { return "show the version of this build" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*versionVerb) Usage() string {
 	return `version [-o table|json]
-  Tells the module's version, the commit and the Go version of this build.
+  Shows the module's version, the commit and the Go version of this build.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *versionVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *versionVerb) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(f))
 }
--- a/internal/command/control/watch.go
+++ b/internal/command/control/watch.go
@@ -1,4 +1,4 @@
-// The verb watch: tells changes as they come into force at the instance.
+// The verb watch: prints changes as they come into force on the instance.
 
 package control
 
@@ -20,9 +20,9 @@
 const (
 	// watchWait is how long one call waits for a change.
 	watchWait = 20 * time.Second
-	// watchPause is the time between calls while the instance cannot be reached.
+	// watchPause is the time between retries while the instance is unreachable.
 	watchPause = time.Second
-	// fromNow as -after begins with the revision in force.
+	// fromNow is the value of -after that starts at the revision in force.
 	fromNow = -1
 )
 
@@ -33,28 +33,28 @@
 	count   int
 }
 
-// Name of the verb.
+// Name returns the verb.
 func (*watchVerb) Name() string { return "watch" }
 
-// Synopsis is one line for the list of verbs.
-func (*watchVerb) Synopsis() string { return "tell changes as they come into force" }
+// Synopsis returns the line in the list of verbs.
+func (*watchVerb) Synopsis() string { return "print changes as they come into force" }
 
-// Usage is the help text.
+// Usage returns the help text.
 func (*watchVerb) Usage() string {
 	return `watch [-after REVISION] [-count N] [-o table|json]
-  Tells each change as it comes into force at the instance, one line a resource, until interrupted.
-  With -o json, one object a line. While the instance cannot be reached it goes on trying.
+  Prints each change as it comes into force on the instance, one line per resource, until interrupted.
+  With -o json it prints one object per line. While the instance is unreachable it keeps retrying.
 `
 }
 
-// SetFlags sets the verb's flags.
+// SetFlags defines the verb's flags.
 func (v *watchVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.Int64Var(&v.after, "after", fromNow, "begin after this revision; -1: the one in force")
-	f.IntVar(&v.count, "count", 0, "end after that many revisions; 0: go on")
+	f.IntVar(&v.count, "count", 0, "stop after that many revisions; 0: no limit")
 }
 
-// Execute carries the verb out.
+// Execute executes the verb.
 func (v *watchVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
@@ -75,16 +75,16 @@
 	return v.loop(ctx, c, after)
 }
 
-// loop ends when the operator interrupts it, when as many revisions as asked for were told, or with an
-// answer that another try would not change.
+// loop prints changes until the operator interrupts it, until count revisions have been printed, or until
+// an error that a retry would not resolve.
 func (v *watchVerb) loop(ctx context.Context, c *client.Client, after int64) error {
-	for told := 0; v.count == 0 || told < v.count; {
+	for printed := 0; v.count == 0 || printed < v.count; {
 		changes, err := c.Watch(ctx, after, watchWait)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			if !v.goOn(ctx, err) {
+			if !v.pauseIfTransient(ctx, err) {
 				return err
 			}
 			continue
@@ -92,22 +92,22 @@
 		if changes.Revision <= after {
 			continue
 		}
-		if err := v.tell(changes); err != nil {
+		if err := v.printChanges(changes); err != nil {
 			return err
 		}
 		after = changes.Revision
-		told++
+		printed++
 	}
 	return nil
 }
 
-// goOn pauses after an error that may pass, and tells whether it is one.
-func (v *watchVerb) goOn(ctx context.Context, err error) bool {
+// pauseIfTransient reports whether an error may be transient, and if so, prints it and pauses.
+func (v *watchVerb) pauseIfTransient(ctx context.Context, err error) bool {
 	var unreachable *client.Unreachable
 	if !errors.As(err, &unreachable) {
 		return false
 	}
-	v.program.complain(err.Error() + "; trying again")
+	v.program.printError(err.Error() + "; trying again")
 	select {
 	case <-time.After(watchPause):
 	case <-ctx.Done():
@@ -115,13 +115,13 @@
 	return true
 }
 
-func (v *watchVerb) tell(changes message.Changes) error {
+func (v *watchVerb) printChanges(changes message.Changes) error {
 	if v.output.format == formatJSON {
 		return json.NewEncoder(v.program.Out).Encode(changes)
 	}
 	lines := ""
 	if !changes.Complete {
-		lines = fmt.Sprintf("revision %d: changes before it are not kept any more; list again\n", changes.Revision)
+		lines = fmt.Sprintf("revision %d: earlier changes are no longer available; list the resources again\n", changes.Revision)
 	}
 	for _, change := range changes.Changes {
 		lines += fmt.Sprintf("revision %d: %s/%s version %d %s\n",
