--- a/internal/command/control/control.go
+++ b/internal/command/control/control.go
@@ -29,7 +29,7 @@
   2  wrong usage
   3  conflict: made on an old resource version; nothing was changed
   4  refused as invalid; nothing was changed
-  5  unavailable, or the answer was lost; the message says whether anything can have changed
+  5  unavailable, or the response was lost; the message says whether anything can have changed
 `
 
 // Environment variables.
@@ -86,8 +86,8 @@
 	for _, verb := range verbs[""] {
 		commander.Register(verb, "")
 	}
-	commander.Register(&group{program: p, word: "key", synopsis: "grant and withdraw callers' keys", verbs: verbs["key"]}, "")
-	commander.Register(&group{program: p, word: "report", synopsis: "reports over all instances", verbs: verbs["report"]}, "")
+	commander.Register(&group{program: p, prefix: "key", synopsis: "grant and withdraw callers' keys", verbs: verbs["key"]}, "")
+	commander.Register(&group{program: p, prefix: "report", synopsis: "reports over all instances", verbs: verbs["report"]}, "")
 	if err := flags.Parse(arguments); err != nil {
 		return int(exitUsage)
 	}
@@ -128,16 +128,16 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// group is a word that precedes several verbs, such as key before grant and withdraw.
+// group is a prefix of several verbs, such as key before grant and withdraw.
 type group struct {
 	program  *Program
-	word     string
+	prefix   string
 	synopsis string
 	verbs    []subcommands.Command
 }
 
-// Name returns the group's word.
-func (g *group) Name() string { return g.word }
+// Name returns the prefix.
+func (g *group) Name() string { return g.prefix }
 
 // Synopsis returns the line in the list of verbs.
 func (g *group) Synopsis() string { return g.synopsis }
@@ -154,9 +154,9 @@
 // SetFlags defines no flags; the verbs have their own.
 func (g *group) SetFlags(*flag.FlagSet) {}
 
-// Execute executes the verb after the group's word.
+// Execute executes the verb after the prefix.
 func (g *group) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	commander := g.program.newCommander(f, "lacewingctl "+g.word)
+	commander := g.program.newCommander(f, "lacewingctl "+g.prefix)
 	for _, verb := range g.verbs {
 		commander.Register(verb, "")
 	}
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -110,7 +110,7 @@
 }
 
 func (s *Server) status(c echo.Context) error {
-	answer := message.Status{Revision: s.Configurations.Current().Head.Revision, Instances: []message.Instance{}}
+	response := message.Status{Revision: s.Configurations.Current().Head.Revision, Instances: []message.Instance{}}
 	for _, i := range s.Fleet.Status() {
 		instance := message.Instance{
 			Name: i.Name, DataCentre: i.DataCentre, Revision: i.Revision, Reachable: i.Reachable,
@@ -118,9 +118,9 @@
 		if !i.InForceSince.IsZero() {
 			instance.InForceSince = i.InForceSince.UTC().Format(time.RFC3339Nano)
 		}
-		answer.Instances = append(answer.Instances, instance)
+		response.Instances = append(response.Instances, instance)
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
 func (s *Server) burn(c echo.Context) error {
@@ -128,11 +128,11 @@
 	if err != nil {
 		return err
 	}
-	answer := message.Burn{
+	response := message.Burn{
 		ShortWindow: report.ShortWindow.String(), LongWindow: report.LongWindow.String(), Lines: []message.BurnLine{},
 	}
 	for _, line := range report.Lines {
-		answer.Lines = append(answer.Lines, message.BurnLine(line))
+		response.Lines = append(response.Lines, message.BurnLine(line))
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var failure message.Failure
-	if err := json.Unmarshal(answer, &failure); err != nil {
-		t.Fatalf("%s: %v", answer, err)
+	if err := json.Unmarshal(content, &failure); err != nil {
+		t.Fatalf("%s: %v", content, err)
 	}
 	return response, failure
 }
@@ -120,11 +120,11 @@
 		message string
 	}{
 		{"outage", store.ErrUnavailable, 503, message.CodeUnavailable, "nothing was changed"},
-		{"answer lost", store.ErrUnknown, 503, message.CodeUnknown, "unknown"},
-		{"answer lost, then outage", both, 503, message.CodeUnknown, "unknown"},
+		{"response lost", store.ErrUnknown, 503, message.CodeUnknown, "unknown"},
+		{"response lost, then outage", both, 503, message.CodeUnknown, "unknown"},
 		{"too large", repository.ErrTooLarge, 413, message.CodeTooLarge, "nothing was changed"},
 		{"conflict", configuration.Conflicts{{Field: "Version"}}, 409, message.CodeConflict, "nothing was changed"},
-		{"anything else", errors.New("secret detail"), 500, message.CodeInternal, "log"},
+		{"unexpected error", errors.New("secret detail"), 500, message.CodeInternal, "log"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/operator/api/change.go
+++ b/internal/operator/api/change.go
@@ -78,13 +78,13 @@
 	if err != nil {
 		return err
 	}
-	var asked message.Grant
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var request message.Grant
+	if err := json.Unmarshal(body, &request); err != nil {
 		return invalid("the body must be {\"Workspace\": ..., \"Name\": ...}")
 	}
 	secret := newSecret()
 	key := resource.Key{
-		Meta: resource.Meta{Name: asked.Name}, Workspace: asked.Workspace, Hash: hashOf(secret),
+		Meta: resource.Meta{Name: request.Name}, Workspace: request.Workspace, Hash: hashOf(secret),
 	}
 	accepted, err := s.commit(c, func(configuration.Configuration) (configuration.Change, error) {
 		return configuration.Change{configuration.Declare{Resource: key, Expected: configuration.MustBeNew}}, nil
@@ -94,7 +94,7 @@
 	}
 	c.Response().Header().Set("Cache-Control", "no-store")
 	return c.JSON(http.StatusOK, message.Granted{
-		Accepted: accepted, Name: asked.Name, Workspace: asked.Workspace, Secret: secret,
+		Accepted: accepted, Name: request.Name, Workspace: request.Workspace, Secret: secret,
 	})
 }
 
--- a/internal/operator/api/lookup.go
+++ b/internal/operator/api/lookup.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	current := s.Configurations.Current()
-	return s.answerResources(c, current.Head.Revision, current.Configuration.Resources(kind))
+	return s.writeResources(c, current.Head.Revision, current.Configuration.Resources(kind))
 }
 
 func (s *Server) get(c echo.Context) error {
@@ -35,19 +35,19 @@
 	if !found {
 		return notFound("no " + id.String())
 	}
-	return s.answerResources(c, current.Head.Revision, []resource.Resource{r})
+	return s.writeResources(c, current.Head.Revision, []resource.Resource{r})
 }
 
-func (s *Server) answerResources(c echo.Context, revision int64, resources []resource.Resource) error {
-	answer := message.Resources{Revision: revision, Resources: make([]json.RawMessage, len(resources))}
+func (s *Server) writeResources(c echo.Context, revision int64, resources []resource.Resource) error {
+	response := message.Resources{Revision: revision, Resources: make([]json.RawMessage, len(resources))}
 	for i, r := range resources {
 		encoded, err := codec.EncodeResource(r)
 		if err != nil {
 			return err
 		}
-		answer.Resources[i] = encoded
+		response.Resources[i] = encoded
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
 // watch waits until a revision above after is in force on this instance, or until the requested time has
@@ -64,14 +64,14 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), wait)
 	defer cancel()
 	current, changed, complete := s.Configurations.ChangesAfter(ctx, after)
-	answer := message.Changes{Revision: current.Head.Revision, Complete: complete, Changes: []message.Version{}}
+	response := message.Changes{Revision: current.Head.Revision, Complete: complete, Changes: []message.Version{}}
 	for _, change := range changed {
-		answer.Changes = append(answer.Changes, message.Version{
+		response.Changes = append(response.Changes, message.Version{
 			Kind: string(change.ID.Kind), Name: change.ID.Name, ResourceVersion: change.Version,
 			Changed: true, Removed: change.Removed,
 		})
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
 // ---------------------------------------------------------------------------------------------
--- a/internal/platform/listing/client_test.go
+++ b/internal/platform/listing/client_test.go
@@ -28,7 +28,7 @@
 		},
 		{"empty", 200, `[]`, []listing.Member{}, nil},
 		{"down", 503, ``, nil, listing.ErrUnavailable},
-		{"no list", 200, `{}`, nil, listing.ErrUnavailable},
+		{"not a list", 200, `{}`, nil, listing.ErrUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/platform/store/client.go
+++ b/internal/platform/store/client.go
@@ -175,7 +175,7 @@
 }
 
 // call sends one request and maps its outcome to a result or an error. It does not retry: only the
-// caller knows whether a write may be sent again.
+// caller can decide whether a write may be sent again.
 func (c *Client) call(ctx context.Context, r request) (received result, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.wait+c.timeout())
 	defer cancel()
--- a/internal/platform/store/client_test.go
+++ b/internal/platform/store/client_test.go
@@ -90,30 +90,30 @@
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
 	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	noResponse := func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		write  error
-		read   error
+		name    string
+		handler http.HandlerFunc
+		write   error
+		read    error
 	}{
 		{"outage", status(503), store.ErrUnavailable, store.ErrUnavailable},
-		{"over its rate", status(429), store.ErrUnavailable, store.ErrUnavailable},
+		{"over its rate limit", status(429), store.ErrUnavailable, store.ErrUnavailable},
 		{"value refused", status(413), store.ErrUnavailable, store.ErrUnavailable},
 		{"conflict", status(412), store.ErrConflict, store.ErrConflict},
-		{"cut", cut, store.ErrUnknown, store.ErrUnavailable},
-		{"silent", silent, store.ErrUnknown, store.ErrUnavailable},
-		{"something in between", status(502), store.ErrUnknown, store.ErrUnavailable},
+		{"connection cut", cut, store.ErrUnknown, store.ErrUnavailable},
+		{"no response", noResponse, store.ErrUnknown, store.ErrUnavailable},
+		{"proxy in between", status(502), store.ErrUnknown, store.ErrUnavailable},
 		{"redirect", status(302), store.ErrUnknown, store.ErrUnavailable},
 		{"no revision", status(200), store.ErrUnknown, store.ErrUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			server := httptest.NewServer(c.answer)
+			server := httptest.NewServer(c.handler)
 			defer server.Close()
 			kv := &store.Client{Address: strings.TrimPrefix(server.URL, "http://"), Timeout: 500 * time.Millisecond}
 			_, err := kv.CompareAndSwap(t.Context(), "k", 1, []byte("v"))
