--- a/internal/command/control/control_test.go
+++ b/internal/command/control/control_test.go
@@ -193,7 +193,7 @@
 	is.True(strings.Contains(errors, "nothing was changed"))
 
 	d.kv.SetOutage(false)
-	d.kv.LoseAnswers(3) // responses to the writes of the parts and the head; the instance determines their outcome
+	d.kv.LoseResponses(3) // responses to the writes of the parts and the head; the instance determines their outcome
 	code, _, _ = d.run(example, "apply", "-f", "-")
 	is.Equal(code, 0)
 
--- a/internal/command/control/watch.go
+++ b/internal/command/control/watch.go
@@ -103,7 +103,7 @@
 
 // pauseIfTransient reports whether an error may be transient, and if so, prints it and pauses.
 func (v *watchVerb) pauseIfTransient(ctx context.Context, err error) bool {
-	var unreachable *client.Unreachable
+	var unreachable *client.NoResponseError
 	if !errors.As(err, &unreachable) {
 		return false
 	}
--- a/internal/platform/store/memory.go
+++ b/internal/platform/store/memory.go
@@ -51,8 +51,8 @@
 	m.wake()
 }
 
-// LoseAnswers lets the next count writes take effect, or fail, but returns ErrUnknown for each.
-func (m *Memory) LoseAnswers(count int) {
+// LoseResponses lets the next count writes take effect, or fail, but returns ErrUnknown for each.
+func (m *Memory) LoseResponses(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lostResponses = count
@@ -65,16 +65,16 @@
 	m.lostRequests = count
 }
 
-// LateWrites makes the next count writes return ErrUnknown at once. Each takes effect later, just before
+// DelayWrites makes the next count writes return ErrUnknown at once. Each takes effect later, just before
 // the call that follows it by the given number of calls.
-func (m *Memory) LateWrites(count int, calls int) {
+func (m *Memory) DelayWrites(count int, calls int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.writesToDelay, m.delayCalls = count, int64(calls)
 }
 
-// StaleReads makes the next count reads of single keys return the value before the last write.
-func (m *Memory) StaleReads(count int) {
+// ServeStaleReads makes the next count reads of single keys return the value before the last write.
+func (m *Memory) ServeStaleReads(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.staleReads = count
