--- a/internal/caller/api/fake_pipeline_test.go
+++ b/internal/caller/api/fake_pipeline_test.go
@@ -20,7 +20,7 @@
 // Complete answers with three tokens and Call with the call itself.
 type fakePipeline struct {
 	complete func(ctx context.Context, request completion.Request, sink api.Sink) error
-	call     func(call api.ServiceCall) (service.Answer, error)
+	call     func(call api.ServiceCall) (service.Response, error)
 	calls    atomic.Int32
 }
 
@@ -43,12 +43,12 @@
 	return sendThreeTokens(sink)
 }
 
-func (p *fakePipeline) Call(_ context.Context, _ api.Identity, call api.ServiceCall) (service.Answer, error) {
+func (p *fakePipeline) Call(_ context.Context, _ api.Identity, call api.ServiceCall) (service.Response, error) {
 	p.calls.Add(1)
 	if p.call != nil {
 		return p.call(call)
 	}
-	return service.Answer{Status: http.StatusCreated, Body: []byte(call.Call.Method + " " + call.Call.Path)}, nil
+	return service.Response{Status: http.StatusCreated, Body: []byte(call.Call.Method + " " + call.Call.Path)}, nil
 }
 
 // sendThreeTokens sends a complete stream.
--- a/internal/caller/api/pipeline.go
+++ b/internal/caller/api/pipeline.go
@@ -55,5 +55,5 @@
 	// Complete runs a completion. It returns nil only if the sink has received the complete stream.
 	Complete(ctx context.Context, identity Identity, request completion.Request, sink Sink) error
 	// Call calls a plain service.
-	Call(ctx context.Context, identity Identity, call ServiceCall) (service.Answer, error)
+	Call(ctx context.Context, identity Identity, call ServiceCall) (service.Response, error)
 }
--- a/internal/caller/api/services.go
+++ b/internal/caller/api/services.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	header := c.Response().Header()
-	for name, values := range service.SafeHeader(answer.Header) {
+	for name, values := range service.ForwardableHeader(answer.Header) {
 		header[name] = values
 	}
 	header.Set(refusal.HeaderRun, string(refusal.Ran))
@@ -65,7 +65,7 @@
 		Method:         request.Method,
 		Path:           path,
 		RawQuery:       request.URL.RawQuery,
-		Header:         service.SafeHeader(request.Header),
+		Header:         service.ForwardableHeader(request.Header),
 		Body:           body,
 		IdempotencyKey: key,
 	}}, nil
--- a/internal/catalog/repository/repository_history_test.go
+++ b/internal/catalog/repository/repository_history_test.go
@@ -170,7 +170,7 @@
 }
 
 func (m *machine) sweep(t *rapid.T) {
-	s := &repository.Sweeper{Repository: m.any(t), Grace: time.Second}
+	s := &repository.Sweeper{Repository: m.any(t), GracePeriod: time.Second}
 	for range 2 {
 		for index := range repository.SweepIndexes {
 			_, _ = s.Sweep(context.Background(), index)
--- a/internal/catalog/repository/repository_test.go
+++ b/internal/catalog/repository/repository_test.go
@@ -141,7 +141,7 @@
 	confirmed := r.Current().ConfirmedAt
 	kv.ServeStaleReads(1)
 	_, err = r.Refresh(ctx)
-	is.True(errors.Is(err, repository.ErrWentBack))
+	is.True(errors.Is(err, repository.ErrRevisionRegressed))
 	is.Equal(r.Current().Head.Revision, int64(2))
 	is.Equal(r.Current().ConfirmedAt, confirmed) // and it confirms nothing
 	kv.ServeStaleReads(2)
@@ -242,7 +242,7 @@
 		_, err := declare(t.Context(), writer, workspace("w", 1), configuration.MustBeNew)
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(t.Context())
-		reader := &repository.Repository{Store: kv, Writer: "b", WatchFor: time.Second}
+		reader := &repository.Repository{Store: kv, Writer: "b", WatchTimeout: time.Second}
 		ended := make(chan error)
 		go func() { ended <- reader.Run(ctx) }()
 		time.Sleep(10 * time.Second)
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -90,7 +90,7 @@
 		f.complete = func(ctx context.Context, sink engine.Sink) engine.Outcome {
 			f.must(begin(sink))
 			<-ctx.Done()
-			return engine.Cancelled{Tokens: 1, Err: context.Cause(ctx), Stopped: true}
+			return engine.Cancelled{Tokens: 1, Err: context.Cause(ctx), StopConfirmed: true}
 		}
 		began := time.Now()
 		time.AfterFunc(time.Second, f.withdraw)
@@ -139,10 +139,10 @@
 					return answer(sink)
 				}
 				if !afterFirstToken {
-					return engine.Unknown{Lost: true}
+					return engine.Unknown{EngineLost: true}
 				}
 				f.must(begin(sink))
-				return engine.Failed{Tokens: 1, Lost: true}
+				return engine.Failed{Tokens: 1, EngineLost: true}
 			}
 			err := f.ask("bids", 10)
 			if afterFirstToken {
@@ -179,7 +179,7 @@
 						return engine.Full{}
 					}
 					happens(f)
-					return engine.Unknown{Stopped: true}
+					return engine.Unknown{StopConfirmed: true}
 				}
 				err := f.ask("bids", 10)
 				is := is.New(t)
@@ -194,8 +194,8 @@
 // have to stay within a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	inBubble(t, 2, func(f *fixture) {
-		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
-		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{Stopped: true} }
+		f.pipeline.State.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
+		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{StopConfirmed: true} }
 		for range 100 {
 			refused(t, f.ask("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
 		}
@@ -210,8 +210,8 @@
 // others along.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	crashes := map[string]engine.Outcome{
-		"stays away":      engine.Unknown{Lost: true},
-		"is back at once": engine.Unknown{Lost: true, Stopped: true},
+		"stays away":      engine.Unknown{EngineLost: true},
+		"is back at once": engine.Unknown{EngineLost: true, StopConfirmed: true},
 	}
 	for name, crash := range crashes {
 		t.Run(name, func(t *testing.T) {
@@ -238,7 +238,7 @@
 	inBubble(t, 2, func(f *fixture) {
 		f.complete = func(context.Context, engine.Sink) engine.Outcome {
 			time.Sleep(time.Second)
-			return engine.Unknown{Lost: true, Stopped: true}
+			return engine.Unknown{EngineLost: true, StopConfirmed: true}
 		}
 		turn := make(chan struct{}, 1)
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
@@ -262,7 +262,7 @@
 // version is not resident, or runs another one. Nothing of that reached the caller, so the request is
 // placed anew; the holder has to hear why, or it sends the next one there too.
 func TestNotResident(t *testing.T) {
-	for _, first := range []engine.Outcome{engine.NotResident{}, engine.WrongModel{Served: "bids@2", Stopped: true}} {
+	for _, first := range []engine.Outcome{engine.NotResident{}, engine.WrongModel{ServedModel: "bids@2", StopConfirmed: true}} {
 		inBubble(t, 2, func(f *fixture) {
 			f.complete = func(_ context.Context, sink engine.Sink) engine.Outcome {
 				if len(f.dispatched()) > 1 {
@@ -346,7 +346,7 @@
 		time.Sleep(10 * time.Second)
 		is := is.New(t)
 		is.Equal(len(f.given()), 0)
-		pins, _ := f.pipeline.Pins.On(f.dispatched()[0], 0)
+		pins, _ := f.pipeline.Pins.ForUpstream(f.dispatched()[0], 0)
 		is.Equal(len(pins), 1)
 		cut.Store(false)
 		time.Sleep(time.Second)
@@ -363,7 +363,7 @@
 			f.must(sink.Begin("bids@1"))
 			for ; most < 100; most++ {
 				if err := sink.Event(stream.Event{Data: []byte("{}")}, most+1); err != nil {
-					return engine.Cancelled{Tokens: most, Err: err, Stopped: true}
+					return engine.Cancelled{Tokens: most, Err: err, StopConfirmed: true}
 				}
 			}
 			return engine.Completed{Tokens: most}
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -30,12 +30,12 @@
 // Call calls a plain service.
 func (p *Pipeline) Call(
 	ctx context.Context, identity api.Identity, call api.ServiceCall,
-) (answer service.Answer, err error) {
+) (answer service.Response, err error) {
 	began := time.Now()
 	defer func() { p.finishedCall(identity, call, began, err) }()
 	target, err := p.resolveService(identity, call.Service)
 	if err != nil {
-		return service.Answer{}, err
+		return service.Response{}, err
 	}
 	if slices.Contains(target.Repeatable, call.Call.Method) {
 		return p.callRepeatable(ctx, identity, target, call.Call)
@@ -58,7 +58,7 @@
 // withoutLeaving leaves out the addresses that are leaving. A call sent to one of them may be cut when it
 // goes, and one that may not be repeated then has an outcome that nobody knows.
 func (p *Pipeline) withoutLeaving(target resource.Service) (resource.Service, error) {
-	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.Leaving)
+	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.IsLeaving)
 	if len(target.Addresses) == 0 {
 		return target, refusal.New(refusal.ServiceUnavailable, "all addresses of the service are leaving").
 			WithRetryAfter(time.Second)
@@ -77,10 +77,10 @@
 // callRepeatable tries the service's addresses in a random order until one answers.
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
-) (answer service.Answer, err error) {
-	ctx, leave := p.Running.enter(ctx, identity)
+) (answer service.Response, err error) {
+	ctx, leave := p.RunningRequests.enter(ctx, identity)
 	defer leave()
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Retries.CountFirstTry()
 	})
 	unanswered := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
@@ -90,28 +90,28 @@
 			break
 		}
 		if _, err := p.stillServed(identity); err != nil {
-			return service.Answer{}, refusal.From(err).WithRun(unanswered.Run())
+			return service.Response{}, refusal.From(err).WithRun(unanswered.Run())
 		}
 		outcome := p.Services.Do(ctx, target.Addresses[at], call)
 		if ran, ok := outcome.(service.Ran); ok {
-			return ran.Answer, nil
+			return ran.Response, nil
 		}
 		if ctx.Err() != nil {
-			return service.Answer{}, ended(ctx, refusal.Unknown)
+			return service.Response{}, ended(ctx, refusal.Unknown)
 		}
 		if _, unknown := outcome.(service.Unknown); unknown {
 			unanswered = unanswered.WithRun(refusal.Unknown)
 		}
 	}
-	return service.Answer{}, unanswered
+	return service.Response{}, unanswered
 }
 
 // callOnce claims the call's idempotency key and sends the call once.
 func (p *Pipeline) callOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
-) (service.Answer, error) {
+) (service.Response, error) {
 	if call.IdempotencyKey == "" {
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyMissing,
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyMissing,
 			"a call that may not be repeated needs the header Idempotency-Key")
 	}
 	claiming, cancel := context.WithTimeout(ctx, claimWithin)
@@ -119,7 +119,7 @@
 	body := claim.BodyHash(call.Method, target.Meta.Name+call.Path+"?"+call.RawQuery, call.Body)
 	decision, err := p.Claims.Claim(claiming, identity.Workspace, call.IdempotencyKey, body)
 	if err != nil {
-		return service.Answer{}, storeUnavailable(time.Second)
+		return service.Response{}, storeUnavailable(time.Second)
 	}
 	switch d := decision.(type) {
 	case claim.Proceed:
@@ -127,18 +127,18 @@
 	case claim.Replay:
 		return replayed(d)
 	case claim.InProgress:
-		return service.Answer{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
+		return service.Response{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
 			WithRetryAfter(d.RetryAfter)
 	case claim.OutcomeUnknown:
-		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
+		return service.Response{}, refusal.New(refusal.OutcomeUnknown,
 			"a call with this idempotency key may have run; its outcome is not known")
 	case claim.BodyMismatch:
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyReused,
 			"this idempotency key was used for another call")
 	case claim.Refuse:
-		return service.Answer{}, storeUnavailable(d.RetryAfter)
+		return service.Response{}, storeUnavailable(d.RetryAfter)
 	}
-	return service.Answer{}, refusal.New(refusal.Internal, "unknown decision")
+	return service.Response{}, refusal.New(refusal.Internal, "unknown decision")
 }
 
 func storeUnavailable(retryAfter time.Duration) refusal.Refusal {
@@ -147,12 +147,12 @@
 }
 
 // replayed answers a repeated call with what the first one answered.
-func replayed(d claim.Replay) (service.Answer, error) {
+func replayed(d claim.Replay) (service.Response, error) {
 	if !d.Kept {
-		return service.Answer{}, refusal.New(refusal.IdempotencyKeyReused,
+		return service.Response{}, refusal.New(refusal.IdempotencyKeyReused,
 			"the call ran; its answer was too large to be kept").WithRun(refusal.Ran)
 	}
-	answer := service.Answer{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
+	answer := service.Response{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
 	answer.Header.Set("Content-Type", d.Response.ContentType)
 	answer.Header.Set("Idempotency-Replayed", "true")
 	return answer, nil
@@ -162,30 +162,30 @@
 // so that its outcome is known when the caller asks again.
 func (p *Pipeline) sendOnce(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call, ticket *claim.Ticket,
-) (service.Answer, error) {
+) (service.Response, error) {
 	target, err := p.mayDispatch(identity, target.Meta.Name, ticket)
 	if err != nil {
 		p.record(ticket.NotRun)
-		return service.Answer{}, err
+		return service.Response{}, err
 	}
 	address := target.Addresses[rand.IntN(len(target.Addresses))]
 	switch o := p.Services.Do(context.WithoutCancel(ctx), address, call).(type) {
 	case service.Ran:
 		p.record(func(ctx context.Context) error {
 			return ticket.Ran(ctx, claim.Response{
-				Status:      o.Answer.Status,
-				ContentType: o.Answer.Header.Get("Content-Type"),
-				Body:        o.Answer.Body,
+				Status:      o.Response.Status,
+				ContentType: o.Response.Header.Get("Content-Type"),
+				Body:        o.Response.Body,
 			})
 		})
-		return o.Answer, nil
+		return o.Response, nil
 	case service.NotRun:
 		p.record(ticket.NotRun)
-		return service.Answer{}, refusal.New(refusal.ServiceUnavailable, "the service cannot be reached").
+		return service.Response{}, refusal.New(refusal.ServiceUnavailable, "the service cannot be reached").
 			WithRetryAfter(time.Second)
 	default:
 		p.record(ticket.Unknown)
-		return service.Answer{}, refusal.New(refusal.OutcomeUnknown,
+		return service.Response{}, refusal.New(refusal.OutcomeUnknown,
 			"the service did not answer; whether the call ran is not known")
 	}
 }
--- a/internal/upstream/engine/cancel.go
+++ b/internal/upstream/engine/cancel.go
@@ -18,7 +18,7 @@
 func (c *Client) Cancel(ctx context.Context, id string) (err error) {
 	defer func() { err = errors.WithMessage(err, "cancel a stream") }()
 	c.prepare()
-	ctx, cancel := context.WithTimeout(ctx, c.limits.Cancel)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.CancelTimeout)
 	defer cancel()
 	response, err := c.transport.Do(ctx, exchange.Request{
 		Address: c.Address,
--- a/internal/upstream/engine/client.go
+++ b/internal/upstream/engine/client.go
@@ -26,35 +26,35 @@
 // Limits bound each phase of an exchange. None has a measured reason yet but for the target's first
 // token (0.54 s) and gap between tokens (30 ms), which they stand well above.
 type Limits struct {
-	// Connect is the longest a connection may take to open.
-	Connect time.Duration
-	// FirstToken is the longest wait from the send to the first event.
-	FirstToken time.Duration
-	// BetweenTokens is the longest wait between two events.
-	BetweenTokens time.Duration
-	// Resumes is how many connections in a row may be tried without a new event on any of them.
-	Resumes int
-	// Cancel bounds the cancelling of a stream that is no longer wanted.
-	Cancel time.Duration
-	// Order bounds a role or unload order, Load a load order, Report a report or an events page.
-	Order, Load, Report time.Duration
-	// LineBytes bounds a line of a stream, AnswerBytes any other answer.
-	LineBytes, AnswerBytes int
+	// ConnectTimeout is the longest a connection may take to open.
+	ConnectTimeout time.Duration
+	// FirstTokenTimeout is the longest wait from the send to the first event.
+	FirstTokenTimeout time.Duration
+	// InterTokenTimeout is the longest wait between two events.
+	InterTokenTimeout time.Duration
+	// MaxResumes is how many connections in a row may be tried without a new event on any of them.
+	MaxResumes int
+	// CancelTimeout bounds the cancelling of a stream that is no longer wanted.
+	CancelTimeout time.Duration
+	// OrderTimeout bounds a role or unload order, LoadTimeout a load order, ReportTimeout a report or an events page.
+	OrderTimeout, LoadTimeout, ReportTimeout time.Duration
+	// MaxLineBytes bounds a line of a stream, MaxResponseBytes any other answer.
+	MaxLineBytes, MaxResponseBytes int
 }
 
 // DefaultLimits suit engines in the same region.
 func DefaultLimits() Limits {
 	return Limits{
-		Connect:       time.Second,
-		FirstToken:    10 * time.Second,
-		BetweenTokens: 3 * time.Second,
-		Resumes:       3,
-		Cancel:        2 * time.Second,
-		Order:         5 * time.Second,
-		Load:          30 * time.Second,
-		Report:        2 * time.Second,
-		LineBytes:     1 << 20,
-		AnswerBytes:   4 << 20,
+		ConnectTimeout:    time.Second,
+		FirstTokenTimeout: 10 * time.Second,
+		InterTokenTimeout: 3 * time.Second,
+		MaxResumes:        3,
+		CancelTimeout:     2 * time.Second,
+		OrderTimeout:      5 * time.Second,
+		LoadTimeout:       30 * time.Second,
+		ReportTimeout:     2 * time.Second,
+		MaxLineBytes:      1 << 20,
+		MaxResponseBytes:  4 << 20,
 	}
 }
 
@@ -63,8 +63,8 @@
 type Client struct {
 	Address string
 	Limits  Limits
-	// Observe, when set, is told of each fault that the client got over or gave up on, for counters.
-	Observe func(Fault)
+	// OnFault, when set, is told of each fault that the client got over or gave up on, for counters.
+	OnFault func(Fault)
 
 	once      sync.Once
 	limits    Limits
@@ -129,8 +129,8 @@
 
 // WrongModel is the outcome in which the engine ran something else; nothing of it reached the sink.
 type WrongModel struct {
-	Served  string
-	Stopped bool
+	ServedModel   string
+	StopConfirmed bool
 }
 
 // Failed is the outcome in which the stream was lost after Tokens tokens and could not be resumed.
@@ -138,25 +138,25 @@
 // went away while the request ran there, as it does when it crashes: nothing listens at its address any
 // more, or it no longer knows the stream. Otherwise the way to it may be at fault.
 type Failed struct {
-	Tokens  int
-	Err     error
-	Stopped bool
-	Lost    bool
+	Tokens        int
+	Err           error
+	StopConfirmed bool
+	EngineLost    bool
 }
 
 // Unknown is the outcome in which the request left this process, and whether it ran can't be told.
 // Stopped and Lost are as with Failed; a request that never arrived looks like one that was lost.
 type Unknown struct {
-	Err     error
-	Stopped bool
-	Lost    bool
+	Err           error
+	StopConfirmed bool
+	EngineLost    bool
 }
 
 // Cancelled is the outcome in which the caller went away or the sink failed. Stopped tells whether the engine confirmed.
 type Cancelled struct {
-	Tokens  int
-	Err     error
-	Stopped bool
+	Tokens        int
+	Err           error
+	StopConfirmed bool
 }
 
 func (Completed) outcome()   {}
@@ -186,13 +186,13 @@
 		if c.limits == (Limits{}) {
 			c.limits = DefaultLimits()
 		}
-		c.transport.Connect = c.limits.Connect
+		c.transport.ConnectTimeout = c.limits.ConnectTimeout
 	})
 }
 
 func (c *Client) observe(fault Fault) {
-	if c.Observe != nil {
-		c.Observe(fault)
+	if c.OnFault != nil {
+		c.OnFault(fault)
 	}
 }
 
--- a/internal/upstream/engine/complete.go
+++ b/internal/upstream/engine/complete.go
@@ -51,7 +51,7 @@
 		if ctx.Err() != nil {
 			return r.cancelled(ctx, context.Cause(ctx))
 		}
-		if fruitless >= r.client.limits.Resumes {
+		if fruitless >= r.client.limits.MaxResumes {
 			return r.givenUp(ctx, err)
 		}
 		if fruitless > 0 {
@@ -114,20 +114,20 @@
 // patience is the limit of the phase that the stream is in.
 func (r *runner) patience() time.Duration {
 	if r.position.tokens == 0 {
-		return r.client.limits.FirstToken
+		return r.client.limits.FirstTokenTimeout
 	}
-	return r.client.limits.BetweenTokens
+	return r.client.limits.InterTokenTimeout
 }
 
 // unanswered judges an exchange without an answer. Only the first request can be not run: nothing of
 // it left this process.
 func (r *runner) unanswered(ctx, watched context.Context, request exchange.Request, err error) (Outcome, error) {
 	var failure *exchange.Failure
-	left := !errors.As(err, &failure) || failure.Left
+	left := !errors.As(err, &failure) || failure.MaybeSent
 	if request.Method == http.MethodPost && !left {
 		r.client.observe(FaultConnect)
 		if ctx.Err() != nil {
-			return Cancelled{Err: context.Cause(ctx), Stopped: true}, nil
+			return Cancelled{Err: context.Cause(ctx), StopConfirmed: true}, nil
 		}
 		return NotRun{Err: err}, nil
 	}
@@ -179,9 +179,9 @@
 	r.client.observe(FaultWrongModel)
 	stopped := r.stop(ctx)
 	if r.began {
-		return Failed{Tokens: r.position.tokens, Err: errWrongModel, Stopped: stopped}
+		return Failed{Tokens: r.position.tokens, Err: errWrongModel, StopConfirmed: stopped}
 	}
-	return WrongModel{Served: served, Stopped: stopped}
+	return WrongModel{ServedModel: served, StopConfirmed: stopped}
 }
 
 // refusal judges an answer other than 200. The engine's word that it did not run the request is taken
@@ -208,7 +208,7 @@
 
 // notRun maps a refusal of the request; nil when the status says nothing about a run.
 func (r *runner) notRun(response *http.Response) Outcome {
-	refused := readRefusal(response, r.client.limits.AnswerBytes)
+	refused := readRefusal(response, r.client.limits.MaxResponseBytes)
 	status := response.StatusCode
 	switch {
 	case status == http.StatusNotFound && refused.Error.Code == codeModelNotFound:
@@ -231,18 +231,18 @@
 	lost := errors.New("engine: the stream is not known any more")
 	switch {
 	case r.began:
-		return Failed{Tokens: r.position.tokens, Err: lost, Stopped: true, Lost: true}, nil
+		return Failed{Tokens: r.position.tokens, Err: lost, StopConfirmed: true, EngineLost: true}, nil
 	case r.refused != nil:
 		return r.refused, nil
 	}
-	return Unknown{Err: lost, Stopped: true, Lost: true}, nil
+	return Unknown{Err: lost, StopConfirmed: true, EngineLost: true}, nil
 }
 
 // ---------------------------------------------------------------------------------------------
 
 // read passes events on until the stream ends or is lost.
 func (r *runner) read(ctx context.Context, body io.Reader, watch *progressWatch) (Outcome, error) {
-	reader := stream.NewReader(body, r.client.limits.LineBytes)
+	reader := stream.NewReader(body, r.client.limits.MaxLineBytes)
 	for {
 		event, err := reader.Next()
 		if err != nil {
@@ -271,7 +271,7 @@
 		return nil, err
 	}
 	if chunk.Failure != "" {
-		return Failed{Tokens: r.position.tokens, Err: errors.New(chunk.Failure), Stopped: true}, nil
+		return Failed{Tokens: r.position.tokens, Err: errors.New(chunk.Failure), StopConfirmed: true}, nil
 	}
 	if chunk.ID != r.dispatch.ID {
 		return nil, errCrossed
@@ -311,13 +311,13 @@
 	stopped := r.stop(ctx)
 	lost := errors.Is(err, syscall.ECONNREFUSED)
 	if r.began {
-		return Failed{Tokens: r.position.tokens, Err: err, Stopped: stopped, Lost: lost}
+		return Failed{Tokens: r.position.tokens, Err: err, StopConfirmed: stopped, EngineLost: lost}
 	}
-	return Unknown{Err: err, Stopped: stopped, Lost: lost}
+	return Unknown{Err: err, StopConfirmed: stopped, EngineLost: lost}
 }
 
 func (r *runner) cancelled(ctx context.Context, cause error) Outcome {
-	return Cancelled{Tokens: r.position.tokens, Err: cause, Stopped: r.stop(ctx)}
+	return Cancelled{Tokens: r.position.tokens, Err: cause, StopConfirmed: r.stop(ctx)}
 }
 
 // stop cancels the stream at the engine and reports whether the engine confirmed that it runs no more.
--- a/internal/upstream/engine/complete_test.go
+++ b/internal/upstream/engine/complete_test.go
@@ -117,7 +117,7 @@
 				<-r.Context().Done()
 				return true
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), Observe: seen.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), OnFault: seen.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
@@ -141,8 +141,8 @@
 	client := &engine.Client{Address: fake.start(t), Limits: quickLimits()}
 	unknown, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Unknown)
 	is.True(ok)
-	is.True(unknown.Stopped)
-	is.True(!unknown.Lost)
+	is.True(unknown.StopConfirmed)
+	is.True(!unknown.EngineLost)
 	_, cancels := fake.counts()
 	is.Equal(cancels, 1)
 }
@@ -181,7 +181,7 @@
 				}
 				return number == 1
 			}}
-			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), Observe: seen.observe}
+			client := &engine.Client{Address: fake.start(t), Limits: quickLimits(), OnFault: seen.observe}
 			sink := &textSink{}
 			_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 			is.True(ok)
@@ -204,8 +204,8 @@
 		sink := &textSink{}
 		wrong, ok := client.Complete(context.Background(), dispatch(), sink).(engine.WrongModel)
 		is.True(ok)
-		is.Equal(wrong.Served, served)
-		is.True(wrong.Stopped)
+		is.Equal(wrong.ServedModel, served)
+		is.True(wrong.StopConfirmed)
 		is.Equal(sink.events, 0)
 	}
 }
@@ -283,8 +283,8 @@
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 2)
-	is.True(failed.Stopped)
-	is.True(failed.Lost)
+	is.True(failed.StopConfirmed)
+	is.True(failed.EngineLost)
 }
 
 // The engine's process dies in the middle of a stream and nothing listens at its address any more. The
@@ -304,8 +304,8 @@
 	failed, ok := client.Complete(context.Background(), dispatch(), &textSink{}).(engine.Failed)
 	is.True(ok)
 	is.Equal(failed.Tokens, 1)
-	is.True(failed.Lost)
-	is.True(!failed.Stopped)
+	is.True(failed.EngineLost)
+	is.True(!failed.StopConfirmed)
 }
 
 // A caller hangs up in the middle of its stream. The engine would go on to the last token for nobody;
@@ -336,7 +336,7 @@
 			client := &engine.Client{Address: fake.start(t), Limits: engine.DefaultLimits()}
 			cancelled, ok := client.Complete(ctx, dispatch(), c.sink).(engine.Cancelled)
 			is.True(ok)
-			is.True(cancelled.Stopped)
+			is.True(cancelled.StopConfirmed)
 			_, cancels := fake.counts()
 			is.Equal(cancels, 1)
 		})
@@ -350,8 +350,8 @@
 	var seen faults
 	fake := &fakeEngine{tokens: 2}
 	limits := quickLimits()
-	client := &engine.Client{Address: fake.start(t), Limits: limits, Observe: seen.observe}
-	sink := &textSink{slow: limits.BetweenTokens + 100*time.Millisecond}
+	client := &engine.Client{Address: fake.start(t), Limits: limits, OnFault: seen.observe}
+	sink := &textSink{slow: limits.InterTokenTimeout + 100*time.Millisecond}
 	_, ok := client.Complete(context.Background(), dispatch(), sink).(engine.Completed)
 	is.True(ok)
 	is.Equal(seen.count(engine.FaultSilent), 0)
--- a/internal/upstream/engine/fake_engine_test.go
+++ b/internal/upstream/engine/fake_engine_test.go
@@ -149,9 +149,9 @@
 // quickLimits make the failure cases end soon; none of them is asserted on.
 func quickLimits() engine.Limits {
 	limits := engine.DefaultLimits()
-	limits.FirstToken = 300 * time.Millisecond
-	limits.BetweenTokens = 300 * time.Millisecond
-	limits.Resumes = 2
+	limits.FirstTokenTimeout = 300 * time.Millisecond
+	limits.InterTokenTimeout = 300 * time.Millisecond
+	limits.MaxResumes = 2
 	return limits
 }
 
--- a/internal/upstream/engine/orders.go
+++ b/internal/upstream/engine/orders.go
@@ -25,11 +25,11 @@
 	ErrInUse = errors.New("engine: adapter version in use")
 	// ErrLoadFailed means that the engine could not get the weights.
 	ErrLoadFailed = errors.New("engine: load failed")
-	// ErrNotDone means that the order did not leave this process, or that the engine refused it, as it
+	// ErrNotExecuted means that the order did not leave this process, or that the engine refused it, as it
 	// does while it starts.
-	ErrNotDone = errors.New("engine: order not done")
-	// ErrUnknown means that the order may have been carried out, or may be yet.
-	ErrUnknown = errors.New("engine: outcome of the order unknown")
+	ErrNotExecuted = errors.New("engine: order not done")
+	// ErrOutcomeUnknown means that the order may have been carried out, or may be yet.
+	ErrOutcomeUnknown = errors.New("engine: outcome of the order unknown")
 )
 
 // Order to load or unload an adapter version. Source is where the weight store keeps it.
@@ -69,20 +69,20 @@
 func (c *Client) Load(ctx context.Context, order Order) error {
 	c.prepare()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Source: order.Source, Fence: order.Fence}
-	return c.order(ctx, c.limits.Load, "/orders/load", wire)
+	return c.order(ctx, c.limits.LoadTimeout, "/orders/load", wire)
 }
 
 // Unload orders the engine to give up an adapter version.
 func (c *Client) Unload(ctx context.Context, order Order) error {
 	c.prepare()
 	wire := wireOrder{Adapter: order.Adapter, Version: order.Version, Fence: order.Fence}
-	return c.order(ctx, c.limits.Order, "/orders/unload", wire)
+	return c.order(ctx, c.limits.OrderTimeout, "/orders/unload", wire)
 }
 
-// Role orders the engine to change its role.
-func (c *Client) Role(ctx context.Context, role string, fence int64) error {
+// SetRole orders the engine to change its role.
+func (c *Client) SetRole(ctx context.Context, role string, fence int64) error {
 	c.prepare()
-	return c.order(ctx, c.limits.Order, "/orders/role", wireOrder{Role: role, Fence: fence})
+	return c.order(ctx, c.limits.OrderTimeout, "/orders/role", wireOrder{Role: role, Fence: fence})
 }
 
 func (c *Client) order(ctx context.Context, limit time.Duration, target string, wire wireOrder) (err error) {
@@ -107,7 +107,7 @@
 	defer response.Body.Close()
 	if crossed(response, id) {
 		c.observe(FaultCrossed)
-		return errors.WithMessage(ErrUnknown, "answer to another order")
+		return errors.WithMessage(ErrOutcomeUnknown, "answer to another order")
 	}
 	return c.orderAnswered(response)
 }
@@ -116,19 +116,19 @@
 // the holder: an order that may yet be carried out can evict what it has pinned since.
 func (c *Client) orderLost(err error) error {
 	var failure *exchange.Failure
-	if errors.As(err, &failure) && !failure.Left {
+	if errors.As(err, &failure) && !failure.MaybeSent {
 		c.observe(FaultConnect)
-		return errors.WithMessage(ErrNotDone, err.Error())
+		return errors.WithMessage(ErrNotExecuted, err.Error())
 	}
 	c.observe(FaultCut)
-	return errors.WithMessage(ErrUnknown, err.Error())
+	return errors.WithMessage(ErrOutcomeUnknown, err.Error())
 }
 
 func (c *Client) orderAnswered(response *http.Response) error {
 	if response.StatusCode == http.StatusOK {
 		return nil
 	}
-	refused := readRefusal(response, c.limits.AnswerBytes)
+	refused := readRefusal(response, c.limits.MaxResponseBytes)
 	reason := http.StatusText(response.StatusCode) + " " + refused.Error.Code
 	switch response.StatusCode {
 	case http.StatusConflict:
@@ -137,9 +137,9 @@
 		return errors.WithMessage(ErrLoadFailed, refused.Error.Message)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests,
 		http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed:
-		return errors.WithMessage(ErrNotDone, reason)
+		return errors.WithMessage(ErrNotExecuted, reason)
 	}
-	return errors.WithMessage(ErrUnknown, reason)
+	return errors.WithMessage(ErrOutcomeUnknown, reason)
 }
 
 func conflict(code, reason string) error {
@@ -151,7 +151,7 @@
 	case codeInUse:
 		return ErrInUse
 	}
-	return errors.WithMessage(ErrUnknown, reason)
+	return errors.WithMessage(ErrOutcomeUnknown, reason)
 }
 
 // readRefusal reads an error object; one that can't be read gives an empty code, which no decision
--- a/internal/upstream/engine/orders_test.go
+++ b/internal/upstream/engine/orders_test.go
@@ -35,10 +35,10 @@
 		{409, `{"error":{"code":"stale_fence"}}`, engine.ErrStaleFence},
 		{409, `{"error":{"code":"no_slot"}}`, engine.ErrNoSlot},
 		{409, `{"error":{"code":"in_use"}}`, engine.ErrInUse},
-		{409, `not JSON`, engine.ErrUnknown},
+		{409, `not JSON`, engine.ErrOutcomeUnknown},
 		{502, `{"error":{"message":"weights"}}`, engine.ErrLoadFailed},
-		{503, `{}`, engine.ErrNotDone},
-		{500, `{}`, engine.ErrUnknown},
+		{503, `{}`, engine.ErrNotExecuted},
+		{500, `{}`, engine.ErrOutcomeUnknown},
 	}
 	for _, c := range cases {
 		is := is.New(t)
@@ -67,9 +67,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			client := answering(t, c.answer)
-			client.Limits.Order = 200 * time.Millisecond
+			client.Limits.OrderTimeout = 200 * time.Millisecond
 			err := client.Unload(context.Background(), engine.Order{Adapter: "bids", Version: "2", Fence: 7})
-			is.True(errors.Is(err, engine.ErrUnknown))
+			is.True(errors.Is(err, engine.ErrOutcomeUnknown))
 		})
 	}
 }
--- a/internal/upstream/engine/report.go
+++ b/internal/upstream/engine/report.go
@@ -100,7 +100,7 @@
 
 func (c *Client) get(ctx context.Context, target string, into any) error {
 	c.prepare()
-	ctx, cancel := context.WithTimeout(ctx, c.limits.Report)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.ReportTimeout)
 	defer cancel()
 	id := uuid.NewString()
 	response, err := c.transport.Do(ctx, exchange.Request{
@@ -120,7 +120,7 @@
 		c.observe(FaultCrossed)
 		return errors.New("answer to another request")
 	}
-	body, err := exchange.ReadAll(response.Body, c.limits.AnswerBytes)
+	body, err := exchange.ReadAll(response.Body, c.limits.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -45,8 +45,8 @@
 // Failure is an exchange without an answer. Left tells whether any byte of the request may have left
 // this process; when none has, the upstream can't have run it, now or later.
 type Failure struct {
-	Err  error
-	Left bool
+	Err       error
+	MaybeSent bool
 }
 
 // Error is the cause's text.
@@ -58,7 +58,7 @@
 // Transport makes exchanges. Connect is the longest that a connection may take to open. It is safe
 // for concurrent use once its field is set.
 type Transport struct {
-	Connect time.Duration
+	ConnectTimeout time.Duration
 
 	once sync.Once
 	base *http.Transport
@@ -66,7 +66,7 @@
 
 func (t *Transport) transport() *http.Transport {
 	t.once.Do(func() {
-		dialer := net.Dialer{Timeout: t.Connect}
+		dialer := net.Dialer{Timeout: t.ConnectTimeout}
 		t.base = &http.Transport{
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
@@ -102,7 +102,7 @@
 	}
 	response, err := t.transport().RoundTrip(raw)
 	if err != nil {
-		return nil, &Failure{Err: err, Left: used.seal()}
+		return nil, &Failure{Err: err, MaybeSent: used.seal()}
 	}
 	return response, nil
 }
--- a/internal/upstream/exchange/exchange_test.go
+++ b/internal/upstream/exchange/exchange_test.go
@@ -18,7 +18,7 @@
 
 func do(t *testing.T, ctx context.Context, address string) (*http.Response, error) {
 	t.Helper()
-	transport := &exchange.Transport{Connect: time.Second}
+	transport := &exchange.Transport{ConnectTimeout: time.Second}
 	return transport.Do(ctx, exchange.Request{
 		Address: address,
 		Method:  http.MethodPost,
@@ -64,7 +64,7 @@
 	_, err := do(t, context.Background(), server.Listener.Addr().String())
 	var failure *exchange.Failure
 	is.True(errors.As(err, &failure))
-	is.True(failure.Left)
+	is.True(failure.MaybeSent)
 }
 
 // The address takes connections but never answers, so the caller's limit ends the exchange. The request
@@ -79,7 +79,7 @@
 	_, err = do(t, ctx, listener.Addr().String())
 	var failure *exchange.Failure
 	is.True(errors.As(err, &failure))
-	is.True(failure.Left)
+	is.True(failure.MaybeSent)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
--- a/internal/upstream/service/client.go
+++ b/internal/upstream/service/client.go
@@ -33,8 +33,8 @@
 	IdempotencyKey string
 }
 
-// Answer of a plain service, whole, with the headers that may go back to the caller.
-type Answer struct {
+// Response of a plain service, whole, with the headers that may go back to the caller.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -47,7 +47,7 @@
 type NotRun struct{ Err error }
 
 // Ran is the outcome in which the service answered.
-type Ran struct{ Answer Answer }
+type Ran struct{ Response Response }
 
 // Unknown is the outcome in which the call left this process, and whether it ran can't be told.
 type Unknown struct{ Err error }
@@ -56,21 +56,21 @@
 func (Ran) outcome()     {}
 func (Unknown) outcome() {}
 
-// ErrCrossed means that the answer belongs to another call.
-var ErrCrossed = errors.New("service: answer to another call")
+// ErrMismatchedResponse means that the answer belongs to another call.
+var ErrMismatchedResponse = errors.New("service: answer to another call")
 
 // Limits of a call. None has a measured reason yet.
 type Limits struct {
-	// Connect is the longest a connection may take to open, Answer the longest from the start of the
+	// ConnectTimeout is the longest a connection may take to open, ResponseTimeout the longest from the start of the
 	// call to the end of its answer.
-	Connect, Answer time.Duration
-	// AnswerBytes bounds an answer's body.
-	AnswerBytes int
+	ConnectTimeout, ResponseTimeout time.Duration
+	// MaxResponseBytes bounds an answer's body.
+	MaxResponseBytes int
 }
 
 // DefaultLimits suit services in the same region.
 func DefaultLimits() Limits {
-	return Limits{Connect: time.Second, Answer: 10 * time.Second, AnswerBytes: 1 << 20}
+	return Limits{ConnectTimeout: time.Second, ResponseTimeout: 10 * time.Second, MaxResponseBytes: 1 << 20}
 }
 
 // Client of plain services. The zero Limits mean DefaultLimits. It is safe for concurrent use once its
@@ -89,7 +89,7 @@
 		if c.limits == (Limits{}) {
 			c.limits = DefaultLimits()
 		}
-		c.transport.Connect = c.limits.Connect
+		c.transport.ConnectTimeout = c.limits.ConnectTimeout
 	})
 }
 
@@ -99,7 +99,7 @@
 // A call whose ctx ends after it left is Unknown at once; the service may still run it.
 func (c *Client) Do(ctx context.Context, address string, call Call) Outcome {
 	c.prepare()
-	ctx, cancel := context.WithTimeout(ctx, c.limits.Answer)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.ResponseTimeout)
 	defer cancel()
 	response, err := c.transport.Do(ctx, exchange.Request{
 		Address: address,
@@ -124,7 +124,7 @@
 
 func unanswered(err error) Outcome {
 	var failure *exchange.Failure
-	if errors.As(err, &failure) && !failure.Left {
+	if errors.As(err, &failure) && !failure.MaybeSent {
 		return NotRun{Err: err}
 	}
 	return Unknown{Err: err}
@@ -134,15 +134,15 @@
 // unknown: its status can't be trusted, or can't be passed on whole.
 func (c *Client) answered(response *http.Response, call Call) Outcome {
 	if response.Header.Get(headerRequestID) != call.ID {
-		return Unknown{Err: ErrCrossed}
+		return Unknown{Err: ErrMismatchedResponse}
 	}
-	body, err := exchange.ReadAll(response.Body, c.limits.AnswerBytes)
+	body, err := exchange.ReadAll(response.Body, c.limits.MaxResponseBytes)
 	if err != nil {
 		return Unknown{Err: err}
 	}
-	return Ran{Answer: Answer{
+	return Ran{Response: Response{
 		Status: response.StatusCode,
-		Header: SafeHeader(response.Header),
+		Header: ForwardableHeader(response.Header),
 		Body:   body,
 	}}
 }
@@ -151,7 +151,7 @@
 
 // requestHeader is what goes on of the caller's headers, with the call's identity and key.
 func requestHeader(call Call) http.Header {
-	header := SafeHeader(call.Header)
+	header := ForwardableHeader(call.Header)
 	header.Set(headerRequestID, call.ID)
 	if call.IdempotencyKey != "" {
 		header.Set(headerIdempotencyKey, call.IdempotencyKey)
@@ -185,8 +185,8 @@
 	"X-Idempotency-Key":   true,
 }
 
-// SafeHeader copies the headers that may pass, those named by Connection left out as well.
-func SafeHeader(header http.Header) http.Header {
+// ForwardableHeader copies the headers that may pass, those named by Connection left out as well.
+func ForwardableHeader(header http.Header) http.Header {
 	perConnection := map[string]bool{}
 	for _, line := range header.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/upstream/service/client_test.go
+++ b/internal/upstream/service/client_test.go
@@ -32,8 +32,8 @@
 
 func client() *service.Client {
 	limits := service.DefaultLimits()
-	limits.Answer = 300 * time.Millisecond
-	limits.AnswerBytes = 100
+	limits.ResponseTimeout = 300 * time.Millisecond
+	limits.MaxResponseBytes = 100
 	return &service.Client{Limits: limits}
 }
 
@@ -51,10 +51,10 @@
 	defer server.Close()
 	ran, ok := client().Do(context.Background(), server.Listener.Addr().String(), call()).(service.Ran)
 	is.True(ok)
-	is.Equal(ran.Answer.Status, http.StatusConflict)
-	is.Equal(string(ran.Answer.Body), "booked before")
-	is.Equal(ran.Answer.Header.Get("X-Order"), "9")
-	is.Equal(ran.Answer.Header.Get("Set-Cookie"), "")
+	is.Equal(ran.Response.Status, http.StatusConflict)
+	is.Equal(string(ran.Response.Body), "booked before")
+	is.Equal(ran.Response.Header.Get("X-Order"), "9")
+	is.Equal(ran.Response.Header.Get("Set-Cookie"), "")
 	is.Equal(got.URL.String(), "/orders?a=1")
 	is.Equal(got.Header.Get("Authorization"), "") // no upstream sees the key
 	is.Equal(got.Header.Get("X-Colour"), "white")
