--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -21,7 +21,7 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// failing answers every change with one error.
+// failing fails every change with the same error.
 type failing struct {
 	repository.Repository
 	err error
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var failure message.Failure
-	if err := json.Unmarshal(answer, &failure); err != nil {
-		t.Fatalf("%s: %v", answer, err)
+	if err := json.Unmarshal(content, &failure); err != nil {
+		t.Fatalf("%s: %v", content, err)
 	}
 	return response, failure
 }
@@ -107,9 +107,9 @@
 	}
 }
 
-// A change fails in the store. What the operator is told about whether anything was changed has to be
-// true for each way of failing; "nothing was changed" about a change that was made leads to a second
-// one.
+// A change fails in the store. For each kind of failure, the message must state correctly whether
+// anything was changed: after a false "nothing was changed" the operator would make the change a second
+// time.
 func TestFailuresOfTheStore(t *testing.T) {
 	both := errors.WithMessage(store.ErrUnknown, store.ErrUnavailable.Error())
 	cases := []struct {
@@ -120,11 +120,11 @@
 		message string
 	}{
 		{"outage", store.ErrUnavailable, 503, message.CodeUnavailable, "nothing was changed"},
-		{"answer lost", store.ErrUnknown, 503, message.CodeUnknown, "unknown"},
-		{"answer lost, then outage", both, 503, message.CodeUnknown, "unknown"},
+		{"response lost", store.ErrUnknown, 503, message.CodeUnknown, "unknown"},
+		{"response lost, then outage", both, 503, message.CodeUnknown, "unknown"},
 		{"too large", repository.ErrTooLarge, 413, message.CodeTooLarge, "nothing was changed"},
 		{"conflict", configuration.Conflicts{{Field: "Version"}}, 409, message.CodeConflict, "nothing was changed"},
-		{"anything else", errors.New("secret detail"), 500, message.CodeInternal, "log"},
+		{"unexpected error", errors.New("secret detail"), 500, message.CodeInternal, "log"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
