--- a/internal/standin/deployment/address.go
+++ b/internal/standin/deployment/address.go
@@ -9,57 +9,58 @@
 	"github.com/pkg/errors"
 )
 
-// Ports for processes that may be started again lie below the range from which the system takes the
-// ports of outgoing connections (from 32768 by default on Linux): a port of that range may be in use
-// just when its process is started again, which then cannot listen. They are taken from a block that
-// belongs to this process alone, so that another deployment on the machine does not take one meanwhile
-// either. A block belongs to whoever listens at its first port.
+// Ports for processes that may be restarted are below the ephemeral port range, from which the system
+// takes the ports of outgoing connections (from 32768 by default on Linux). A port of that range may be in
+// use when its process is restarted, which then cannot listen. The ports are taken from a block that this
+// process owns, so that another deployment on the machine does not take one meanwhile either. The owner of
+// a block is the process that listens on its first port.
 const (
-	lowestPort = 15000
-	blockPorts = 500
-	blocks     = 34
+	firstPort     = 15000
+	portsPerBlock = 500
+	blockCount    = 34
 )
 
-// block is the ports that this process may still hand out.
-var block struct {
+// portBlock is the range of ports that this process can still assign.
+var portBlock struct {
 	sync.Mutex
-	// owners keeps every claimed block, since a listener that nobody holds would be closed.
-	owners []net.Listener
-	next   int
-	end    int
+	// listeners references the listener of every claimed block, because an unreferenced listener would be
+	// closed.
+	listeners []net.Listener
+	next      int
+	end       int
 }
 
-// FreeAddress hands out an address on loopback that was never handed out before by this process.
+// FreeAddress returns a loopback address with a free port that this process has not returned before.
 func FreeAddress() (string, error) {
-	block.Lock()
-	defer block.Unlock()
+	portBlock.Lock()
+	defer portBlock.Unlock()
 	for {
-		if block.next == block.end {
+		if portBlock.next == portBlock.end {
 			if err := claimBlock(); err != nil {
 				return "", err
 			}
 		}
-		address := portAddress(block.next)
-		block.next++
+		address := portAddress(portBlock.next)
+		portBlock.next++
 		if isFree(address) {
 			return address, nil
 		}
 	}
 }
 
-// claimBlock takes over a block that nobody has. The listener is kept open until the process ends.
+// claimBlock claims a block that no other process owns. Its listener remains open until the process ends.
 func claimBlock() error {
-	for _, number := range rand.Perm(blocks) {
-		first := lowestPort + number*blockPorts
-		owner, err := net.Listen("tcp", portAddress(first))
+	for _, number := range rand.Perm(blockCount) {
+		first := firstPort + number*portsPerBlock
+		listener, err := net.Listen("tcp", portAddress(first))
 		if err != nil {
 			continue
 		}
-		block.owners = append(block.owners, owner)
-		block.next, block.end = first+1, first+blockPorts
+		portBlock.listeners = append(portBlock.listeners, listener)
+		portBlock.next, portBlock.end = first+1, first+portsPerBlock
 		return nil
 	}
-	return errors.New("deployment: no block of ports is free")
+	return errors.New("deployment: all blocks of ports are in use")
 }
 
 func portAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -1,7 +1,7 @@
 package deployment
 
-// A deployment: which processes there are, how each is told of the others, and in which order they
-// start. The instances come last, and the example configuration is applied once they listen.
+// Deployment: its processes, the addresses that each gets of the others, and the start order. The instances
+// start last. The example configuration is applied once they listen.
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 )
 
-// Deployment is set up by its exported fields before Start.
+// Deployment is configured by its exported fields before Start.
 //
-// Binaries is the directory of lacewingd, lacewingctl and lacewingstand; Directory takes settings,
-// records and output. Template is the resource file to apply (empty: none is applied). Through, if
-// not nil, gives the address at which client ("" for all of them) is told to find a process: it is
-// how a test puts a proxy between them. The extra arguments go to the stand-ins of that kind.
+// Binaries is the directory of lacewingd, lacewingctl and lacewingstand. Directory is the directory for
+// settings, records and output. Template is the resource template to apply (empty: none). ProxyAddress, if
+// not nil, returns the address at which a client ("" for all clients) reaches a process, so that a test can
+// put a proxy between them. The extra arguments are passed to the stand-ins of that kind.
 type Deployment struct {
 	Binaries        string
 	Directory       string
@@ -32,10 +32,11 @@
 	StoreArguments  []string
 	WeightArguments []string
 	EngineArguments []string
-	// CheckFencing tells whether the engine of a number (from 0) checks fencing; nil: all do.
+	// CheckFencing reports whether the engine with the given number (from 0) checks fencing tokens; nil: all
+	// do.
 	CheckFencing func(number int) bool
 	Through      func(client, name, address string) string
-	// ExtraSettings is added to the settings file of each instance.
+	// ExtraSettings is appended to the settings file of each instance.
 	ExtraSettings string
 
 	Store     *Process
@@ -43,24 +44,24 @@
 	Weights   *Process
 	EngineOf  []*Process
 	ServiceOf []*Process
-	// InstanceOf are the entry instances.
+	// InstanceProcesses are the entry instances.
 	InstanceOf []*Process
 
 	OperatorToken string
-	// OnStart, if not nil, is called with each process that was started.
+	// OnStart, if not nil, is called with each process after its start.
 	OnStart func(*Process)
 }
 
-// DataCentres of the example, given out in turn.
+// dataCentres of the example, assigned round-robin.
 var dataCentres = []string{"kingston", "spanish-town", "portmore"}
 
-// Slots and batch places of the engines when the deployment does not say.
+// Default numbers of adapter slots and batch slots of the engines.
 const (
-	usualEngineSlots = 4
-	usualEngineBatch = 8
+	defaultEngineSlots = 4
+	defaultEngineBatch = 8
 )
 
-// Start starts everything and applies the template. On failure it stops what it started.
+// Start starts all processes and applies the template. On failure it kills the processes that it started.
 func (d *Deployment) Start(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
@@ -71,10 +72,10 @@
 		return err
 	}
 	if d.EngineSlots == 0 {
-		d.EngineSlots = usualEngineSlots
+		d.EngineSlots = defaultEngineSlots
 	}
 	if d.EngineBatch == 0 {
-		d.EngineBatch = usualEngineBatch
+		d.EngineBatch = defaultEngineBatch
 	}
 	d.OperatorToken, err = secret()
 	if err != nil {
@@ -138,12 +139,12 @@
 	return d.startStandin(ctx, name, "engine", append(arguments, d.EngineArguments...)...)
 }
 
-// ChecksFencing tells whether an engine checks fencing.
+// ChecksFencing reports whether the engine with the given number checks fencing tokens.
 func (d *Deployment) ChecksFencing(number int) bool {
 	return d.CheckFencing == nil || d.CheckFencing(number)
 }
 
-// RecordPath is the file that keeps the record of a stand-in.
+// RecordPath returns the path of the journal file of a stand-in.
 func (d *Deployment) RecordPath(name string) string {
 	return filepath.Join(d.Directory, name+".jsonl")
 }
@@ -166,18 +167,18 @@
 	if err := started.Start(ctx); err != nil {
 		return nil, err
 	}
-	d.started(started)
+	d.onStart(started)
 	return started, nil
 }
 
-func (d *Deployment) started(process *Process) {
+func (d *Deployment) onStart(process *Process) {
 	if d.OnStart != nil {
 		d.OnStart(process)
 	}
 }
 
-// through is the address of a process as a client is told it.
-func (d *Deployment) through(client string, process *Process, announced string) string {
+// addressFor returns the address at which a client reaches a process, which may be that of a proxy.
+func (d *Deployment) addressFor(client string, process *Process, announced string) string {
 	address := process.Announced(announced)
 	if d.Through == nil {
 		return address
@@ -187,7 +188,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Systems are the processes of the outside systems.
+// Systems returns the processes of the stand-ins.
 func (d *Deployment) Systems() []*Process {
 	var systems []*Process
 	for _, process := range []*Process{d.Store, d.List, d.Weights} {
@@ -199,7 +200,7 @@
 	return append(systems, d.ServiceOf...)
 }
 
-// KillAll ends every process at once.
+// KillAll kills every process.
 func (d *Deployment) KillAll() {
 	for _, process := range append(d.InstanceOf, d.Systems()...) {
 		_ = process.Wake()
@@ -207,7 +208,7 @@
 	}
 }
 
-// Stop stops the instances as planned and then the outside systems.
+// Stop stops the instances gracefully, and then the stand-ins.
 func (d *Deployment) Stop(ctx context.Context) (err error) {
 	for _, process := range append(d.InstanceOf, d.Systems()...) {
 		if failure := process.Stop(ctx); failure != nil {
@@ -217,7 +218,7 @@
 	return err
 }
 
-// secret makes a random token.
+// secret returns a random token.
 func secret() (string, error) {
 	raw := make([]byte, 24)
 	if _, err := rand.Read(raw); err != nil {
--- a/internal/standin/deployment/deployment_test.go
+++ b/internal/standin/deployment/deployment_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// By the time "down" runs, a noted process may be gone and its id may belong to another's process,
-// which must not be ended.
-func TestDownEndsOnlyItsOwn(t *testing.T) {
+// By the time that "down" runs, a recorded process may have ended, and its process ID may belong to another
+// process, which must not be stopped.
+func TestDownStopsOnlyRecordedProcesses(t *testing.T) {
 	is := is.New(t)
 	ledger := Ledger{Directory: t.TempDir()}
 	own := exec.Command("sleep", "600")
@@ -88,10 +88,10 @@
 	is.Equal(len(running), 2)
 
 	reused := Started{Name: "other", Pid: other.Process.Pid, CommandLine: "sleep 700"}
-	is.True(!reused.alive())
+	is.True(!reused.isAlive())
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	is.Equal(len(stopAll(ctx, []Started{running[0], reused})), 0)
 	<-ended
-	is.True(running[1].alive())
+	is.True(running[1].isAlive())
 }
--- a/internal/standin/deployment/environment.go
+++ b/internal/standin/deployment/environment.go
@@ -1,7 +1,7 @@
 package deployment
 
-// What "up" leaves in its directory: a file of shell variables for whoever tries the deployment, and a
-// file of the processes, by which "down" ends these and no others.
+// The files that "up" writes into its directory: shell variables for users of the deployment, and a list of
+// the processes, so that "down" stops these and no others.
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 )
 
-// Names in the example configuration that the environment and the demo use.
+// Names from the example configuration that are used by the environment and the demo.
 const (
 	WorkspaceA = "kingston-crews"
 	WorkspaceB = "attica-grounds"
@@ -26,27 +26,28 @@
 	ServiceOne = "bookings"
 )
 
-// Environment is what a trial needs to know of a running deployment.
+// Environment holds what a user needs to know about a running deployment. KeyA and KeyB are API keys of
+// WorkspaceA and WorkspaceB.
 type Environment struct {
 	Deployment *Deployment
 	KeyA       string
 	KeyB       string
 }
 
-// Lines gives the shell lines "Name=value", the values quoted where they hold spaces.
+// Lines returns the shell lines "Name=value". Values are quoted where necessary.
 func (e Environment) Lines() string {
 	d := e.Deployment
 	var lines strings.Builder
 	line := func(name string, values ...string) {
 		fmt.Fprintf(&lines, "%s=%s\n", name, quote(strings.Join(values, " ")))
 	}
-	line("Instances", announced(d.InstanceOf, "CallerAddress")...)
-	line("Operators", announced(d.InstanceOf, "OperatorAddress")...)
-	line("Peers", announced(d.InstanceOf, "PeerAddress")...)
-	line("Engines", announced(d.EngineOf, "ControlAddress")...)
-	line("EngineAddresses", announced(d.EngineOf, "Address")...)
-	line("Services", announced(d.ServiceOf, "ControlAddress")...)
-	line("ServiceAddresses", announced(d.ServiceOf, "Address")...)
+	line("Instances", announcedValues(d.InstanceOf, "CallerAddress")...)
+	line("Operators", announcedValues(d.InstanceOf, "OperatorAddress")...)
+	line("Peers", announcedValues(d.InstanceOf, "PeerAddress")...)
+	line("Engines", announcedValues(d.EngineOf, "ControlAddress")...)
+	line("EngineAddresses", announcedValues(d.EngineOf, "Address")...)
+	line("Services", announcedValues(d.ServiceOf, "ControlAddress")...)
+	line("ServiceAddresses", announcedValues(d.ServiceOf, "Address")...)
 	line("Store", d.Store.Announced("ControlAddress"))
 	line("StoreAddress", d.Store.Announced("Address"))
 	line("List", d.List.Announced("ControlAddress"))
@@ -69,13 +70,13 @@
 	return lines.String()
 }
 
-// Write puts the lines into the file "env" of the deployment's directory, which holds secrets and is
+// Write writes the lines to the file "env" in the deployment's directory. The file contains secrets and is
 // readable by its owner only.
 func (e Environment) Write() error {
 	return os.WriteFile(filepath.Join(e.Deployment.Directory, "env"), []byte(e.Lines()), 0o600)
 }
 
-func announced(processes []*Process, name string) []string {
+func announcedValues(processes []*Process, name string) []string {
 	values := make([]string, 0, len(processes))
 	for _, process := range processes {
 		values = append(values, process.Announced(name))
@@ -100,24 +101,24 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Started is one line of the file of processes. CommandLine is how the process is known again: a
-// process id may belong to another's process by the time that "down" runs.
+// StartedProcess is one line of the process file. CommandLine identifies the process, because the process
+// ID may belong to another process by the time that "down" runs.
 type Started struct {
 	Name        string
 	Pid         int
 	CommandLine string
 }
 
-// Ledger notes started processes in a file.
+// ProcessFile records started processes in a file in Directory.
 type Ledger struct {
 	Directory string
 }
 
 func (l Ledger) path() string { return filepath.Join(l.Directory, "processes.jsonl") }
 
-// Add notes a process.
+// Add records a process.
 func (l Ledger) Add(process *Process) (err error) {
-	defer func() { err = errors.WithMessage(err, "note process") }()
+	defer func() { err = errors.WithMessage(err, "record process") }()
 	file, err := os.OpenFile(l.path(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -130,9 +131,9 @@
 	})
 }
 
-// Running lists the noted processes that are still there and still the same.
+// Running returns the recorded processes that are still running.
 func (l Ledger) Running() (running []Started, err error) {
-	defer func() { err = errors.WithMessage(err, "read processes") }()
+	defer func() { err = errors.WithMessage(err, "read recorded processes") }()
 	file, err := os.Open(l.path())
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -143,23 +144,24 @@
 	defer func() { _ = file.Close() }()
 	decoder := json.NewDecoder(file)
 	for decoder.More() {
-		var noted Started
-		if err := decoder.Decode(&noted); err != nil {
+		var record Started
+		if err := decoder.Decode(&record); err != nil {
 			return nil, err
 		}
-		if noted.alive() {
-			running = append(running, noted)
+		if record.isAlive() {
+			running = append(running, record)
 		}
 	}
 	return running, nil
 }
 
-// alive tells whether the process id still belongs to the process that was noted.
-func (s Started) alive() bool {
+// isAlive reports whether the process ID still belongs to the process that was recorded.
+func (s Started) isAlive() bool {
 	return s.Pid > 0 && s.CommandLine != "" && commandLine(s.Pid) == s.CommandLine
 }
 
-// commandLine reads a process's command line; it is empty for one that is gone or not yet reaped.
+// commandLine returns the command line of a process. It is empty for a process that has ended or is not yet
+// reaped.
 func commandLine(pid int) string {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
 	if err != nil {
@@ -168,7 +170,7 @@
 	return strings.TrimSpace(strings.ReplaceAll(string(raw), "\x00", " "))
 }
 
-// Clear forgets the processes.
+// Clear deletes the process file.
 func (l Ledger) Clear() error {
 	err := os.Remove(l.path())
 	if os.IsNotExist(err) {
@@ -177,22 +179,23 @@
 	return err
 }
 
-// StopLimit is how long "down" lets instances finish what they run.
+// StopTimeout is how long "down" waits for the instances, and then for the other processes, to stop.
 const StopLimit = 30 * time.Second
 
-// Down stops the noted processes, instances first so that they can end their requests, and forgets
-// them. What does not stop within the limit is killed and named in the error.
+// Down stops the recorded processes and deletes the process file. Instances are stopped first, so that they
+// can finish their requests. A process that does not stop within StopTimeout is killed and named in the
+// error.
 func (l Ledger) Down(ctx context.Context) (err error) {
 	running, err := l.Running()
 	if err != nil {
 		return err
 	}
 	var instances, systems []Started
-	for _, noted := range running {
-		if strings.HasPrefix(noted.Name, "instance-") {
-			instances = append(instances, noted)
+	for _, record := range running {
+		if strings.HasPrefix(record.Name, "instance-") {
+			instances = append(instances, record)
 		} else {
-			systems = append(systems, noted)
+			systems = append(systems, record)
 		}
 	}
 	forced := append(stopAll(ctx, instances), stopAll(ctx, systems)...)
@@ -200,36 +203,37 @@
 		return err
 	}
 	if len(forced) > 0 {
-		return errors.Errorf("killed, as they did not stop: %s", strings.Join(forced, ", "))
+		return errors.Errorf("processes killed because they did not stop in time: %s", strings.Join(forced, ", "))
 	}
 	return nil
 }
 
-// stopAll asks processes to stop, waits, kills those that did not and returns their names.
+// stopAll sends SIGTERM to processes, waits up to StopTimeout, kills those that have not ended and returns
+// their names.
 func stopAll(ctx context.Context, processes []Started) (forced []string) {
-	limit, cancel := context.WithTimeout(ctx, StopLimit)
+	stopCtx, cancel := context.WithTimeout(ctx, StopLimit)
 	defer cancel()
 	for _, process := range processes {
-		process.signal(syscall.SIGCONT)
-		process.signal(syscall.SIGTERM)
+		process.sendSignal(syscall.SIGCONT)
+		process.sendSignal(syscall.SIGTERM)
 	}
 	for _, process := range processes {
-		if !process.awaitEnd(limit) {
-			process.signal(syscall.SIGKILL)
+		if !process.awaitEnd(stopCtx) {
+			process.sendSignal(syscall.SIGKILL)
 			forced = append(forced, process.Name)
 		}
 	}
 	return forced
 }
 
-func (s Started) signal(signal syscall.Signal) {
-	if s.alive() {
+func (s Started) sendSignal(signal syscall.Signal) {
+	if s.isAlive() {
 		_ = syscall.Kill(s.Pid, signal)
 	}
 }
 
 func (s Started) awaitEnd(ctx context.Context) bool {
-	for s.alive() {
+	for s.isAlive() {
 		select {
 		case <-ctx.Done():
 			return false
--- a/internal/standin/deployment/instance.go
+++ b/internal/standin/deployment/instance.go
@@ -1,7 +1,7 @@
 package deployment
 
-// Entry instances: their settings files, their place in the instance list, and the operators' client
-// that talks to them.
+// Entry instances: their settings files, their entries in the instance list, and operator commands to
+// them.
 
 import (
 	"bytes"
@@ -40,11 +40,12 @@
 Bound = %s
 `
 
-// FreshnessBound of the example's instances.
+// FreshnessBound is the setting [Freshness] Bound of the instances.
 const FreshnessBound = 3 * time.Second
 
-// controlLimit bounds one run of the operators' client and one call to a control address.
-const controlLimit = 30 * time.Second
+// controlTimeout is the timeout of one run of lacewingctl, one call to a control address and one check of a
+// key.
+const controlTimeout = 30 * time.Second
 
 func (d *Deployment) startInstance(ctx context.Context, number int) error {
 	name := fmt.Sprintf("instance-%d", number+1)
@@ -62,26 +63,26 @@
 		return err
 	}
 	d.InstanceOf = append(d.InstanceOf, process)
-	d.started(process)
+	d.onStart(process)
 	return nil
 }
 
 func (d *Deployment) writeSettings(path string, number int) error {
-	var places [3]string
-	for i := range places {
+	var addresses [3]string
+	for i := range addresses {
 		address, err := FreeAddress()
 		if err != nil {
 			return err
 		}
-		places[i] = address
+		addresses[i] = address
 	}
 	name := fmt.Sprintf("instance-%d", number+1)
 	text := fmt.Sprintf(settingsText,
 		name,
 		dataCentres[number%len(dataCentres)],
-		places[0], places[1], places[2],
-		d.through(name, d.Store, "Address"),
-		d.through(name, d.List, "Address"),
+		addresses[0], addresses[1], addresses[2],
+		d.addressFor(name, d.Store, "Address"),
+		d.addressFor(name, d.List, "Address"),
 		hash(d.OperatorToken),
 		FreshnessBound,
 	)
@@ -95,7 +96,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Members is the instance list as it should be: every process of the deployment, none leaving.
+// Members returns the members of the instance list: all instances, engines and services, none leaving.
 func (d *Deployment) Members() []list.Member {
 	members := []list.Member{}
 	add := func(role, announced string, processes []*Process) {
@@ -103,7 +104,7 @@
 			members = append(members, list.Member{
 				Name:       process.Name,
 				Role:       role,
-				Address:    d.through("", process, announced),
+				Address:    d.addressFor("", process, announced),
 				DataCentre: dataCentres[number%len(dataCentres)],
 			})
 		}
@@ -114,12 +115,12 @@
 	return members
 }
 
-// TellList sets the members of the instance list.
+// UpdateList sets the members of the instance list.
 func (d *Deployment) TellList(ctx context.Context) error {
 	return d.Control(ctx, d.List, "members", d.Members())
 }
 
-// Control posts a value to a control route of a stand-in, such as "faults".
+// Control posts a value to a control route of a stand-in, for example "faults".
 func (d *Deployment) Control(ctx context.Context, process *Process, route string, value any) (err error) {
 	defer func() { err = errors.WithMessagef(err, "control %s: %s", process.Name, route) }()
 	body, err := json.Marshal(value)
@@ -129,7 +130,7 @@
 	return call(ctx, http.MethodPost, controlURL(process, route), body, nil)
 }
 
-// Record reads the record of a stand-in into a value of its package's Record type.
+// Record reads the record of a stand-in into a value of the Record type of its package.
 func (d *Deployment) Record(ctx context.Context, process *Process, into any) (err error) {
 	defer func() { err = errors.WithMessagef(err, "record of %s", process.Name) }()
 	return call(ctx, http.MethodGet, controlURL(process, "record"), nil, into)
@@ -140,9 +141,9 @@
 }
 
 func call(ctx context.Context, method, url string, body []byte, into any) error {
-	limit, cancel := context.WithTimeout(ctx, controlLimit)
+	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limit, method, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(callCtx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -163,7 +164,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// templateData is what a resource template may name.
+// templateData holds the fields available in a resource template.
 type templateData struct {
 	Engines  []templateEngine
 	Services []string
@@ -178,7 +179,7 @@
 	ChecksFencing bool
 }
 
-// Render fills the upstreams' addresses into a resource template.
+// Render executes a resource template with the addresses of the upstreams.
 func (d *Deployment) Render(path string) (text []byte, err error) {
 	defer func() { err = errors.WithMessage(err, "resource template") }()
 	parsed, err := template.ParseFiles(path)
@@ -189,7 +190,7 @@
 	for number, process := range d.EngineOf {
 		data.Engines = append(data.Engines, templateEngine{
 			Name:          process.Name,
-			Address:       d.through("", process, "Address"),
+			Address:       d.addressFor("", process, "Address"),
 			DataCentre:    dataCentres[number%len(dataCentres)],
 			Slots:         d.EngineSlots,
 			Batch:         d.EngineBatch,
@@ -197,15 +198,15 @@
 		})
 	}
 	for _, process := range d.ServiceOf {
-		data.Services = append(data.Services, d.through("", process, "Address"))
+		data.Services = append(data.Services, d.addressFor("", process, "Address"))
 	}
 	var rendered bytes.Buffer
 	err = parsed.Execute(&rendered, data)
 	return rendered.Bytes(), err
 }
 
-// applyTemplate applies the example configuration by the first instance, which may take a while to
-// become a member.
+// applyTemplate applies the template through the first instance. It retries, because the instance may need
+// some time to become a member.
 func (d *Deployment) applyTemplate(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "apply template") }()
 	text, err := d.Render(d.Template)
@@ -222,9 +223,9 @@
 	})
 }
 
-// Retry repeats an operators' action until it succeeds or the limit for starting is over.
+// Retry repeats an action until it succeeds or startTimeout is over.
 func (d *Deployment) Retry(ctx context.Context, action func() error) error {
-	limit, cancel := context.WithTimeout(ctx, startLimit)
+	retryCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		err := action()
@@ -232,23 +233,23 @@
 			return nil
 		}
 		select {
-		case <-limit.Done():
+		case <-retryCtx.Done():
 			return err
 		case <-time.After(10 * pollInterval):
 		}
 	}
 }
 
-// Operate runs lacewingctl against the instance of a number (from 0) and returns what it printed.
+// Operate runs lacewingctl against the instance with the given number (from 0) and returns its output.
 func (d *Deployment) Operate(ctx context.Context, instance int, arguments ...string) (printed []byte, err error) {
 	defer func() { err = errors.WithMessagef(err, "lacewingctl %s", arguments[0]) }()
-	limit, cancel := context.WithTimeout(ctx, controlLimit)
+	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	all := []string{
 		"-server", "http://" + d.InstanceOf[instance].Announced("OperatorAddress"),
 		"-token", d.OperatorToken,
 	}
-	command := exec.CommandContext(limit, filepath.Join(d.Binaries, "lacewingctl"), append(all, arguments...)...)
+	command := exec.CommandContext(callCtx, filepath.Join(d.Binaries, "lacewingctl"), append(all, arguments...)...)
 	var failure bytes.Buffer
 	command.Stderr = &failure
 	printed, err = command.Output()
@@ -258,25 +259,25 @@
 	return printed, nil
 }
 
-// AwaitKeys waits until every instance accepts the keys: a grant takes a moment to be in force
-// everywhere, and a trial that begins before would see refusals that mean nothing.
+// AwaitKeys waits until every instance accepts the keys. A grant takes some time to be in force everywhere,
+// and a test that starts earlier would see refusals that do not indicate a fault.
 func (d *Deployment) AwaitKeys(ctx context.Context, keys ...string) error {
 	for _, process := range d.InstanceOf {
 		for _, key := range keys {
 			url := "http://" + process.Announced("CallerAddress") + "/v1/models"
-			err := d.Retry(ctx, func() error { return accepted(ctx, url, key) })
+			err := d.Retry(ctx, func() error { return checkKey(ctx, url, key) })
 			if err != nil {
-				return errors.WithMessagef(err, "key at %s", process.Name)
+				return errors.WithMessagef(err, "wait for key at %s", process.Name)
 			}
 		}
 	}
 	return nil
 }
 
-func accepted(ctx context.Context, url, key string) error {
-	limit, cancel := context.WithTimeout(ctx, controlLimit)
+func checkKey(ctx context.Context, url, key string) error {
+	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limit, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(callCtx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// Grant grants a key of a workspace and returns its secret.
+// Grant creates an API key of a workspace and returns its secret.
 func (d *Deployment) Grant(ctx context.Context, workspace, name string) (granted string, err error) {
 	defer func() { err = errors.WithMessagef(err, "grant key %s", name) }()
 	printed, err := d.Operate(ctx, 0, "key", "grant", "-workspace", workspace, "-name", name, "-o", "json")
@@ -304,7 +305,7 @@
 		return "", err
 	}
 	if answer.Secret == "" {
-		return "", errors.New("no secret in the answer")
+		return "", errors.New("answer contains no secret")
 	}
 	return answer.Secret, nil
 }
--- a/internal/standin/deployment/process.go
+++ b/internal/standin/deployment/process.go
@@ -1,7 +1,6 @@
-// Package deployment starts a small deployment of real processes on loopback: the stand-ins of the
-// outside systems and entry instances in front of them. The verb "up" and the integration tests use
-// it. Each process announces its addresses on one line of its output, so that none needs a port
-// chosen beforehand.
+// Package deployment starts a small deployment of real processes on loopback: the stand-ins of the outside
+// systems, and entry instances in front of them. The verb "up" and the integration tests use it. Each
+// process announces its addresses on one line of its output, so that no port must be known in advance.
 package deployment
 
 import (
@@ -19,22 +18,22 @@
 	"github.com/pkg/errors"
 )
 
-// Waits on processes. They are generous: a busy machine must not fail a test.
+// Timeouts for processes. They are long, so that tests do not fail on a busy machine.
 const (
-	startLimit   = 30 * time.Second
+	startTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	// tailLines is how much of a process's output an error shows.
+	// tailLines is the number of output lines in an error message, for each output file.
 	tailLines = 15
 )
 
-// Process is one process of the deployment. Its output goes to files in Directory: Name.out and
-// Name.log (standard error). Start may be called again after the process has ended.
+// Process is one process of the deployment. Its output is written to files in Directory: Name.out (standard
+// output) and Name.log (standard error). Start may be called again after the process has ended.
 type Process struct {
 	Name      string
 	Path      string
 	Arguments []string
 	Directory string
-	// Announcement is the event whose line tells the addresses; empty means "listening".
+	// Announcement is the event whose line contains the addresses; empty means "listening".
 	Announcement string
 
 	mu        sync.Mutex
@@ -67,7 +66,7 @@
 	return p.awaitAnnouncement(ctx, from)
 }
 
-// spawn starts the process in a session of its own: a signal to the terminal that ran "up" must not
+// spawn starts the process in a session of its own, so that a signal to the terminal that ran "up" does not
 // end the deployment.
 func (p *Process) spawn(out, log *os.File) error {
 	command := exec.Command(p.Path, p.Arguments...)
@@ -82,12 +81,12 @@
 	p.command = command
 	p.ended = make(chan struct{})
 	p.announced = nil
-	go p.run(command, p.ended)
+	go p.wait(command, p.ended)
 	return nil
 }
 
-// run waits for the process to end.
-func (p *Process) run(command *exec.Cmd, ended chan struct{}) {
+// wait waits for the process to end.
+func (p *Process) wait(command *exec.Cmd, ended chan struct{}) {
 	_ = command.Wait()
 	p.mu.Lock()
 	p.state = command.ProcessState
@@ -100,7 +99,7 @@
 }
 
 func (p *Process) awaitAnnouncement(ctx context.Context, from int64) error {
-	limit, cancel := context.WithTimeout(ctx, startLimit)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		announced, err := p.readAnnouncement(from)
@@ -116,14 +115,15 @@
 		select {
 		case <-time.After(pollInterval):
 		case <-p.Ended():
-			return errors.Errorf("ended before it listened:\n%s", p.Tail())
-		case <-limit.Done():
-			return errors.Errorf("does not listen:\n%s", p.Tail())
+			return errors.Errorf("process ended before it announced its addresses:\n%s", p.Tail())
+		case <-startCtx.Done():
+			return errors.Errorf("process did not announce its addresses in time:\n%s", p.Tail())
 		}
 	}
 }
 
-// readAnnouncement looks for the line in the output that the present process wrote.
+// readAnnouncement searches the output of the current process, which starts at offset from, for the
+// announcement.
 func (p *Process) readAnnouncement(from int64) (map[string]string, error) {
 	out, err := os.Open(filepath.Join(p.Directory, p.Name+".out"))
 	if err != nil {
@@ -153,7 +153,7 @@
 	return "listening"
 }
 
-// parsePairs reads a line of key=value pairs whose values hold no spaces.
+// parsePairs parses a line of key=value pairs whose values contain no spaces.
 func parsePairs(line string) map[string]string {
 	pairs := make(map[string]string)
 	for field := range strings.FieldsSeq(line) {
@@ -167,14 +167,14 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Announced returns what the process announced under a name, such as "ControlAddress".
+// Announced returns the value that the process announced for a name, for example "ControlAddress".
 func (p *Process) Announced(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.announced[name]
 }
 
-// Pid is the process id, 0 before the first start.
+// Pid returns the process ID, or 0 before the first start.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,14 +184,14 @@
 	return p.command.Process.Pid
 }
 
-// Ended closes when the present process has ended.
+// Ended returns a channel that is closed when the current process has ended.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// Running tells whether the process was started and has not ended.
+// Running reports whether the process was started and has not ended.
 func (p *Process) Running() bool {
 	if p.Pid() == 0 {
 		return false
@@ -204,7 +204,7 @@
 	}
 }
 
-// ExitCode is the exit code of the process that ended last; -1 when a signal ended it.
+// ExitCode returns the exit code of the process that ended last, or -1 if a signal ended it.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,7 +214,7 @@
 	return p.state.ExitCode()
 }
 
-// Signal sends a signal to the process if it still runs.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if !p.Running() {
 		return nil
@@ -228,7 +228,7 @@
 	return errors.WithMessagef(err, "signal %s", p.Name)
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill kills the process and waits until it has ended.
 func (p *Process) Kill() error {
 	if !p.Running() {
 		return nil
@@ -240,24 +240,24 @@
 	return nil
 }
 
-// Freeze pauses the process, as a machine that stands still would, and waits until it stands still: the signal is sent
-// before all threads have stopped, and beside load some run on for a tenth of a second.
+// Freeze stops the process with SIGSTOP, to simulate a machine that hangs, and waits until all its threads have
+// stopped. Sending the signal returns earlier, and under load some threads continue for a tenth of a second.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for begun := time.Now(); time.Since(begun) < startLimit; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(time.Millisecond) {
 		if stopped, err := hasStopped(p.Pid()); stopped || err != nil {
 			return err
 		}
 	}
-	return errors.Errorf("%s: does not stand still", p.Name)
+	return errors.Errorf("%s: not all threads stopped after SIGSTOP", p.Name)
 }
 
-// Wake lets a frozen process go on.
+// Unfreeze continues a frozen process.
 func (p *Process) Wake() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks the process to stop and waits until it has, or fails when ctx ends first.
+// Stop sends SIGTERM to the process and waits until it has ended. It fails if ctx ends first.
 func (p *Process) Stop(ctx context.Context) error {
 	if !p.Running() {
 		return nil
@@ -269,11 +269,11 @@
 	case <-p.Ended():
 		return nil
 	case <-ctx.Done():
-		return errors.Errorf("%s: does not stop:\n%s", p.Name, p.Tail())
+		return errors.Errorf("%s: did not stop in time:\n%s", p.Name, p.Tail())
 	}
 }
 
-// Tail returns the last lines that the process wrote.
+// Tail returns the last lines of the process's output.
 func (p *Process) Tail() string {
 	var tail []string
 	for _, suffix := range []string{".out", ".log"} {
--- a/internal/standin/deployment/stopped.go
+++ b/internal/standin/deployment/stopped.go
@@ -9,9 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// stopped.go reads from the kernel whether a process stands still.
-
-// hasStopped tells whether no thread of a process runs any more: each is stopped, or has ended.
+// hasStopped reports whether every thread of a process is stopped or has ended. It reads the thread states from
+// /proc.
 func hasStopped(pid int) (stopped bool, err error) {
 	defer func() { err = errors.WithMessagef(err, "state of process %d", pid) }()
 	threads, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(pid), "task", "*", "stat"))
@@ -21,7 +20,7 @@
 	for _, thread := range threads {
 		stat, err := os.ReadFile(thread)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the thread has ended meanwhile
 		}
 		if !isStopped(string(stat)) {
 			return false, nil
@@ -30,8 +29,8 @@
 	return true, nil
 }
 
-// isStopped tells from a thread's stat line whether it is stopped or has ended. Its state comes after the name, which
-// stands in brackets and may hold brackets and spaces.
+// isStopped reports whether a thread is stopped or has ended, given its stat line. The state follows the name, which
+// is in brackets and may contain brackets and spaces.
 func isStopped(stat string) bool {
 	_, state, found := strings.Cut(stat[strings.LastIndexByte(stat, ')')+1:], " ")
 	return found && state != "" && strings.IndexByte("TtZXx", state[0]) >= 0
--- a/internal/standin/deployment/stopped_test.go
+++ b/internal/standin/deployment/stopped_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFrozenProcessStandsStill guards against tests that take a process for frozen that still runs beside load.
+// Under load, some threads still run for a moment after SIGSTOP was sent. Freeze must not return before all have
+// stopped, or tests treat a running process as frozen.
 func TestFrozenProcessStandsStill(t *testing.T) {
 	var all sync.WaitGroup
 	for range 30 {
@@ -30,7 +31,7 @@
 	all.Wait()
 }
 
-func TestStateComesAfterTheName(t *testing.T) {
+func TestThreadStateFollowsName(t *testing.T) {
 	tests := []struct {
 		stat    string
 		stopped bool
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint runs the two HTTP servers of a stand-in: the one it works at and the one it is
-// controlled at. It announces both addresses on one line, from which whoever started the process
-// learns them when it asked for free ports.
+// Package endpoint runs the two HTTP servers of a stand-in: the service and its control interface. It
+// prints both addresses on one line, from which the parent process learns them when the ports are chosen
+// by the system.
 package endpoint
 
 import (
@@ -17,66 +17,68 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Limits of both servers. No measured reason yet: they are far above what the tests need and keep a
-// slow or flooding sender from holding a stand-in's memory.
+// Limits of both servers. They are far above what the tests need, and prevent a slow or flooding client from
+// exhausting the memory of a stand-in.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// MaxBodyBytes bounds the body of a call.
+	// MaxBodyBytes is the largest size of a request body.
 	MaxBodyBytes = 4 << 20
-	// stopTimeout is how long running calls may take to end once Run is told to stop.
+	// stopTimeout is how long running calls may take to end after Serve's context has ended.
 	stopTimeout = 2 * time.Second
 )
 
-// Loopback is the address that lets the system choose a free port.
+// Loopback is the loopback address with a free port chosen by the system.
 const Loopback = "127.0.0.1:0"
 
-// Endpoint is embedded in each stand-in. Address and ControlAddress are "IP:port" (empty means
-// Loopback); once Listen has returned they are the addresses in use. Announce, if not nil, gets the
-// line that names them.
+// Endpoint is embedded in each stand-in. Address and ControlAddress are "IP:port" (empty means Loopback).
+// Once Listen has returned, they are the addresses in use. Announce, if not nil, receives the line that
+// contains them.
 type Endpoint struct {
 	Verb           string
 	Address        string
 	ControlAddress string
 	Announce       io.Writer
 
-	work    *fault.Listener
+	service *fault.Listener
 	control net.Listener
 }
 
-// Listen opens both sockets. Run does so too; a test that needs the addresses calls it before.
+// Listen opens both sockets. Serve calls it too. A test that needs the addresses calls it first.
 func (e *Endpoint) Listen() (err error) {
 	defer func() { err = errors.WithMessagef(err, "endpoint %s: listen", e.Verb) }()
-	if e.work != nil {
+	if e.service != nil {
 		return nil
 	}
-	work, err := net.Listen("tcp", orLoopback(e.Address))
+	service, err := net.Listen("tcp", orLoopback(e.Address))
 	if err != nil {
 		return err
 	}
 	control, err := net.Listen("tcp", orLoopback(e.ControlAddress))
 	if err != nil {
-		work.Close()
+		service.Close()
 		return err
 	}
-	e.work = &fault.Listener{Listener: work}
+	e.service = &fault.Listener{Listener: service}
 	e.control = control
-	e.Address = work.Addr().String()
+	e.Address = service.Addr().String()
 	e.ControlAddress = control.Addr().String()
 	return nil
 }
 
-// SilenceOpen makes the connections now open at the work address silent for good.
+// SilenceOpen permanently silences the connections that are open at the service address, and returns their
+// number.
 func (e *Endpoint) SilenceOpen() int {
-	if e.work == nil {
+	if e.service == nil {
 		return 0
 	}
-	return e.work.SilenceOpen()
+	return e.service.SilenceOpen()
 }
 
-// Serve listens, announces and serves until ctx ends; then running calls get stopTimeout to end.
-func (e *Endpoint) Serve(ctx context.Context, work, control http.Handler) (err error) {
+// Serve listens, announces the addresses and serves until ctx ends. Running calls then have stopTimeout to
+// end.
+func (e *Endpoint) Serve(ctx context.Context, service, control http.Handler) (err error) {
 	defer func() { err = errors.WithMessagef(err, "endpoint %s", e.Verb) }()
 	if err := e.Listen(); err != nil {
 		return err
@@ -89,11 +91,11 @@
 		}
 	}
 	var group run.Group
-	addServer(&group, e.work, work)
+	addServer(&group, e.service, service)
 	addServer(&group, e.control, control)
-	ended, stop := context.WithCancel(ctx)
+	serveCtx, stop := context.WithCancel(ctx)
 	group.Add(func() error {
-		<-ended.Done()
+		<-serveCtx.Done()
 		return nil
 	}, func(error) { stop() })
 	return group.Run()
@@ -115,7 +117,7 @@
 	}, func(error) { stopServer(server) })
 }
 
-// stopServer lets running calls end, and cuts those that do not.
+// stopServer waits up to stopTimeout for running calls to end, and cuts the others.
 func stopServer(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -1,6 +1,6 @@
 package engine
 
-// The batch: which requests run together, on which resident adapter versions, and how fast.
+// Batching: admission of requests into the batch, and the token rate at a given batch size.
 
 import (
 	"net/http"
@@ -18,51 +18,51 @@
 	codeBadRequest    = "invalid_request_error"
 )
 
-// slot holds one adapter version. While it loads it takes its place but serves nothing; loaded closes
-// when the load has ended.
+// slot is an adapter slot that holds one adapter version. While the version loads, the slot is occupied
+// but serves no requests. The channel loaded is closed when the load has ended, also after a failure.
 type slot struct {
 	loading bool
 	loaded  chan struct{}
 	serving int
 }
 
-// begin puts a request into the batch, or returns the code of its refusal.
-func (s *Server) begin(asked ask, request *http.Request) (g *generation, code string) {
+// admit adds a request to the batch and starts it, or returns the error code of its refusal.
+func (s *Server) admit(params generationParams, request *http.Request) (g *generation, code string) {
 	faults := s.faults.Get()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	code = s.refusal(asked, faults)
+	code = s.refusalCode(params, faults)
 	if code != "" {
-		s.note(line{Refusal: &Refusal{RequestID: asked.requestID, Model: asked.model, Code: code, At: time.Now()}})
+		s.appendLine(journalLine{Refusal: &Refusal{RequestID: params.requestID, Model: params.model, Code: code, At: time.Now()}})
 		return nil, code
 	}
-	adapter, version, _ := strings.Cut(asked.model, "@")
+	adapter, version, _ := strings.Cut(params.model, "@")
 	g = &generation{
-		owner:    s,
-		slot:     s.resident[asked.model],
-		number:   len(s.record.Requests) + 1,
-		ask:      asked,
-		adapter:  adapter,
-		version:  version,
-		priority: request.Header.Get("X-Priority"),
-		changed:  make(chan struct{}),
-		cancel:   make(chan struct{}),
-		leftAt:   time.Now(),
+		server:           s,
+		slot:             s.resident[params.model],
+		number:           len(s.record.Requests) + 1,
+		params:           params,
+		adapter:          adapter,
+		version:          version,
+		priority:         request.Header.Get("X-Priority"),
+		changed:          make(chan struct{}),
+		stopped:          make(chan struct{}),
+		lastReaderLeftAt: time.Now(),
 	}
-	s.note(line{Request: s.begun(g, request)})
+	s.appendLine(journalLine{Request: s.newRequestRecord(g, request)})
 	g.slot.serving++
 	s.running[g] = struct{}{}
-	s.streams[asked.requestID] = g
+	s.streams[params.requestID] = g
 	go g.run()
 	return g, ""
 }
 
-func (s *Server) refusal(asked ask, faults Faults) string {
-	if time.Now().Before(s.warmAt) {
+func (s *Server) refusalCode(params generationParams, faults Faults) string {
+	if time.Now().Before(s.readyAt) {
 		return codeStarting
 	}
-	held, ok := s.resident[asked.model]
-	if !ok || held.loading {
+	existing, ok := s.resident[params.model]
+	if !ok || existing.loading {
 		return codeModelNotFound
 	}
 	if faults.RefuseAsFull || len(s.running) >= s.Batch {
@@ -71,20 +71,20 @@
 	return ""
 }
 
-func (s *Server) begun(g *generation, request *http.Request) *Request {
+func (s *Server) newRequestRecord(g *generation, request *http.Request) *Request {
 	others := make([]int, 0, len(s.running))
 	for other := range s.running {
 		others = append(others, other.number)
 	}
 	return &Request{
 		Number:      g.number,
-		RequestID:   g.ask.requestID,
+		RequestID:   g.params.requestID,
 		Adapter:     g.adapter,
 		Version:     g.version,
-		Prompt:      g.ask.prompt,
+		Prompt:      g.params.prompt,
 		Priority:    g.priority,
 		Headers:     fault.Headers(request),
-		MaxTokens:   g.ask.maxTokens,
+		MaxTokens:   g.params.maxTokens,
 		StartedAt:   time.Now(),
 		Outcome:     OutcomeRunning,
 		Others:      others,
@@ -92,17 +92,17 @@
 	}
 }
 
-// finish takes a request out of the batch and notes its end.
+// finish removes a request from the batch and records its outcome.
 func (s *Server) finish(g *generation, outcome string) {
 	s.mu.Lock()
 	delete(s.running, g)
 	g.slot.serving--
 	if g.number <= len(s.record.Requests) {
 		ended := s.record.Requests[g.number-1]
-		ended.Tokens = g.count()
+		ended.Tokens = g.tokenCount()
 		ended.EndedAt = time.Now()
 		ended.Outcome = outcome
-		s.note(line{Request: &ended})
+		s.appendLine(journalLine{Request: &ended})
 	}
 	s.mu.Unlock()
 	g.end(outcome)
@@ -110,25 +110,25 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// prefill is how long the first token of a request takes to prepare: a quarter when the prefix of its
-// prompt was seen on this adapter version lately.
-func (s *Server) prefill(asked ask) time.Duration {
-	prefix := asked.model + " " + asked.prompt[:min(len(asked.prompt), prefixBytes)]
+// prefillDelay returns the time to the first token. It is a quarter of the normal time if the prefix
+// cache holds the prefix of the prompt for this adapter version.
+func (s *Server) prefillDelay(params generationParams) time.Duration {
+	prefix := params.model + " " + params.prompt[:min(len(params.prompt), prefixBytes)]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, cached := s.prefixes[prefix]
 	if !cached {
-		s.remember(prefix, asked)
+		s.cachePrefix(prefix, params)
 	}
-	delay := s.slowed(s.FirstTokenDelay)
+	delay := s.applySlow(s.FirstTokenDelay)
 	if cached {
 		return delay / 4
 	}
 	return delay
 }
 
-// remember puts a prefix into the cache, in place of any other when it is full.
-func (s *Server) remember(prefix string, asked ask) {
+// cachePrefix adds a prefix to the prefix cache. If the cache is full, it evicts an arbitrary entry.
+func (s *Server) cachePrefix(prefix string, params generationParams) {
 	if len(s.prefixes) >= maxPrefixes {
 		for oldest := range s.prefixes {
 			delete(s.prefixes, oldest)
@@ -136,25 +136,26 @@
 		}
 	}
 	s.prefixes[prefix] = time.Now()
-	adapter, version, _ := strings.Cut(asked.model, "@")
+	adapter, version, _ := strings.Cut(params.model, "@")
 	s.publish(event{Kind: "prefix", Adapter: adapter, Version: version, Prefix: PromptHash(prefix)})
 }
 
-// pace is the time to the next token: a little longer for each other request in the batch.
-func (s *Server) pace() time.Duration {
+// tokenDelay returns the time to the next token. It grows by batchSlowdown for each other request in
+// the batch.
+func (s *Server) tokenDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	others := max(0, len(s.running)-1)
-	return s.slowed(time.Duration(float64(s.TokenInterval) * (1 + batchSlowdown*float64(others))))
+	return s.applySlow(time.Duration(float64(s.TokenInterval) * (1 + batchSlowdown*float64(others))))
 }
 
-func (s *Server) slowed(interval time.Duration) time.Duration {
+func (s *Server) applySlow(interval time.Duration) time.Duration {
 	if factor := s.faults.Get().Slow; factor > 0 {
 		return time.Duration(float64(interval) * factor)
 	}
 	return interval
 }
 
-func crashes(on, prompt string) bool {
+func triggersCrash(on, prompt string) bool {
 	return on != "" && strings.Contains(prompt, on)
 }
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -1,39 +1,39 @@
 package engine
 
-// A generation is one request in the batch. It runs to its end whether or not its reader is still
-// connected, so that a reader whose connection was lost can resume; when nobody has read it for
-// ResumeWithin it is given up, and its batch place is free again.
+// A generation is one request in the batch. It continues after its reader has disconnected, so that a
+// reader whose connection was lost can resume the stream. If it has had no reader for ResumeWithin, it
+// is abandoned and its batch slot is freed.
 
 import (
 	"sync"
 	"time"
 )
 
-// generation holds the tokens generated so far. Readers wait on changed, which closes with each
-// token and at the end.
+// generation holds the state of one running request. Readers wait on changed, which is closed and
+// replaced at each token and at the end.
 type generation struct {
-	owner    *Server
+	server   *Server
 	slot     *slot
 	number   int
-	ask      ask
+	params   generationParams
 	adapter  string
 	version  string
 	priority string
 
-	mu      sync.Mutex
-	tokens  int
-	outcome string
-	changed chan struct{}
-	readers int
-	leftAt  time.Time
-	endedAt time.Time
-	cancel  chan struct{}
-	once    sync.Once
-	verdict string
+	mu               sync.Mutex
+	tokens           int
+	outcome          string
+	changed          chan struct{}
+	readers          int
+	lastReaderLeftAt time.Time
+	endedAt          time.Time
+	stopped          chan struct{}
+	stopOnce         sync.Once
+	stopOutcome      string
 }
 
-// ask is what a request asked for, whichever of the two calls it came by.
-type ask struct {
+// generationParams holds the parameters of a completion or chat completion request.
+type generationParams struct {
 	requestID    string
 	model        string
 	prompt       string
@@ -43,51 +43,51 @@
 	includeUsage bool
 }
 
-// run generates the tokens at the pace of the batch.
+// run generates the tokens, one per tokenDelay.
 func (g *generation) run() {
-	if !g.wait(g.owner.prefill(g.ask)) {
+	if !g.wait(g.server.prefillDelay(g.params)) {
 		return
 	}
-	if crashes(g.owner.faults.Get().CrashOn, g.ask.prompt) {
-		g.owner.finish(g, OutcomeCrashed)
-		g.owner.crash()
+	if triggersCrash(g.server.faults.Get().CrashOn, g.params.prompt) {
+		g.server.finish(g, OutcomeCrashed)
+		g.server.crash()
 		return
 	}
-	for range g.ask.maxTokens {
-		if !g.wait(g.owner.pace()) {
+	for range g.params.maxTokens {
+		if !g.wait(g.server.tokenDelay()) {
 			return
 		}
-		g.add()
-		if g.abandoned(time.Now()) {
-			g.owner.finish(g, OutcomeAbandoned)
+		g.addToken()
+		if g.isAbandoned(time.Now()) {
+			g.server.finish(g, OutcomeAbandoned)
 			return
 		}
 	}
-	g.owner.finish(g, OutcomeDone)
+	g.server.finish(g, OutcomeDone)
 }
 
-// wait pauses, and reports false when the generation was stopped meanwhile; it has then ended.
+// wait sleeps for pause. If the generation is stopped meanwhile, wait finishes it and returns false.
 func (g *generation) wait(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-g.cancel:
-		g.owner.finish(g, g.verdict)
+	case <-g.stopped:
+		g.server.finish(g, g.stopOutcome)
 		return false
 	}
 }
 
-// stop ends the generation with an outcome; only the first stop counts.
+// stop ends the generation with an outcome. Calls after the first have no effect.
 func (g *generation) stop(outcome string) {
-	g.once.Do(func() {
-		g.verdict = outcome
-		close(g.cancel)
+	g.stopOnce.Do(func() {
+		g.stopOutcome = outcome
+		close(g.stopped)
 	})
 }
 
-func (g *generation) add() {
+func (g *generation) addToken() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens++
@@ -104,14 +104,14 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *generation) count() int {
+func (g *generation) tokenCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tokens
 }
 
-// progress returns the tokens so far, the outcome ("" while running) and what closes at the next
-// change.
+// progress returns the number of tokens so far, the outcome ("" while running) and a channel that is
+// closed at the next change.
 func (g *generation) progress() (tokens int, outcome string, changed <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,28 +120,28 @@
 
 // -----------------------------------------------------------------------------------------------
 
-func (g *generation) join() {
+func (g *generation) addReader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers++
 }
 
-func (g *generation) leave() {
+func (g *generation) removeReader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers--
-	g.leftAt = time.Now()
+	g.lastReaderLeftAt = time.Now()
 }
 
-func (g *generation) abandoned(now time.Time) bool {
+func (g *generation) isAbandoned(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.readers == 0 && now.Sub(g.leftAt) > g.owner.ResumeWithin
+	return g.readers == 0 && now.Sub(g.lastReaderLeftAt) > g.server.ResumeWithin
 }
 
-// forgotten tells whether the stream ended so long ago that it cannot be resumed any more.
-func (g *generation) forgotten(now time.Time) bool {
+// isExpired reports whether the stream ended more than streamRetention ago and can no longer be resumed.
+func (g *generation) isExpired(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outcome != "" && now.Sub(g.endedAt) > keepStreams
+	return g.outcome != "" && now.Sub(g.endedAt) > streamRetention
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -1,7 +1,7 @@
 package engine
 
-// Orders to load and unload adapter versions and to change role, checked against the fencing number
-// or not.
+// Orders that load or unload an adapter version or set the role. With CheckFencing, an order with a
+// stale fencing token is refused.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Outcomes of orders, which are also the codes of refused ones.
+// Outcomes of orders. Those of refused orders are also the error codes of the refusals.
 const (
 	orderDone        = "done"
 	orderStaleFence  = "stale_fence"
@@ -29,8 +29,8 @@
 	orderNotResident = "not_resident"
 )
 
-// order is the body of an order.
-type order struct {
+// orderBody is the JSON body of an order.
+type orderBody struct {
 	Adapter string
 	Version string
 	Source  string
@@ -38,70 +38,71 @@
 	Role    string
 }
 
-func (o order) model() string { return Model(o.Adapter, o.Version) }
+func (o orderBody) model() string { return Model(o.Adapter, o.Version) }
 
 func (s *Server) serveLoad(c echo.Context) error {
-	var ordered order
-	if err := fault.Decode(c.Request(), &ordered); err != nil {
+	var order orderBody
+	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
-	if wait := s.cold(time.Now()); wait > 0 {
-		return refuseLater(c, codeStarting, wait)
+	if wait := s.startupRemaining(time.Now()); wait > 0 {
+		return refuseWithRetry(c, codeStarting, wait)
 	}
 	started := time.Now()
-	outcome := s.load(ordered)
-	s.noteLoad(ordered, started, outcome)
+	outcome := s.load(order)
+	s.recordLoad(order, started, outcome)
 	switch outcome {
 	case orderStaleFence, orderNoSlot:
-		return refuse(c, http.StatusConflict, outcome, "not loaded")
+		return refuse(c, http.StatusConflict, outcome, "adapter version was not loaded")
 	case orderFailed:
-		return refuse(c, http.StatusBadGateway, outcome, "the weight store failed")
+		return refuse(c, http.StatusBadGateway, outcome, "loading the weights failed")
 	default:
 		return c.JSON(http.StatusOK, struct{}{})
 	}
 }
 
-func (s *Server) noteLoad(ordered order, started time.Time, outcome string) {
+func (s *Server) recordLoad(order orderBody, started time.Time, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.note(line{Load: &Load{
-		Adapter:   ordered.Adapter,
-		Version:   ordered.Version,
-		Fence:     ordered.Fence,
+	s.appendLine(journalLine{Load: &Load{
+		Adapter:   order.Adapter,
+		Version:   order.Version,
+		Fence:     order.Fence,
 		StartedAt: started,
 		EndedAt:   time.Now(),
 		Outcome:   outcome,
 	}})
 }
 
-// load carries out a load order to its end, also when whoever gave it went away.
-func (s *Server) load(ordered order) string {
-	taken, outcome := s.takeSlot(ordered)
+// load executes a load order. It runs to completion even if the client has disconnected.
+func (s *Server) load(order orderBody) string {
+	reserved, outcome := s.reserveSlot(order)
 	if outcome == orderJoined {
-		<-taken.loaded
-		if !s.serves(ordered.model()) {
+		<-reserved.loaded
+		if !s.isLoaded(order.model()) {
 			return orderFailed
 		}
 		return outcome
 	}
-	if taken == nil {
+	if reserved == nil {
 		return outcome
 	}
-	outcome = s.fetch(ordered)
-	s.settleSlot(ordered, taken, outcome == orderDone)
+	outcome = s.fetch(order)
+	s.finishLoad(order, reserved, outcome == orderDone)
 	return outcome
 }
 
-// takeSlot checks the fence and reserves a slot; without one the outcome says why.
-func (s *Server) takeSlot(ordered order) (taken *slot, outcome string) {
+// reserveSlot checks the fencing token and reserves an adapter slot. If it reserves none, the outcome
+// gives the reason.
+func (s *Server) reserveSlot(order orderBody) (reserved *slot, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale(ordered.Fence) {
+	if s.isStaleFence(order.Fence) {
 		return nil, orderStaleFence
 	}
-	if held, ok := s.resident[ordered.model()]; ok {
-		if held.loading {
-			return held, orderJoined
+	if existing, ok := s.resident[order.model()]; ok {
+		if existing.loading {
+			return existing, orderJoined
 		}
 		return nil, orderResident
 	}
@@ -111,63 +112,64 @@
 	if len(s.resident) >= s.Slots {
 		return nil, orderNoSlot
 	}
-	taken = &slot{loading: true, loaded: make(chan struct{})}
-	s.resident[ordered.model()] = taken
-	return taken, ""
+	reserved = &slot{loading: true, loaded: make(chan struct{})}
+	s.resident[order.model()] = reserved
+	return reserved, ""
 }
 
-func (s *Server) settleSlot(ordered order, taken *slot, loaded bool) {
+func (s *Server) finishLoad(order orderBody, reserved *slot, loaded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken.loading = false
-	close(taken.loaded)
+	reserved.loading = false
+	close(reserved.loaded)
 	if !loaded {
-		delete(s.resident, ordered.model())
+		delete(s.resident, order.model())
 		return
 	}
-	s.publish(event{Kind: "loaded", Adapter: ordered.Adapter, Version: ordered.Version})
+	s.publish(event{Kind: "loaded", Adapter: order.Adapter, Version: order.Version})
 }
 
-func (s *Server) serves(model string) bool {
+func (s *Server) isLoaded(model string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.resident[model]
-	return ok && !held.loading
+	existing, ok := s.resident[model]
+	return ok && !existing.loading
 }
 
-// stale checks a fence and remembers the highest. An engine that ignores fencing takes any order.
-func (s *Server) stale(fence int64) bool {
+// isStaleFence reports whether a fencing token is below the highest seen, and otherwise stores it as the
+// highest. Without CheckFencing, no token is stale.
+func (s *Server) isStaleFence(fence int64) bool {
 	if !s.CheckFencing {
 		return false
 	}
-	if fence < s.highest {
+	if fence < s.highestFence {
 		return true
 	}
-	s.highest = fence
+	s.highestFence = fence
 	return false
 }
 
-// fetch reads the weights.
-func (s *Server) fetch(ordered order) string {
+// fetch loads the weights from the weight store, or waits for LoadTime if there is none.
+func (s *Server) fetch(order orderBody) string {
 	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.FailLoads) }) {
 		return orderFailed
 	}
 	if s.WeightsAddress == "" {
-		time.Sleep(s.slowed(s.LoadTime))
+		time.Sleep(s.applySlow(s.LoadTime))
 		return orderDone
 	}
-	if s.fetchWeights(ordered) != nil {
+	if s.fetchWeights(order) != nil {
 		return orderFailed
 	}
 	return orderDone
 }
 
-func (s *Server) fetchWeights(ordered order) (err error) {
+func (s *Server) fetchWeights(order orderBody) (err error) {
 	defer func() { err = errors.WithMessage(err, "fetch weights") }()
-	ctx, cancel := context.WithTimeout(context.Background(), loadLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
 	address := "http://" + s.WeightsAddress + "/v1/weights/" +
-		url.PathEscape(ordered.Adapter) + "/" + url.PathEscape(ordered.Version)
+		url.PathEscape(order.Adapter) + "/" + url.PathEscape(order.Version)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return err
@@ -187,29 +189,29 @@
 // -----------------------------------------------------------------------------------------------
 
 func (s *Server) serveUnload(c echo.Context) error {
-	var ordered order
-	if err := fault.Decode(c.Request(), &ordered); err != nil {
+	var order orderBody
+	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
-	outcome := s.unload(ordered)
+	outcome := s.unload(order)
 	switch outcome {
 	case orderStaleFence, orderInUse:
-		return refuse(c, http.StatusConflict, outcome, "not unloaded")
+		return refuse(c, http.StatusConflict, outcome, "adapter version was not unloaded")
 	default:
 		return c.JSON(http.StatusOK, struct{}{})
 	}
 }
 
-// unload evicts an adapter version. Requests that it serves are lost with it, which is the harm that
-// the record exists to show.
-func (s *Server) unload(ordered order) string {
+// unload evicts an adapter version. Requests running on it are stopped. The record shows such evictions,
+// because they must never happen.
+func (s *Server) unload(order orderBody) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	outcome, serving := s.checkUnload(ordered)
-	s.note(line{Eviction: &Eviction{
-		Adapter: ordered.Adapter,
-		Version: ordered.Version,
-		Fence:   ordered.Fence,
+	outcome, serving := s.checkUnload(order)
+	s.appendLine(journalLine{Eviction: &Eviction{
+		Adapter: order.Adapter,
+		Version: order.Version,
+		Fence:   order.Fence,
 		At:      time.Now(),
 		Serving: serving,
 		Outcome: outcome,
@@ -217,40 +219,40 @@
 	if outcome != orderDone {
 		return outcome
 	}
-	delete(s.resident, ordered.model())
+	delete(s.resident, order.model())
 	for running := range s.running {
-		if running.ask.model == ordered.model() {
+		if running.params.model == order.model() {
 			running.stop(OutcomeEvicted)
 		}
 	}
-	s.publish(event{Kind: "evicted", Adapter: ordered.Adapter, Version: ordered.Version})
+	s.publish(event{Kind: "evicted", Adapter: order.Adapter, Version: order.Version})
 	return outcome
 }
 
-func (s *Server) checkUnload(ordered order) (outcome string, serving int) {
-	if s.stale(ordered.Fence) {
+func (s *Server) checkUnload(order orderBody) (outcome string, serving int) {
+	if s.isStaleFence(order.Fence) {
 		return orderStaleFence, 0
 	}
-	held, ok := s.resident[ordered.model()]
+	existing, ok := s.resident[order.model()]
 	if !ok {
 		return orderNotResident, 0
 	}
-	if held.loading || (held.serving > 0 && s.ProtectInUse) {
-		return orderInUse, held.serving
+	if existing.loading || (existing.serving > 0 && s.ProtectInUse) {
+		return orderInUse, existing.serving
 	}
-	return orderDone, held.serving
+	return orderDone, existing.serving
 }
 
 func (s *Server) serveRole(c echo.Context) error {
-	var ordered order
-	if err := fault.Decode(c.Request(), &ordered); err != nil {
+	var order orderBody
+	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale(ordered.Fence) {
-		return refuse(c, http.StatusConflict, orderStaleFence, "role not changed")
+	if s.isStaleFence(order.Fence) {
+		return refuse(c, http.StatusConflict, orderStaleFence, "role was not changed")
 	}
-	s.role = ordered.Role
+	s.role = order.Role
 	return c.JSON(http.StatusOK, struct{}{})
 }
--- a/internal/standin/engine/record.go
+++ b/internal/standin/engine/record.go
@@ -1,7 +1,7 @@
 package engine
 
-// The plain record of what the engine ran: the oracle of the integration tests. It is kept in memory
-// and, with a RecordPath, in a file that outlives a crash.
+// The record of what the engine ran, which the integration tests use as their oracle. It is held in
+// memory and, if RecordPath is set, in a journal file that survives a crash.
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Outcomes of a request. One that was running when the process ended is OutcomeLost.
+// Outcomes of a request. A request that was running when the process ended has OutcomeLost.
 const (
 	OutcomeRunning   = "running"
 	OutcomeDone      = "done"
@@ -20,8 +20,8 @@
 	OutcomeLost      = "lost"
 )
 
-// Request is one request that ran. Number counts them from 1 over all incarnations. Others are the
-// numbers of the requests that ran beside it when it began.
+// Request is one request that ran. Number counts requests from 1 across all incarnations. Others are the
+// numbers of the requests that were in the batch when it started.
 type Request struct {
 	Number      int
 	RequestID   string
@@ -39,7 +39,7 @@
 	Incarnation string
 }
 
-// Refusal is a request that did not run. Code is the error's code.
+// Refusal is a request that was refused and did not run. Code is the error code.
 type Refusal struct {
 	RequestID string
 	Model     string
@@ -47,8 +47,8 @@
 	At        time.Time
 }
 
-// Load is one load order. Outcome is "done", "failed", "stale_fence", "no_slot", "resident" (it was
-// already), "joined" (it waited for another's load) or "lied".
+// Load is one load order. Outcome is "done", "failed", "stale_fence", "no_slot", "resident" (already
+// loaded), "joined" (it waited for a load in progress) or "lied" (see Faults.LieAboutLoads).
 type Load struct {
 	Adapter   string
 	Version   string
@@ -59,7 +59,7 @@
 }
 
 // Eviction is one unload order. Outcome is "done", "stale_fence", "in_use" or "not_resident". Serving
-// is how many requests the adapter version was serving.
+// is the number of requests that were running on the adapter version.
 type Eviction struct {
 	Adapter string
 	Version string
@@ -69,8 +69,8 @@
 	Outcome string
 }
 
-// Record is everything the engine ran. EvictedWhileServing counts evictions that took an adapter
-// version from a running request; it must stay 0.
+// Record holds everything that the engine ran. EvictedWhileServing counts evictions of an adapter version
+// on which requests were running; it must stay 0.
 type Record struct {
 	Name                string
 	Incarnations        []string
@@ -81,9 +81,9 @@
 	EvictedWhileServing int
 }
 
-// line is one line of the journal: exactly one field is set. A request has two, at its start and at
-// its end.
-type line struct {
+// journalLine is one line of the journal. Exactly one field is set. A request has two lines: one at its
+// start and one at its end.
+type journalLine struct {
 	Incarnation string    `json:",omitempty"`
 	Request     *Request  `json:",omitempty"`
 	Refusal     *Refusal  `json:",omitempty"`
@@ -91,17 +91,17 @@
 	Eviction    *Eviction `json:",omitempty"`
 }
 
-// ReadRecord reads the record from its file, also that of a process that is gone.
+// ReadRecord reads a record from its journal file. The process that wrote it may have ended.
 func ReadRecord(path string) (Record, error) {
-	lines, err := fault.ReadJournal[line](path)
+	lines, err := fault.ReadJournal[journalLine](path)
 	if err != nil {
 		return Record{}, err
 	}
 	return replay(lines), nil
 }
 
-// replay builds a record from its lines; requests without an end are lost.
-func replay(lines []line) Record {
+// replay builds a record from journal lines. Requests without an end get OutcomeLost.
+func replay(lines []journalLine) Record {
 	var record Record
 	for _, read := range lines {
 		record.add(read)
@@ -114,7 +114,7 @@
 	return record
 }
 
-func (r *Record) add(added line) {
+func (r *Record) add(added journalLine) {
 	switch {
 	case added.Incarnation != "":
 		r.Incarnations = append(r.Incarnations, added.Incarnation)
@@ -147,13 +147,13 @@
 	return append(values, value)
 }
 
-// note adds a line to the record and to its file. It runs under the server's lock.
-func (s *Server) note(added line) {
+// appendLine adds a line to the record and to its journal file. The caller holds s.mu.
+func (s *Server) appendLine(added journalLine) {
 	s.record.add(added)
 	s.journal.Append(added)
 }
 
-// Record returns a copy of what the engine ran so far; running requests show the tokens they have.
+// Record returns a copy of the record so far. Running requests have their current token counts.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	copied.Evictions = append([]Eviction{}, s.record.Evictions...)
 	for running := range s.running {
 		if running.number <= len(copied.Requests) {
-			copied.Requests[running.number-1].Tokens = running.count()
+			copied.Requests[running.number-1].Tokens = running.tokenCount()
 		}
 	}
 	return copied
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -1,7 +1,7 @@
 package engine
 
-// What the engine tells about itself: a load report that lags, and events that come late and with
-// gaps. Whoever builds on either alone is wrong some of the time.
+// The load report, which is out of date by up to twice ReportLag, and the event log, whose events are
+// delayed and some of them dropped. A client that relies on only one of them is sometimes wrong.
 
 import (
 	"net/http"
@@ -12,7 +12,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Report is the engine's load as of AgeMillis ago. RunningModels are the versions that requests run on.
+// Report is the engine's load as of AgeMillis ago. RunningModels are the adapter versions on which
+// requests are running.
 type Report struct {
 	Incarnation string
 	Slots       int
@@ -25,7 +26,7 @@
 	RunningModels []string
 }
 
-// event is one event; it is shown from At on.
+// event is one event. It is visible to clients from the time at.
 type event struct {
 	Number  int64
 	Kind    string
@@ -35,19 +36,19 @@
 	at      time.Time
 }
 
-// eventPage is the answer to GET /events.
+// eventPage is the response body of GET /events.
 type eventPage struct {
 	Next   int64
 	Events []event
 }
 
-func (s *Server) sample() Report {
+func (s *Server) sampleReport() Report {
 	resident, running := []string{}, []string{}
-	for model, held := range s.resident {
-		if !held.loading {
+	for model, existing := range s.resident {
+		if !existing.loading {
 			resident = append(resident, model)
 		}
-		if held.serving > 0 {
+		if existing.serving > 0 {
 			running = append(running, model)
 		}
 	}
@@ -65,17 +66,17 @@
 }
 
 func (s *Server) serveReport(c echo.Context) error {
-	if wait := s.cold(time.Now()); wait > 0 {
-		return refuseLater(c, codeStarting, wait)
+	if wait := s.startupRemaining(time.Now()); wait > 0 {
+		return refuseWithRetry(c, codeStarting, wait)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	report := s.published
+	report := s.publishedReport
 	report.AgeMillis = time.Since(s.sampledAt).Milliseconds()
 	return c.JSON(http.StatusOK, report)
 }
 
-// publish queues an event to be shown after EventDelay; every so-manieth is dropped.
+// publish adds an event that becomes visible after EventDelay. Every EventGap-th event is dropped.
 func (s *Server) publish(added event) {
 	added.Number = s.nextEvent
 	added.at = time.Now().Add(s.EventDelay)
@@ -98,12 +99,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := eventPage{Next: after, Events: []event{}}
-	for _, shown := range s.events {
-		if shown.Number <= after || shown.at.After(now) {
+	for _, published := range s.events {
+		if published.Number <= after || published.at.After(now) {
 			continue
 		}
-		page.Events = append(page.Events, shown)
-		page.Next = shown.Number
+		page.Events = append(page.Events, published)
+		page.Next = published.Number
 	}
 	return c.JSON(http.StatusOK, page)
 }
--- a/internal/standin/engine/routes.go
+++ b/internal/standin/engine/routes.go
@@ -1,6 +1,6 @@
 package engine
 
-// The engine's HTTP calls, as the design page lists them, and the shape of its refusals.
+// The engine's HTTP routes, as listed in the design page, and its error responses.
 
 import (
 	"math"
@@ -21,7 +21,7 @@
 
 func (s *Server) routes() *echo.Echo {
 	routes := fault.NewRouter()
-	routes.Use(repeatIdentity)
+	routes.Use(echoRequestID)
 	routes.POST("/v1/completions", s.serveCompletion)
 	routes.POST("/v1/chat/completions", s.serveChat)
 	routes.GET("/v1/streams/:id", s.serveResume)
@@ -34,9 +34,9 @@
 	return routes
 }
 
-// repeatIdentity puts the request's identity on every answer, refusals included: without it a refusal
-// could be another request's.
-func repeatIdentity(next echo.HandlerFunc) echo.HandlerFunc {
+// echoRequestID copies the request ID into every response, refusals included. Without it, a client could
+// not tell whether a refusal belongs to its request.
+func echoRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if id := c.Request().Header.Get(headerRequestID); id != "" {
 			c.Response().Header().Set(headerRequestID, id)
@@ -46,61 +46,61 @@
 }
 
 func (s *Server) serveCompletion(c echo.Context) error {
-	asked, err := decodeCompletion(c.Request())
+	params, err := decodeCompletion(c.Request())
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
-	return s.answer(c, asked)
+	return s.serveGeneration(c, params)
 }
 
 func (s *Server) serveChat(c echo.Context) error {
-	asked, err := decodeChat(c.Request())
+	params, err := decodeChat(c.Request())
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
-	return s.answer(c, asked)
+	return s.serveGeneration(c, params)
 }
 
-// answer runs the request and sends what it generates.
-func (s *Server) answer(c echo.Context, asked ask) error {
-	g, code := s.begin(asked, c.Request())
+// serveGeneration admits the request and sends the generated tokens.
+func (s *Server) serveGeneration(c echo.Context, params generationParams) error {
+	g, code := s.admit(params, c.Request())
 	switch code {
 	case "":
 	case codeModelNotFound:
 		return refuse(c, http.StatusNotFound, code, "the adapter version is not resident")
 	case codeStarting:
-		return refuseLater(c, code, s.cold(time.Now()))
+		return refuseWithRetry(c, code, s.startupRemaining(time.Now()))
 	default:
-		return refuseLater(c, code, time.Second)
+		return refuseWithRetry(c, code, time.Second)
 	}
-	g.join()
-	defer g.leave()
+	g.addReader()
+	defer g.removeReader()
 	faults := s.faults.Get()
 	time.Sleep(time.Duration(faults.LateMillis) * time.Millisecond)
-	sender := &sender{generation: g, identity: asked.requestID, cutAfter: faults.CutAfterTokens}
+	sender := &sender{generation: g, requestID: params.requestID, cutAfter: faults.CutAfterTokens}
 	if faults.CrossAnswers {
-		sender.identity, sender.crossed = s.other(g)
+		sender.requestID, sender.crossed = s.crossedRequest(g)
 	}
-	if asked.stream {
+	if params.stream {
 		return sender.stream(c, 0)
 	}
-	return sender.whole(c)
+	return sender.sendResponse(c)
 }
 
-// other picks the identity and the text of another running request, to answer with in place of the
-// right one; without any it makes up an identity.
-func (s *Server) other(g *generation) (identity string, crossed *generation) {
+// crossedRequest returns the ID and the generation of another running request, for the fault
+// CrossAnswers. If no other request is running, it returns a made-up ID and no generation.
+func (s *Server) crossedRequest(g *generation) (requestID string, crossed *generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for running := range s.running {
 		if running != g {
-			return running.ask.requestID, running
+			return running.params.requestID, running
 		}
 	}
-	return "other-" + g.ask.requestID, nil
+	return "other-" + g.params.requestID, nil
 }
 
-func (s *Server) stream(id string) (*generation, bool) {
+func (s *Server) findStream(id string) (*generation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found, ok := s.streams[id]
@@ -112,18 +112,18 @@
 	if err != nil || from < 0 {
 		from = 0
 	}
-	g, ok := s.stream(c.Param("id"))
+	g, ok := s.findStream(c.Param("id"))
 	if !ok {
 		return refuse(c, http.StatusNotFound, "stream_not_found", "no such stream")
 	}
-	g.join()
-	defer g.leave()
-	sender := &sender{generation: g, identity: g.ask.requestID}
+	g.addReader()
+	defer g.removeReader()
+	sender := &sender{generation: g, requestID: g.params.requestID}
 	return sender.stream(c, from)
 }
 
 func (s *Server) serveCancel(c echo.Context) error {
-	g, ok := s.stream(c.Param("id"))
+	g, ok := s.findStream(c.Param("id"))
 	if !ok {
 		return refuse(c, http.StatusNotFound, "stream_not_found", "no such stream")
 	}
@@ -137,10 +137,10 @@
 	return c.JSON(status, errorBody{Error: errorDetail{Message: message, Type: errorType(status), Code: code}})
 }
 
-func refuseLater(c echo.Context, code string, wait time.Duration) error {
+func refuseWithRetry(c echo.Context, code string, wait time.Duration) error {
 	seconds := max(1, int(math.Ceil(wait.Seconds())))
 	c.Response().Header().Set(headerRetryAfter, strconv.Itoa(seconds))
-	return refuse(c, http.StatusServiceUnavailable, code, "not run, come back later")
+	return refuse(c, http.StatusServiceUnavailable, code, "request was not run; retry later")
 }
 
 func errorType(status int) string {
--- a/internal/standin/engine/sender.go
+++ b/internal/standin/engine/sender.go
@@ -1,6 +1,6 @@
 package engine
 
-// How a generation's tokens are sent: as one answer at its end, or as server-sent events as they come.
+// Sends the tokens of a generation: as one response at its end, or as a stream of server-sent events.
 
 import (
 	"encoding/json"
@@ -14,30 +14,31 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// sender sends one generation to one reader. The identity is the request's own unless the answer is
-// crossed; crossed, if not nil, is the request whose text is sent in its place.
+// sender sends one generation to one reader. With the fault CrossAnswers, requestID is the ID of another
+// request, and crossed, if not nil, is the generation whose text is sent instead. If cutAfter is above 0,
+// the connection is cut after that many tokens.
 type sender struct {
 	generation *generation
-	identity   string
+	requestID  string
 	crossed    *generation
 	cutAfter   int
 }
 
-func (s *sender) shown() ask {
+func (s *sender) source() generationParams {
 	if s.crossed != nil {
-		return s.crossed.ask
+		return s.crossed.params
 	}
-	return s.generation.ask
+	return s.generation.params
 }
 
 func (s *sender) setHeaders(c echo.Context) {
-	c.Response().Header().Set(headerRequestID, s.identity)
-	c.Response().Header().Set(headerServedModel, s.shown().model)
+	c.Response().Header().Set(headerRequestID, s.requestID)
+	c.Response().Header().Set(headerServedModel, s.source().model)
 }
 
-// whole waits for the end and sends one answer. A generation that did not reach its end, or that is
-// to be cut, has its connection cut.
-func (s *sender) whole(c echo.Context) error {
+// sendResponse waits for the end of the generation and sends one response. It cuts the connection if the
+// generation did not complete or cutAfter was reached.
+func (s *sender) sendResponse(c echo.Context) error {
 	tokens, outcome, changed := s.generation.progress()
 	for outcome == "" {
 		if s.cutAfter > 0 && tokens >= s.cutAfter {
@@ -55,18 +56,18 @@
 		return nil
 	}
 	s.setHeaders(c)
-	return c.JSON(http.StatusOK, s.wholeBody(tokens))
+	return c.JSON(http.StatusOK, s.completeBody(tokens))
 }
 
-func (s *sender) wholeBody(tokens int) answerBody {
-	shown := s.shown()
+func (s *sender) completeBody(tokens int) completionResponse {
+	params := s.source()
 	body := s.body("text_completion")
 	reason := "length"
-	content := Text(shown.model, shown.prompt, tokens)
+	content := Text(params.model, params.prompt, tokens)
 	choice := choiceBody{FinishReason: &reason}
-	if s.generation.ask.chat {
+	if s.generation.params.chat {
 		body.Object = "chat.completion"
-		choice.Message = &saidBody{Role: "assistant", Content: content}
+		choice.Message = &chatMessage{Role: "assistant", Content: content}
 	} else {
 		choice.Text = &content
 	}
@@ -75,23 +76,23 @@
 	return body
 }
 
-func (s *sender) body(object string) answerBody {
-	return answerBody{
-		ID:      s.identity,
+func (s *sender) body(object string) completionResponse {
+	return completionResponse{
+		ID:      s.requestID,
 		Object:  object,
 		Created: time.Now().Unix(),
-		Model:   s.shown().model,
+		Model:   s.source().model,
 	}
 }
 
 func (s *sender) usage(tokens int) *usageBody {
-	prompt := countTokens(s.shown().prompt)
+	prompt := countTokens(s.source().prompt)
 	return &usageBody{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
 }
 
 // -----------------------------------------------------------------------------------------------
 
-// stream sends events from the given token on, until the generation ends or the reader leaves.
+// stream sends events, starting at the given token, until the generation ends or the reader disconnects.
 func (s *sender) stream(c echo.Context, from int) error {
 	s.setHeaders(c)
 	c.Response().Header().Set(echo.HeaderContentType, "text/event-stream")
@@ -120,7 +121,7 @@
 	}
 }
 
-// finish ends a stream: whole with its last events, otherwise by cutting it.
+// finish sends the last events of a completed generation. Otherwise it cuts the connection.
 func (s *sender) finish(c echo.Context, tokens int, outcome string) error {
 	if outcome != OutcomeDone {
 		fault.Cut(c.Response().Writer)
@@ -128,7 +129,7 @@
 	}
 	reason := "length"
 	last := s.chunk(choiceBody{FinishReason: &reason})
-	if s.generation.ask.chat {
+	if s.generation.params.chat {
 		last.Choices[0].Delta = &deltaBody{}
 	} else {
 		empty := ""
@@ -137,7 +138,7 @@
 	if err := s.send(c, tokens, last); err != nil {
 		return nil
 	}
-	if s.generation.ask.includeUsage {
+	if s.generation.params.includeUsage {
 		usage := s.chunk()
 		usage.Usage = s.usage(tokens)
 		if err := s.send(c, tokens, usage); err != nil {
@@ -152,10 +153,10 @@
 }
 
 func (s *sender) sendToken(c echo.Context, number int) error {
-	shown := s.shown()
-	token := Token(shown.model, shown.prompt, number)
+	params := s.source()
+	token := Token(params.model, params.prompt, number)
 	choice := choiceBody{}
-	if s.generation.ask.chat {
+	if s.generation.params.chat {
 		choice.Delta = &deltaBody{Content: token}
 		if number == 0 {
 			choice.Delta.Role = "assistant"
@@ -166,17 +167,17 @@
 	return s.send(c, number+1, s.chunk(choice))
 }
 
-func (s *sender) chunk(choices ...choiceBody) answerBody {
+func (s *sender) chunk(choices ...choiceBody) completionResponse {
 	body := s.body("text_completion")
-	if s.generation.ask.chat {
+	if s.generation.params.chat {
 		body.Object = "chat.completion.chunk"
 	}
 	body.Choices = append([]choiceBody{}, choices...)
 	return body
 }
 
-// send writes one event whose id line is the number of tokens so far.
-func (s *sender) send(c echo.Context, tokens int, body answerBody) error {
+// send writes one event. Its id is the number of tokens so far.
+func (s *sender) send(c echo.Context, tokens int, body completionResponse) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -1,10 +1,11 @@
-// Package engine stands in for a model engine: few adapter slots, continuous batching, orders that
-// check fencing or ignore it, a lagging report, late and gappy events, streams that can be resumed
-// and cancelled. Its text is worked out from the prompt, so that a test can tell whether a caller got
-// the whole answer to its own request on the adapter version that it asked for.
+// Package engine is a stand-in for a model engine. It has few adapter slots, continuous batching,
+// optional fencing checks, an out-of-date load report, delayed and incomplete events, and streams that
+// can be resumed and cancelled. The generated text is a function of the adapter version and the prompt,
+// so that a test can check whether a caller got the complete answer to its own request on the adapter
+// version that it asked for.
 //
-// A request goes from routes.go to a generation (generation.go), which runs in the batch whether or
-// not anyone still reads it; stream.go and answer.go send what it generated.
+// A request enters in routes.go and becomes a generation (generation.go), which runs in the batch
+// whether or not a reader is connected. sender.go sends the generated tokens.
 package engine
 
 import (
@@ -22,13 +23,13 @@
 
 // Faults of the engine.
 //
-// CrashOn: a request whose prompt holds it ends the process once it runs. FailLoads: so many load
-// orders fail with 502. LieAboutLoads: so many are answered as done and are not. Slow multiplies
-// every interval (0: as usual). SilentConnections makes the connections open when it is set silent
-// for good, new ones work. CutAfterTokens cuts the connection of each answer after so many tokens
-// (the request runs on, and a resumed stream is not cut). CrossAnswers names another request in the
-// answer. LateMillis is waited before the answer begins. RefuseAsFull refuses every request as if no
-// batch place were free.
+// CrashOn: a request whose prompt contains this text crashes the process when it runs. FailLoads is the
+// number of load orders that fail with 502. LieAboutLoads is the number of load orders that are reported
+// as done but not executed. Slow multiplies every interval (0: no change). SilentConnections: connections
+// that are open when it is set carry no more data; new connections work. CutAfterTokens cuts the
+// connection of each answer after this many tokens; the request continues, and a resumed stream is not
+// cut. CrossAnswers sends the answer of another request. LateMillis is the delay before the answer
+// begins. RefuseAsFull refuses every request as if no batch slot were free.
 type Faults struct {
 	CrashOn           string
 	FailLoads         int
@@ -41,13 +42,13 @@
 	RefuseAsFull      bool
 }
 
-// Server is the engine. Zero fields take the usual figures (usual.go). Address of the weight store:
-// WeightsAddress; without one a load takes LoadTime and cannot fail.
+// Server is the engine. Zero fields take the defaults (defaults.go). WeightsAddress is the address of the
+// weight store. If it is empty, a load takes LoadTime and fails only by the fault FailLoads.
 //
-// CheckFencing refuses orders with a fence below the highest seen. ProtectInUse refuses to unload an
-// adapter version that serves; without it the engine evicts all the same, the requests that it served
-// end as evicted, and the record says so. RecordPath, when set, is the file that keeps the record
-// over a crash.
+// CheckFencing refuses orders with a fencing token below the highest seen. ProtectInUse refuses to unload
+// an adapter version on which requests are running; otherwise the version is evicted and these requests
+// end with OutcomeEvicted. RecordPath, if set, is the journal file that preserves the record across a
+// crash.
 type Server struct {
 	endpoint.Endpoint
 	Name           string
@@ -65,30 +66,30 @@
 	ReportLag       time.Duration
 	EventDelay      time.Duration
 	ResumeWithin    time.Duration
-	// EventGap drops every so-manieth event (0: the usual, negative: none).
+	// EventGap n drops every n-th event (0: the default, negative: none).
 	EventGap int
-	// Exit ends the process on a crash; tests that run the engine inside themselves set it.
+	// Exit ends the process on a crash. Tests that run the engine in their own process replace it.
 	Exit func(code int)
 
 	faults  fault.Setting[Faults]
-	journal fault.Journal[line]
+	journal fault.Journal[journalLine]
 	client  *http.Client
 
-	mu          sync.Mutex
-	incarnation string
-	warmAt      time.Time
-	role        string
-	highest     int64
-	resident    map[string]*slot
-	running     map[*generation]struct{}
-	streams     map[string]*generation
-	prefixes    map[string]time.Time
-	events      []event
-	nextEvent   int64
-	published   Report
-	pending     Report
-	sampledAt   time.Time
-	record      Record
+	mu              sync.Mutex
+	incarnation     string
+	readyAt         time.Time
+	role            string
+	highestFence    int64
+	resident        map[string]*slot
+	running         map[*generation]struct{}
+	streams         map[string]*generation
+	prefixes        map[string]time.Time
+	events          []event
+	nextEvent       int64
+	publishedReport Report
+	pendingReport   Report
+	sampledAt       time.Time
+	record          Record
 }
 
 // Run serves until ctx ends.
@@ -103,7 +104,7 @@
 	control := &fault.Control[Faults]{
 		Faults:  &s.faults,
 		Record:  func() any { return s.Record() },
-		Applied: s.apply,
+		Applied: s.applyFaults,
 	}
 	return s.Serve(ctx, s.routes(), control.Routes())
 }
@@ -111,18 +112,18 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.faults.Set(faults)
-	s.apply(faults)
+	s.applyFaults(faults)
 }
 
-func (s *Server) apply(faults Faults) {
+func (s *Server) applyFaults(faults Faults) {
 	if faults.SilentConnections {
 		s.SilenceOpen()
 	}
 }
 
-// start takes the usual figures for what was not set and begins a new incarnation.
+// start sets the defaults, restores the record from the journal and starts a new incarnation.
 func (s *Server) start() error {
-	s.setUsual()
+	s.setDefaults()
 	s.journal.Path = s.RecordPath
 	earlier, err := s.journal.Open()
 	if err != nil {
@@ -132,21 +133,21 @@
 	defer s.mu.Unlock()
 	s.client = &http.Client{}
 	s.incarnation = uuid.NewString()
-	s.warmAt = time.Now().Add(s.ColdStart)
+	s.readyAt = time.Now().Add(s.ColdStart)
 	s.resident = make(map[string]*slot)
 	s.running = make(map[*generation]struct{})
 	s.streams = make(map[string]*generation)
 	s.prefixes = make(map[string]time.Time)
 	s.nextEvent = 1
 	s.record = replay(earlier)
-	s.note(line{Incarnation: s.incarnation})
-	s.published = s.sample()
-	s.pending = s.published
+	s.appendLine(journalLine{Incarnation: s.incarnation})
+	s.publishedReport = s.sampleReport()
+	s.pendingReport = s.publishedReport
 	s.sampledAt = time.Now()
 	return nil
 }
 
-// loop takes the load samples that the report lags with, and forgets old streams.
+// loop samples the load for the report and removes expired streams, once per ReportLag.
 func (s *Server) loop(ctx context.Context) {
 	ticker := time.NewTicker(s.ReportLag)
 	defer ticker.Stop()
@@ -163,25 +164,25 @@
 func (s *Server) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.published = s.pending
+	s.publishedReport = s.pendingReport
 	s.sampledAt = now.Add(-s.ReportLag)
-	s.pending = s.sample()
+	s.pendingReport = s.sampleReport()
 	for id, stream := range s.streams {
-		if stream.forgotten(now) {
+		if stream.isExpired(now) {
 			delete(s.streams, id)
 		}
 	}
 }
 
-// cold tells how long the engine still starts.
-func (s *Server) cold(now time.Time) time.Duration {
+// startupRemaining returns how long the engine still refuses work because it is starting.
+func (s *Server) startupRemaining(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.warmAt.Sub(now)
+	return s.readyAt.Sub(now)
 }
 
-// crash ends the process as a request that breaks the engine would: at once, with every request of
-// the batch.
+// crash ends the process at once, along with every request in the batch, as a request that crashes the
+// engine would.
 func (s *Server) crash() {
 	exit := s.Exit
 	if exit == nil {
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -34,14 +34,14 @@
 	return s
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("did not come to hold: %s", what)
+	t.Fatalf("condition not met in time: %s", what)
 }
 
 func post(t *testing.T, s *engine.Server, path, id, body string) (*http.Response, error) {
@@ -64,8 +64,8 @@
 	return answer.StatusCode
 }
 
-// events reads the data of a stream's events, up to its end or its cut.
-func events(answer *http.Response) (data []string, whole bool) {
+// events reads the data of the events of a stream. complete is false if the stream was cut.
+func events(answer *http.Response) (data []string, complete bool) {
 	defer answer.Body.Close()
 	lines := bufio.NewScanner(answer.Body)
 	for lines.Scan() {
@@ -102,7 +102,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-func TestAnswersOnTheModelAskedFor(t *testing.T) {
+func TestServesRequestedModel(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &engine.Server{LoadTime: time.Millisecond})
 	refused, err := post(t, s, "/v1/completions", "r0", `{"model":"bids@1","prompt":"x"}`)
@@ -114,10 +114,10 @@
 
 	answer, err := post(t, s, "/v1/completions", "r1", `{"model":"bids@1","prompt":"a tender","max_tokens":4}`)
 	is.NoErr(err)
-	whole, err := io.ReadAll(answer.Body)
+	complete, err := io.ReadAll(answer.Body)
 	is.NoErr(err)
-	is.True(strings.Contains(string(whole), engine.Text("bids@1", "a tender", 4)))
-	is.True(strings.Contains(string(whole), `"completion_tokens":4`))
+	is.True(strings.Contains(string(complete), engine.Text("bids@1", "a tender", 4)))
+	is.True(strings.Contains(string(complete), `"completion_tokens":4`))
 	is.Equal(answer.Header.Get("X-Request-Id"), "r1")
 	is.Equal(answer.Header.Get("X-Served-Model"), "bids@1")
 
@@ -132,22 +132,22 @@
 	is.Equal(len(s.Record().Requests), 2)
 }
 
-// A connection is cut in the middle of a stream. The reader has half an answer; the engine runs on and
-// sends the rest to whoever resumes the stream after the tokens it has.
-func TestResumesACutStream(t *testing.T) {
+// A connection is cut in the middle of a stream, and the reader has an incomplete answer. The engine must
+// continue the request and send the remaining tokens when the reader resumes the stream.
+func TestResumeOfCutStream(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &engine.Server{LoadTime: time.Millisecond})
 	is.Equal(status(t, s, "/orders/load", `{"Adapter":"a","Version":"1"}`), http.StatusOK)
 	s.SetFaults(engine.Faults{CutAfterTokens: 2})
 	answer, err := post(t, s, "/v1/completions", "r1", `{"model":"a@1","prompt":"p","max_tokens":6,"stream":true}`)
 	is.NoErr(err)
-	first, whole := events(answer)
-	is.True(!whole)
+	first, complete := events(answer)
+	is.True(!complete)
 	is.Equal(len(first), 2)
 	answer, err = http.Get("http://" + s.Address + "/v1/streams/r1?from=2")
 	is.NoErr(err)
-	rest, whole := events(answer)
-	is.True(whole)
+	rest, complete := events(answer)
+	is.True(complete)
 	is.Equal(streamText(t, append(first, rest...)), engine.Text("a@1", "p", 6))
 }
 
@@ -180,17 +180,17 @@
 	}
 }
 
-// An order evicts an adapter version that is serving. The caller's answer breaks off, and the record
-// must say so, since the proofs read it.
-func TestRecordsAnEvictionWhileServing(t *testing.T) {
+// An order evicts an adapter version while a request runs on it. The caller's stream is cut. The record
+// must show the eviction, because the integration tests check it there.
+func TestRecordShowsEvictionWhileServing(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &engine.Server{LoadTime: time.Millisecond})
 	is.Equal(status(t, s, "/orders/load", `{"Adapter":"a","Version":"1"}`), http.StatusOK)
 	answer, err := post(t, s, "/v1/completions", "r1", `{"model":"a@1","prompt":"p","max_tokens":10000,"stream":true}`)
 	is.NoErr(err)
 	is.Equal(status(t, s, "/orders/unload", `{"Adapter":"a","Version":"1","Fence":1}`), http.StatusOK)
-	_, whole := events(answer)
-	is.True(!whole)
+	_, complete := events(answer)
+	is.True(!complete)
 	record := s.Record()
 	is.Equal(record.EvictedWhileServing, 1)
 	is.Equal(record.Requests[0].Outcome, engine.OutcomeEvicted)
@@ -200,13 +200,13 @@
 	answer, err = post(t, protecting, "/v1/completions", "r1", `{"model":"a@1","prompt":"p","max_tokens":50,"stream":true}`)
 	is.NoErr(err)
 	is.Equal(status(t, protecting, "/orders/unload", `{"Adapter":"a","Version":"1","Fence":1}`), http.StatusConflict)
-	_, whole = events(answer)
-	is.True(whole)
+	_, complete = events(answer)
+	is.True(complete)
 }
 
-// A request makes the engine's process end, and with it every request of the batch. The record of what
-// was running outlives the process, and the next one has another incarnation and nothing resident.
-func TestRecordOutlivesACrash(t *testing.T) {
+// A request crashes the engine's process and ends every request in the batch. The record of the running
+// requests must survive the crash. The restarted engine has a new incarnation and nothing resident.
+func TestRecordSurvivesCrash(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "engine.jsonl")
 	var exits atomic.Int64
@@ -233,8 +233,8 @@
 	is.Equal(len(next.Record().Requests), 2)
 }
 
-// The connection tracking between two ends forgets the connections it knows. The caller waits on its
-// old connection for good, while a new one is answered at once.
+// Connection tracking between two hosts loses its entries. A call on an old connection must get no answer
+// at all, while a call on a new connection is answered at once.
 func TestSilentConnections(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &engine.Server{LoadTime: time.Millisecond})
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// hashLength is how much of the prompt's hash a token shows.
+// hashLength is the number of hex digits of the prompt's hash in each token.
 const hashLength = 12
 
-// PromptHash names a prompt in the generated text.
+// PromptHash returns the hash that identifies a prompt in the generated text.
 func PromptHash(prompt string) string {
 	sum := sha256.Sum256([]byte(prompt))
 	return hex.EncodeToString(sum[:])[:hashLength]
 }
 
-// Token is the generated token with the given number, from 0. Model is "adapter@version".
+// Token returns the generated token with the given number, from 0. Model is "adapter@version".
 func Token(model, prompt string, number int) string {
 	return fmt.Sprintf("%s:%s:%d ", model, PromptHash(prompt), number)
 }
 
-// Text is the whole answer of so many tokens. A caller that got anything else got a part of its
-// answer, or another's.
+// Text returns the complete answer with the given number of tokens. A caller that got anything else got
+// an incomplete answer or that of another request.
 func Text(model, prompt string, tokens int) string {
 	var text strings.Builder
 	for number := range tokens {
@@ -37,7 +37,7 @@
 	Content string
 }
 
-// ChatPrompt is the prompt that stands for a chat.
+// ChatPrompt returns the prompt for the messages of a chat.
 func ChatPrompt(messages []Message) string {
 	var prompt strings.Builder
 	for _, message := range messages {
@@ -46,8 +46,8 @@
 	return prompt.String()
 }
 
-// Model joins an adapter and a version as requests name them.
+// Model returns the model name of an adapter version, "adapter@version".
 func Model(adapter, version string) string { return adapter + "@" + version }
 
-// countTokens is the length of a prompt in tokens, as usage counts it.
+// countTokens returns the number of tokens of a prompt, as reported in the usage.
 func countTokens(prompt string) int { return len(strings.Fields(prompt)) }
--- a/internal/standin/engine/usual.go
+++ b/internal/standin/engine/usual.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// The usual figures of a small engine. They are chosen for tests on a busy machine and not measured
-// on a real one: tokens come about six times as fast as people expect them, so that a test ends soon.
+// Defaults of a small engine, suited to tests on a busy machine. Tokens are about six times as fast as
+// people expect, so that tests end quickly.
 const (
-	usualSlots           = 4
-	usualBatch           = 8
-	usualFirstTokenDelay = 10 * time.Millisecond
-	usualTokenInterval   = 5 * time.Millisecond
-	usualLoadTime        = 250 * time.Millisecond
-	usualReportLag       = 300 * time.Millisecond
-	usualEventDelay      = 300 * time.Millisecond
-	usualResumeWithin    = 3 * time.Second
-	usualEventGap        = 7
-	// usualMaxTokens is how many tokens a request gets that does not say.
-	usualMaxTokens = 16
-	// mostMaxTokens bounds what a request may ask for.
-	mostMaxTokens = 100_000
-	// loadLimit bounds one load from the weight store.
-	loadLimit = 30 * time.Second
-	// keepStreams is how long an ended stream can still be resumed.
-	keepStreams = 30 * time.Second
-	// maxEvents and maxRecords bound memory; prefixBytes and maxPrefixes are the prefix cache.
+	defaultSlots           = 4
+	defaultBatch           = 8
+	defaultFirstTokenDelay = 10 * time.Millisecond
+	defaultTokenInterval   = 5 * time.Millisecond
+	defaultLoadTime        = 250 * time.Millisecond
+	defaultReportLag       = 300 * time.Millisecond
+	defaultEventDelay      = 300 * time.Millisecond
+	defaultResumeWithin    = 3 * time.Second
+	defaultEventGap        = 7
+	// defaultMaxTokens is the number of tokens for a request without max_tokens.
+	defaultMaxTokens = 16
+	// maxTokensLimit is the upper limit of max_tokens.
+	maxTokensLimit = 100_000
+	// loadTimeout is the timeout of one load from the weight store.
+	loadTimeout = 30 * time.Second
+	// streamRetention is how long an ended stream can still be resumed.
+	streamRetention = 30 * time.Second
+	// maxEvents and maxRecords limit memory use. prefixBytes and maxPrefixes size the prefix cache.
 	maxEvents   = 1000
 	maxRecords  = 100_000
 	prefixBytes = 64
 	maxPrefixes = 64
-	// batchSlowdown is how much longer each token takes for each other request in the batch.
+	// batchSlowdown is the relative increase of the token interval for each other request in the batch.
 	batchSlowdown = 0.05
-	// crashCode is the exit code after CrashOn.
+	// crashCode is the exit code of a crash caused by CrashOn.
 	crashCode = 86
 )
 
-func (s *Server) setUsual() {
-	orUsual(&s.Slots, usualSlots)
-	orUsual(&s.Batch, usualBatch)
-	orUsual(&s.FirstTokenDelay, usualFirstTokenDelay)
-	orUsual(&s.TokenInterval, usualTokenInterval)
-	orUsual(&s.LoadTime, usualLoadTime)
-	orUsual(&s.ReportLag, usualReportLag)
-	orUsual(&s.EventDelay, usualEventDelay)
-	orUsual(&s.ResumeWithin, usualResumeWithin)
-	orUsual(&s.EventGap, usualEventGap)
+func (s *Server) setDefaults() {
+	setDefault(&s.Slots, defaultSlots)
+	setDefault(&s.Batch, defaultBatch)
+	setDefault(&s.FirstTokenDelay, defaultFirstTokenDelay)
+	setDefault(&s.TokenInterval, defaultTokenInterval)
+	setDefault(&s.LoadTime, defaultLoadTime)
+	setDefault(&s.ReportLag, defaultReportLag)
+	setDefault(&s.EventDelay, defaultEventDelay)
+	setDefault(&s.ResumeWithin, defaultResumeWithin)
+	setDefault(&s.EventGap, defaultEventGap)
 }
 
-func orUsual[T int | time.Duration](field *T, usual T) {
+func setDefault[T int | time.Duration](field *T, value T) {
 	if *field == 0 {
-		*field = usual
+		*field = value
 	}
 }
--- a/internal/standin/engine/wire.go
+++ b/internal/standin/engine/wire.go
@@ -1,7 +1,7 @@
 package engine
 
-// The shapes of the completion API, mapped by hand. The engine reads only what it uses and ignores
-// the rest, as the field's engines do.
+// JSON bodies of the completion API. The engine ignores fields that it does not use, as common engines
+// do.
 
 import (
 	"encoding/json"
@@ -34,7 +34,7 @@
 	Text string `json:"text"`
 }
 
-type answerBody struct {
+type completionResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Created int64        `json:"created"`
@@ -44,14 +44,14 @@
 }
 
 type choiceBody struct {
-	Index        int        `json:"index"`
-	Text         *string    `json:"text,omitempty"`
-	Message      *saidBody  `json:"message,omitempty"`
-	Delta        *deltaBody `json:"delta,omitempty"`
-	FinishReason *string    `json:"finish_reason"`
+	Index        int          `json:"index"`
+	Text         *string      `json:"text,omitempty"`
+	Message      *chatMessage `json:"message,omitempty"`
+	Delta        *deltaBody   `json:"delta,omitempty"`
+	FinishReason *string      `json:"finish_reason"`
 }
 
-type saidBody struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -78,61 +78,62 @@
 	Param   *string `json:"param"`
 }
 
-func decodeCompletion(request *http.Request) (asked ask, err error) {
+func decodeCompletion(request *http.Request) (params generationParams, err error) {
 	defer func() { err = errors.WithMessage(err, "completion") }()
-	body, asked, err := decodeCommon(request)
+	body, params, err := decodeCommon(request)
 	if err != nil {
-		return ask{}, err
+		return generationParams{}, err
 	}
-	asked.prompt, err = text(body.Prompt, "\n")
-	return asked, err
+	params.prompt, err = text(body.Prompt, "\n")
+	return params, err
 }
 
-func decodeChat(request *http.Request) (asked ask, err error) {
+func decodeChat(request *http.Request) (params generationParams, err error) {
 	defer func() { err = errors.WithMessage(err, "chat completion") }()
-	body, asked, err := decodeCommon(request)
+	body, params, err := decodeCommon(request)
 	if err != nil {
-		return ask{}, err
+		return generationParams{}, err
 	}
 	messages := make([]Message, 0, len(body.Messages))
 	for _, message := range body.Messages {
 		content, err := text(message.Content, "")
 		if err != nil {
-			return ask{}, err
+			return generationParams{}, err
 		}
 		messages = append(messages, Message{Role: message.Role, Content: content})
 	}
-	asked.chat = true
-	asked.prompt = ChatPrompt(messages)
-	return asked, nil
+	params.chat = true
+	params.prompt = ChatPrompt(messages)
+	return params, nil
 }
 
-func decodeCommon(request *http.Request) (body completionBody, asked ask, err error) {
+func decodeCommon(request *http.Request) (body completionBody, params generationParams, err error) {
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		return body, ask{}, err
+		return body, generationParams{}, err
 	}
-	asked = ask{
+	params = generationParams{
 		requestID:    request.Header.Get(headerRequestID),
 		model:        body.Model,
-		maxTokens:    usualMaxTokens,
+		maxTokens:    defaultMaxTokens,
 		stream:       body.Stream,
 		includeUsage: body.StreamOptions.IncludeUsage,
 	}
-	if asked.requestID == "" {
-		asked.requestID = uuid.NewString()
+	if params.requestID == "" {
+		params.requestID = uuid.NewString()
 	}
 	for _, limit := range []*int{body.MaxTokens, body.MaxCompletion} {
 		if limit != nil {
-			asked.maxTokens = *limit
+			params.maxTokens = *limit
 		}
 	}
-	if asked.maxTokens < 0 || asked.maxTokens > mostMaxTokens {
-		return body, ask{}, errors.Errorf("max_tokens: %d is out of range", asked.maxTokens)
+	if params.maxTokens < 0 || params.maxTokens > maxTokensLimit {
+		return body, generationParams{}, errors.Errorf("max_tokens %d is out of range", params.maxTokens)
 	}
-	return body, asked, nil
+	return body, params, nil
 }
 
-// text reads a prompt or a content: a string, an array of strings, or an array of text parts.
+// text decodes a prompt or the content of a message: a string, an array of strings, or an array of text
+// parts.
 func text(raw json.RawMessage, separator string) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", nil
@@ -147,7 +148,7 @@
 	}
 	var parts []partBody
 	if err := json.Unmarshal(raw, &parts); err != nil {
-		return "", errors.New("prompt or content: neither text nor an array of text")
+		return "", errors.New("prompt or content is neither a string nor an array of strings or text parts")
 	}
 	joined := make([]string, 0, len(parts))
 	for _, part := range parts {
--- a/internal/standin/fault/connections.go
+++ b/internal/standin/fault/connections.go
@@ -1,8 +1,8 @@
 package fault
 
-// Connections that fail on demand. Something between two ends may lose track of their connection:
-// what is sent on it arrives nowhere and nobody is told, while new connections work. The same
-// listener serves the stand-ins and the proxy of the integration tests.
+// Connections with injected faults. Connection tracking between two hosts may lose its entry for a
+// connection. Data sent on that connection is then dropped without an error, while new connections work.
+// The listener here simulates this for the stand-ins.
 
 import (
 	"net"
@@ -11,8 +11,7 @@
 	"sync/atomic"
 )
 
-// Listener hands out connections that can be made silent. Its zero value is not usable: set
-// Listener.
+// Listener accepts connections that can be made silent. The field Listener must be set.
 type Listener struct {
 	net.Listener
 
@@ -22,11 +21,11 @@
 
 // Accept waits for the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
-	plain, err := l.Listener.Accept()
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	accepted := &connection{Conn: plain, owner: l, closed: make(chan struct{})}
+	accepted := &connection{Conn: inner, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == nil {
@@ -36,8 +35,8 @@
 	return accepted, nil
 }
 
-// SilenceOpen makes every connection that is open now silent for good, and returns how many those
-// were. Connections accepted later work.
+// SilenceOpen permanently silences every connection that is open now, and returns their number.
+// Connections accepted later work.
 func (l *Listener) SilenceOpen() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,23 +46,23 @@
 	return len(l.open)
 }
 
-func (l *Listener) forget(closed *connection) {
+func (l *Listener) remove(closed *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, closed)
 }
 
-// connection swallows what is written and yields nothing to read once it is silent.
+// connection drops all data in both directions once it is silent.
 type connection struct {
 	net.Conn
-	owner  *Listener
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener  *Listener
+	silent    atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// Read yields nothing on a silent connection: what arrives is dropped until the other end or the
-// server closes it.
+// Read returns no data on a silent connection. It drops what arrives until the server closes the
+// connection.
 func (c *connection) Read(into []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(into)
@@ -77,7 +76,7 @@
 	}
 }
 
-// Write pretends to send on a silent connection.
+// Write drops the data on a silent connection and reports success.
 func (c *connection) Write(from []byte) (int, error) {
 	if c.silent.Load() {
 		return len(from), nil
@@ -87,14 +86,14 @@
 
 // Close closes the connection.
 func (c *connection) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.owner.forget(c)
+		c.listener.remove(c)
 	})
 	return c.Conn.Close()
 }
 
-// Cut closes the caller's connection without (the rest of) an answer. The caller sees a reset and
+// Cut closes the client's connection before the answer is complete. The client sees a broken connection and
 // cannot know whether its call took effect.
 func Cut(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
--- a/internal/standin/fault/control.go
+++ b/internal/standin/fault/control.go
@@ -1,7 +1,7 @@
 package fault
 
-// The control routes of a stand-in. They are served at an address of their own, so that a stand-in
-// whose work address is out, silent or full can still be asked and told.
+// The control routes of a stand-in. They have a separate address, so that a stand-in whose service address
+// is down, silent or full can still be inspected and controlled.
 
 import (
 	"encoding/json"
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// Control offers GET and POST /control/faults and GET /control/record. A POST names only the faults
-// it changes; an unknown name is refused, so that a misspelt fault does not pass for a set one.
-// Applied, if not nil, is called with the faults after each change.
+// Control serves GET and POST /control/faults and GET /control/record. A POST contains only the faults that
+// it changes. An unknown name is refused, so that a misspelt fault is not ignored. OnChange, if not nil, is
+// called with the faults after each change.
 type Control[T any] struct {
 	Faults  *Setting[T]
 	Record  func() any
 	Applied func(T)
 }
 
-// Routes returns the control routes, to which a stand-in may add its own.
+// Routes returns the control routes. A stand-in may add its own routes to them.
 func (c *Control[T]) Routes() *echo.Echo {
 	routes := NewRouter()
 	routes.GET("/control/faults", func(call echo.Context) error {
@@ -53,7 +53,7 @@
 	return call.JSON(http.StatusOK, faults)
 }
 
-// Decode reads a JSON body, refusing unknown names.
+// Decode decodes a JSON body. It refuses unknown field names.
 func Decode(request *http.Request, into any) (err error) {
 	defer func() { err = errors.WithMessage(err, "body") }()
 	decoder := json.NewDecoder(request.Body)
@@ -61,7 +61,7 @@
 	return decoder.Decode(into)
 }
 
-// NewRouter returns an echo router that prints nothing.
+// NewRouter returns an echo router that prints nothing at its start.
 func NewRouter() *echo.Echo {
 	routes := echo.New()
 	routes.HideBanner = true
--- a/internal/standin/fault/journal.go
+++ b/internal/standin/fault/journal.go
@@ -1,8 +1,7 @@
 package fault
 
-// The record of a stand-in that may be killed. It is written to a file line by line, so that a test
-// can still ask what the killed process had begun, and the process started in its place goes on with
-// the same record.
+// The journal of a stand-in that may be killed. Each entry is written to a file as one line, so that a test
+// can read what the killed process had started, and the restarted process continues the same record.
 
 import (
 	"bufio"
@@ -12,18 +11,18 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one line of a journal.
+// maxLineBytes is the largest length of a journal line.
 const maxLineBytes = 16 << 20
 
-// Journal appends values as JSON lines. Without a path it keeps nothing. Append is called under the
-// lock of the record that it mirrors.
+// Journal appends values to a file as JSON lines. Without a path it stores nothing. The caller of Append
+// holds the lock of the record that the journal mirrors.
 type Journal[T any] struct {
 	Path string
 
 	file *os.File
 }
 
-// Open reads what an earlier process wrote and makes ready to append.
+// Open returns the values that earlier processes wrote, and opens the file for appending.
 func (j *Journal[T]) Open() (earlier []T, err error) {
 	defer func() { err = errors.WithMessage(err, "journal") }()
 	if j.Path == "" {
@@ -37,7 +36,7 @@
 	return earlier, err
 }
 
-// Append writes one line.
+// Append writes a value as one line.
 func (j *Journal[T]) Append(value T) {
 	if j.file == nil {
 		return
@@ -51,8 +50,7 @@
 	}
 }
 
-// ReadJournal reads a journal, also one whose process is gone. A last line that was not written
-// whole is left out.
+// ReadJournal reads a journal. The process that wrote it may have ended. An incomplete last line is skipped.
 func ReadJournal[T any](path string) (values []T, err error) {
 	defer func() { err = errors.WithMessage(err, "read journal") }()
 	file, err := os.Open(path)
--- a/internal/standin/kv/contract_test.go
+++ b/internal/standin/kv/contract_test.go
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/standin/kv"
 )
 
-// The instances' own client of the store must read the stand-in's answers as the protocol means them,
-// or every proof against the stand-in proves something else.
-func TestStoreClientAgrees(t *testing.T) {
+// The store client of the instances must interpret the responses of the stand-in as the protocol defines
+// them. Otherwise, the tests that run against the stand-in are not valid for the real store.
+func TestStoreClientContract(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &kv.Server{})
 	client := &store.Client{Address: s.Address}
--- a/internal/standin/kv/entries.go
+++ b/internal/standin/kv/entries.go
@@ -1,6 +1,6 @@
 package kv
 
-// What the store holds. Every function here runs under the server's lock or takes it.
+// Entries and leases of the store. Every function here runs under the server's lock or acquires it.
 
 import (
 	"sort"
@@ -10,68 +10,68 @@
 	"github.com/google/uuid"
 )
 
-// entry is a key's value and the one before it, which stale reads answer.
+// entry is the value of a key, and the previous value, which stale reads return.
 type entry struct {
 	value    []byte
 	revision int64
 	lease    string
-	before   *entry
+	previous *entry
 }
 
-// lease keeps keys alive until it lapses.
+// lease is a lease to which keys can be attached. The keys are deleted when it expires.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// verdict is how a write or a read of one key ended.
-type verdict int
+// outcome is the result of a read or a write of one key.
+type outcome int
 
 const (
-	done verdict = iota
+	done outcome = iota
 	notFound
 	conflict
 )
 
-func (s *Server) get(key string, stale bool) (entry, verdict) {
+func (s *Server) get(key string, stale bool) (entry, outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.read(key, stale)
 }
 
-func (s *Server) read(key string, stale bool) (entry, verdict) {
+func (s *Server) read(key string, stale bool) (entry, outcome) {
 	found, ok := s.entries[key]
 	if !ok {
 		return entry{}, notFound
 	}
-	if stale && found.before != nil {
-		return *found.before, done
+	if stale && found.previous != nil {
+		return *found.previous, done
 	}
 	return found, done
 }
 
-func (s *Server) put(key string, expected int64, value []byte, leaseID string, lost bool) (int64, verdict) {
+func (s *Server) put(key string, expected int64, value []byte, leaseID string, lost bool) (int64, outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, exists := s.entries[key]
 	if old.revision != expected {
 		return 0, conflict
 	}
-	if leaseID != "" && !s.leaseLives(leaseID, time.Now()) {
+	if leaseID != "" && !s.isLeaseValid(leaseID, time.Now()) {
 		return 0, notFound
 	}
 	s.revision++
 	written := entry{value: value, revision: s.revision, lease: leaseID}
 	if exists {
-		old.before = nil
-		written.before = &old
+		old.previous = nil
+		written.previous = &old
 	}
 	s.entries[key] = written
-	s.note(Write{Key: key, Revision: s.revision, Lost: lost, At: time.Now()})
+	s.recordWrite(Write{Key: key, Revision: s.revision, Lost: lost, At: time.Now()})
 	return s.revision, done
 }
 
-func (s *Server) remove(key string, expected int64, lost bool) verdict {
+func (s *Server) remove(key string, expected int64, lost bool) outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, exists := s.entries[key]
@@ -81,18 +81,18 @@
 	if old.revision != expected {
 		return conflict
 	}
-	s.erase(key, lost)
+	s.deleteEntry(key, lost)
 	return done
 }
 
-func (s *Server) erase(key string, lost bool) {
+func (s *Server) deleteEntry(key string, lost bool) {
 	delete(s.entries, key)
 	s.revision++
-	s.note(Write{Key: key, Revision: s.revision, Deleted: true, Lost: lost, At: time.Now()})
+	s.recordWrite(Write{Key: key, Revision: s.revision, Deleted: true, Lost: lost, At: time.Now()})
 }
 
-// note records a write and wakes the watches.
-func (s *Server) note(write Write) {
+// recordWrite records a write and notifies the watches.
+func (s *Server) recordWrite(write Write) {
 	if len(s.record.Writes) < maxWrites {
 		s.record.Writes = append(s.record.Writes, write)
 	}
@@ -100,29 +100,29 @@
 	s.changed = make(chan struct{})
 }
 
-// listed is one line of a listing.
-type listed struct {
+// keyEntry is a key with its entry.
+type keyEntry struct {
 	key   string
 	entry entry
 }
 
-func (s *Server) list(prefix string, stale bool) []listed {
+func (s *Server) list(prefix string, stale bool) []keyEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []listed
+	var found []keyEntry
 	for key := range s.entries {
 		if !strings.HasPrefix(key, prefix) {
 			continue
 		}
 		read, _ := s.read(key, stale)
-		found = append(found, listed{key: key, entry: read})
+		found = append(found, keyEntry{key: key, entry: read})
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].key < found[j].key })
 	return found
 }
 
-// peek returns a key's entry and a channel that closes with the next write.
-func (s *Server) peek(key string) (entry, verdict, <-chan struct{}) {
+// getAndWatch returns the entry of a key and a channel that is closed at the next write to the store.
+func (s *Server) getAndWatch(key string) (entry, outcome, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found, result := s.read(key, false)
@@ -143,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.leaseLives(id, now) {
+	if !s.isLeaseValid(id, now) {
 		return false
 	}
 	renewed := s.leases[id]
@@ -155,23 +155,23 @@
 func (s *Server) revokeLease(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.leaseLives(id, time.Now()) {
+	if !s.isLeaseValid(id, time.Now()) {
 		return false
 	}
 	s.endLease(id)
 	return true
 }
 
-func (s *Server) leaseLives(id string, now time.Time) bool {
-	held, ok := s.leases[id]
-	return ok && now.Before(held.expires)
+func (s *Server) isLeaseValid(id string, now time.Time) bool {
+	existing, ok := s.leases[id]
+	return ok && now.Before(existing.expires)
 }
 
-func (s *Server) lapse(now time.Time) {
+func (s *Server) expireLeases(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		if !s.leaseLives(id, now) {
+		if !s.isLeaseValid(id, now) {
 			s.endLease(id)
 		}
 	}
@@ -179,9 +179,9 @@
 
 func (s *Server) endLease(id string) {
 	delete(s.leases, id)
-	for key, held := range s.entries {
-		if held.lease == id {
-			s.erase(key, false)
+	for key, attached := range s.entries {
+		if attached.lease == id {
+			s.deleteEntry(key, false)
 		}
 	}
 }
--- a/internal/standin/kv/routes.go
+++ b/internal/standin/kv/routes.go
@@ -1,7 +1,7 @@
 package kv
 
-// The store's HTTP calls, as the design page lists them. Each is counted, then held to the rate and
-// the outage, and only then does anything.
+// The store's HTTP routes, as listed in the design page. Each call is counted and checked against the
+// outage fault and the rate limit before it is executed.
 
 import (
 	"encoding/base64"
@@ -19,30 +19,30 @@
 const (
 	headerRevision = "X-Revision"
 	headerLease    = "X-Lease"
-	// defaultWait is how long a watch waits that does not say.
+	// defaultWait is the timeout of a watch that states none.
 	defaultWait = 25 * time.Second
-	// maxWait bounds a watch.
-	maxWait    = time.Minute
-	defaultTTL = 5 * time.Second
-	octets     = echo.MIMEOctetStream
+	// maxWait is the longest timeout of a watch.
+	maxWait     = time.Minute
+	defaultTTL  = 5 * time.Second
+	octetStream = echo.MIMEOctetStream
 )
 
 func (s *Server) routes() *echo.Echo {
 	routes := fault.NewRouter()
-	routes.GET("/v1/kv", s.admitted("list", &s.reads, s.serveList))
-	routes.GET("/v1/kv/*", s.admitted("get", &s.reads, s.serveGet))
-	routes.PUT("/v1/kv/*", s.admitted("put", &s.writes, s.servePut))
-	routes.DELETE("/v1/kv/*", s.admitted("delete", &s.writes, s.serveDelete))
-	routes.GET("/v1/watch/*", s.admitted("watch", &s.reads, s.serveWatch))
-	routes.POST("/v1/leases", s.admitted("lease", &s.writes, s.serveGrant))
-	routes.PUT("/v1/leases/:id", s.admitted("lease", &s.writes, s.serveRenew))
-	routes.DELETE("/v1/leases/:id", s.admitted("lease", &s.writes, s.serveRevoke))
+	routes.GET("/v1/kv", s.limited("list", &s.reads, s.serveList))
+	routes.GET("/v1/kv/*", s.limited("get", &s.reads, s.serveGet))
+	routes.PUT("/v1/kv/*", s.limited("put", &s.writes, s.servePut))
+	routes.DELETE("/v1/kv/*", s.limited("delete", &s.writes, s.serveDelete))
+	routes.GET("/v1/watch/*", s.limited("watch", &s.reads, s.serveWatch))
+	routes.POST("/v1/leases", s.limited("lease", &s.writes, s.serveGrant))
+	routes.PUT("/v1/leases/:id", s.limited("lease", &s.writes, s.serveRenew))
+	routes.DELETE("/v1/leases/:id", s.limited("lease", &s.writes, s.serveRevoke))
 	return routes
 }
 
-// admitted counts a call and lets it through unless the store is out or over its rate; such a
-// refusal means that nothing was done.
-func (s *Server) admitted(call string, limit *bucket, handler echo.HandlerFunc) echo.HandlerFunc {
+// limited counts a call and refuses it during an outage or above the rate limit. A refused call has no
+// effect.
+func (s *Server) limited(call string, limit *bucket, handler echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		faults := s.faults.Get()
 		if status := s.admit(call, limit, faults); status != http.StatusOK {
@@ -70,7 +70,7 @@
 	return http.StatusOK
 }
 
-// pause waits, and reports false when the caller went away meanwhile.
+// pause waits, and returns false if the client disconnects meanwhile.
 func pause(c echo.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return true
@@ -83,8 +83,8 @@
 	}
 }
 
-// loses reports whether the answer to this write is to be lost.
-func (s *Server) loses() bool {
+// losesAnswer reports whether the answer to this write must be dropped, and counts it off LoseAnswers.
+func (s *Server) losesAnswer() bool {
 	return s.faults.Update(func(faults *Faults) bool { return fault.Spend(&faults.LoseAnswers) })
 }
 
@@ -105,12 +105,12 @@
 	}
 	value, err := io.ReadAll(io.LimitReader(c.Request().Body, MaxValueBytes+1))
 	if err != nil {
-		return c.String(http.StatusBadRequest, "body: not whole\n")
+		return c.String(http.StatusBadRequest, "body: incomplete\n")
 	}
 	if len(value) > MaxValueBytes {
 		return c.NoContent(http.StatusRequestEntityTooLarge)
 	}
-	lost := s.loses()
+	lost := s.losesAnswer()
 	revision, result := s.put(key(c), expected, value, c.QueryParam("lease"), lost)
 	if lost {
 		fault.Cut(c.Response().Writer)
@@ -128,7 +128,7 @@
 	if err != nil {
 		return c.String(http.StatusBadRequest, "expect: not a revision\n")
 	}
-	lost := s.loses()
+	lost := s.losesAnswer()
 	result := s.remove(key(c), expected, lost)
 	if lost {
 		fault.Cut(c.Response().Writer)
@@ -140,43 +140,43 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// line is one element of a listing.
-type line struct {
+// listItem is one element of the response to a list call.
+type listItem struct {
 	Key      string
 	Value    string
 	Revision int64
 }
 
 func (s *Server) serveList(c echo.Context) error {
-	lines := []line{}
+	items := []listItem{}
 	for _, found := range s.list(c.QueryParam("prefix"), s.faults.Get().StaleReads) {
-		lines = append(lines, line{
+		items = append(items, listItem{
 			Key:      found.key,
 			Value:    base64.StdEncoding.EncodeToString(found.entry.value),
 			Revision: found.entry.revision,
 		})
 	}
-	return c.JSON(http.StatusOK, lines)
+	return c.JSON(http.StatusOK, items)
 }
 
-// serveWatch waits until the key is newer than "after". An outage that begins meanwhile ends the
-// watch with 503, as a store that went down would.
+// serveWatch waits until the revision of the key is above "after". If an outage begins meanwhile, the
+// watch ends with 503, as it would when a real store goes down.
 func (s *Server) serveWatch(c echo.Context) error {
 	after, err := strconv.ParseInt(c.QueryParam("after"), 10, 64)
 	if err != nil {
 		return c.String(http.StatusBadRequest, "after: not a revision\n")
 	}
-	over := time.After(waitOf(c))
-	check := time.NewTicker(lapseInterval)
+	timeout := time.After(watchTimeout(c))
+	check := time.NewTicker(expiryInterval)
 	defer check.Stop()
 	for {
-		found, result, changed := s.peek(key(c))
+		found, result, changed := s.getAndWatch(key(c))
 		if result == done && found.revision > after {
 			return answerEntry(c, found)
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			return c.NoContent(http.StatusNoContent)
 		case <-c.Request().Context().Done():
 			return nil
@@ -188,7 +188,7 @@
 	}
 }
 
-func waitOf(c echo.Context) time.Duration {
+func watchTimeout(c echo.Context) time.Duration {
 	wait, err := time.ParseDuration(c.QueryParam("wait"))
 	if err != nil || wait <= 0 {
 		return defaultWait
@@ -215,8 +215,8 @@
 	return s.answerLease(c, s.revokeLease(c.Param("id")))
 }
 
-func (s *Server) answerLease(c echo.Context, lives bool) error {
-	if !lives {
+func (s *Server) answerLease(c echo.Context, valid bool) error {
+	if !valid {
 		return c.NoContent(http.StatusNotFound)
 	}
 	c.Response().Header().Set(headerLease, c.Param("id"))
@@ -225,7 +225,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// key is the rest of the path; keys may hold slashes, escaped or not.
+// key returns the key, which is the rest of the path. It may contain slashes, escaped or not.
 func key(c echo.Context) string {
 	raw := c.Param("*")
 	plain, err := url.PathUnescape(raw)
@@ -235,7 +235,7 @@
 	return plain
 }
 
-func status(result verdict) int {
+func status(result outcome) int {
 	switch result {
 	case notFound:
 		return http.StatusNotFound
@@ -252,5 +252,5 @@
 
 func answerEntry(c echo.Context, found entry) error {
 	setRevision(c, found.revision)
-	return c.Blob(http.StatusOK, octets, found.value)
+	return c.Blob(http.StatusOK, octetStream, found.value)
 }
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -1,6 +1,6 @@
-// Package kv stands in for the platform's key-value service: compare-and-swap, leases and watches,
-// a rate limit, and a count of every call. On demand it is out, slow, loses the answer to a write
-// that took effect, or reads one write behind.
+// Package kv is a stand-in for the platform's key-value store. It has compare-and-swap, leases, watches and
+// a rate limit, and counts every call. Its faults are outages, delays, lost answers to writes that took
+// effect, and reads that are one write behind.
 package kv
 
 import (
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Faults of the store. LoseAnswers is how many writes take effect and then have their connection
-// cut. StaleReads makes reads of a key answer the value before its last write. DelayMillis holds
-// every call back before anything is done.
+// Faults of the store. Outage refuses every call with 503. LoseAnswers is the number of writes that take
+// effect but whose connection is cut before the answer. StaleReads makes reads of a key return the value
+// before its last write. DelayMillis delays every call before it is executed.
 type Faults struct {
 	Outage      bool
 	LoseAnswers int
@@ -22,8 +22,9 @@
 	StaleReads  bool
 }
 
-// Record is what the store ran. Counts is by call ("get", "put", "delete", "list", "watch", "lease");
-// a waiting watch counts once. Refused counts calls answered 429 or 503, which are in Counts too.
+// Record holds what the store ran. Counts is the number of calls by kind ("get", "put", "delete", "list",
+// "watch", "lease"); a watch counts once, however long it waits. Refused counts the calls answered with
+// 429 or 503, which are in Counts too.
 type Record struct {
 	Counts   map[string]int
 	Refused  int
@@ -32,7 +33,7 @@
 	Writes   []Write
 }
 
-// Write is one write that took effect. Lost tells that its answer was lost.
+// Write is one write that took effect. Lost is true if its answer was dropped.
 type Write struct {
 	Key      string
 	Revision int64
@@ -41,8 +42,7 @@
 	At       time.Time
 }
 
-// Server is the store. WritesPerSecond and ReadsPerSecond are its rates (0: the platform's usual
-// ones).
+// Server is the store. WritesPerSecond and ReadsPerSecond are its rate limits (0: the defaults).
 type Server struct {
 	endpoint.Endpoint
 	WritesPerSecond float64
@@ -60,15 +60,15 @@
 	record   Record
 }
 
-// The platform's rates: several hundred writes and about two thousand reads a second.
+// The platform's rate limits: several hundred writes and about two thousand reads per second.
 const (
-	usualWritesPerSecond = 400
-	usualReadsPerSecond  = 2000
-	// maxWrites bounds the record.
+	defaultWritesPerSecond = 400
+	defaultReadsPerSecond  = 2000
+	// maxWrites is the largest number of writes in the record.
 	maxWrites = 100_000
-	// lapseInterval is how often lapsed leases are looked for.
-	lapseInterval = 50 * time.Millisecond
-	// MaxValueBytes is the largest value the store holds.
+	// expiryInterval is how often the store looks for expired leases.
+	expiryInterval = 50 * time.Millisecond
+	// MaxValueBytes is the largest size of a value.
 	MaxValueBytes = 1 << 20
 )
 
@@ -76,9 +76,9 @@
 func (s *Server) Run(ctx context.Context) error {
 	s.Verb = "kv"
 	s.start()
-	ended, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go s.loop(ended)
+	go s.loop(runCtx)
 	control := &fault.Control[Faults]{Faults: &s.faults, Record: func() any { return s.Record() }}
 	return s.Serve(ctx, s.routes(), control.Routes())
 }
@@ -86,7 +86,7 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) { s.faults.Set(faults) }
 
-// Record returns a copy of what the store ran so far.
+// Record returns a copy of the record so far.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,10 +104,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.WritesPerSecond == 0 {
-		s.WritesPerSecond = usualWritesPerSecond
+		s.WritesPerSecond = defaultWritesPerSecond
 	}
 	if s.ReadsPerSecond == 0 {
-		s.ReadsPerSecond = usualReadsPerSecond
+		s.ReadsPerSecond = defaultReadsPerSecond
 	}
 	s.entries = make(map[string]entry)
 	s.leases = make(map[string]lease)
@@ -117,36 +117,36 @@
 	s.record = Record{Counts: make(map[string]int), Since: time.Now()}
 }
 
-// loop removes the keys of lapsed leases, so that watches on them end without another call.
+// loop deletes the keys of expired leases, so that watches on them see the change without another call.
 func (s *Server) loop(ctx context.Context) {
-	ticker := time.NewTicker(lapseInterval)
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.lapse(time.Now())
+			s.expireLeases(time.Now())
 		}
 	}
 }
 
 // -----------------------------------------------------------------------------------------------
 
-// bucket is the rate limit: one second's worth of calls at most at once.
+// bucket is a token bucket. Its burst is the number of calls of one second.
 type bucket struct {
-	rate   float64
-	tokens float64
-	at     time.Time
+	rate       float64
+	tokens     float64
+	refilledAt time.Time
 }
 
 func newBucket(rate float64) bucket {
-	return bucket{rate: rate, tokens: rate, at: time.Now()}
+	return bucket{rate: rate, tokens: rate, refilledAt: time.Now()}
 }
 
 func (b *bucket) take(now time.Time) bool {
-	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/standin/kv/server_test.go
+++ b/internal/standin/kv/server_test.go
@@ -73,7 +73,7 @@
 		{name: "delete old", method: "DELETE", path: "/v1/kv/a/b?expect=1", status: 412},
 		{name: "deleted", method: "DELETE", path: "/v1/kv/a/b?expect=2", status: 204},
 		{name: "delete absent", method: "DELETE", path: "/v1/kv/a/b?expect=2", status: 404},
-		{name: "lapsed lease", method: "PUT", path: "/v1/kv/c?expect=0&lease=none", status: 404},
+		{name: "expired lease", method: "PUT", path: "/v1/kv/c?expect=0&lease=none", status: 404},
 	} {
 		got, err := call(t, s, tt.method, tt.path, tt.body)
 		is.NoErr(err)
@@ -87,9 +87,9 @@
 	is.Equal(counts["watch"], 2)
 }
 
-// A holder is paused for longer than its lease. Its key vanishes, and a watch on it is told nothing
-// but that; renewing afterwards fails.
-func TestLeaseLapses(t *testing.T) {
+// A holder is paused for longer than the TTL of its lease. Its key must be deleted, which is all that a watch
+// on the key sees, and renewing the lease afterwards must fail.
+func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &kv.Server{})
 	granted, err := call(t, s, "POST", "/v1/leases?ttl=100ms", "")
@@ -113,8 +113,8 @@
 	is.Equal(renewed.status, 404)
 }
 
-// The store goes out, or loses an answer after the write took effect, or reads one write behind. A
-// client that takes a lost answer for "not written" writes twice, or tells a falsehood.
+// The store has an outage, loses the answer to a write that took effect, or reads one write behind. A
+// client that interprets a lost answer as "not written" writes twice or reports a wrong result.
 func TestFaults(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &kv.Server{})
--- a/internal/standin/list/server.go
+++ b/internal/standin/list/server.go
@@ -1,5 +1,5 @@
-// Package list stands in for the platform's list of live and leaving instances and upstreams. What it
-// answers lags behind what it was told, and on demand it cannot be reached.
+// Package list is a stand-in for the platform's list of live and leaving instances and upstreams. Its
+// answers lag behind the members that were set, and a fault makes it unreachable.
 package list
 
 import (
@@ -14,14 +14,14 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Faults of the list. LagMillis is how old its answers are; Unreachable cuts every connection
-// without an answer.
+// Faults of the list. LagMillis is the age of its answers. Unreachable cuts every connection without an
+// answer.
 type Faults struct {
 	LagMillis   int
 	Unreachable bool
 }
 
-// Member is one line of the list, named as on the wire.
+// Member is one entry of the list. The field names are those of the wire format.
 type Member struct {
 	Name       string
 	Role       string
@@ -30,7 +30,7 @@
 	Leaving    bool
 }
 
-// Record counts the calls and shows the members as last set.
+// Record holds the number of calls and the members that were set last.
 type Record struct {
 	Calls   int
 	Members []Member
@@ -43,19 +43,19 @@
 
 	faults fault.Setting[Faults]
 
-	mu    sync.Mutex
-	told  []telling
-	calls int
+	mu        sync.Mutex
+	snapshots []snapshot
+	calls     int
 }
 
-// telling is the members as told at one moment.
-type telling struct {
+// snapshot holds the members that were set at one time.
+type snapshot struct {
 	at      time.Time
 	members []Member
 }
 
-// maxTold bounds how many earlier tellings are kept for the lag.
-const maxTold = 1000
+// maxSnapshots is the number of snapshots retained to simulate the lag.
+const maxSnapshots = 1000
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
@@ -63,33 +63,33 @@
 	if s.LagMillis != 0 {
 		s.faults.Set(Faults{LagMillis: s.LagMillis})
 	}
-	work := fault.NewRouter()
-	work.GET("/v1/members", s.serveMembers)
+	members := fault.NewRouter()
+	members.GET("/v1/members", s.serveMembers)
 	routes := (&fault.Control[Faults]{Faults: &s.faults, Record: func() any { return s.Record() }}).Routes()
 	routes.POST("/control/members", s.serveSet)
-	return s.Serve(ctx, work, routes)
+	return s.Serve(ctx, members, routes)
 }
 
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) { s.faults.Set(faults) }
 
-// SetMembers replaces the members; readers see it once the lag has passed.
+// SetMembers replaces the members. Readers see the change after the lag.
 func (s *Server) SetMembers(members []Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, telling{at: time.Now(), members: append([]Member{}, members...)})
-	if len(s.told) > maxTold {
-		s.told = s.told[len(s.told)-maxTold:]
+	s.snapshots = append(s.snapshots, snapshot{at: time.Now(), members: append([]Member{}, members...)})
+	if len(s.snapshots) > maxSnapshots {
+		s.snapshots = s.snapshots[len(s.snapshots)-maxSnapshots:]
 	}
 }
 
-// Record returns what the list was told last and how often it was asked.
+// Record returns the members that were set last and the number of calls.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record := Record{Calls: s.calls, Members: []Member{}}
-	if len(s.told) > 0 {
-		record.Members = s.told[len(s.told)-1].members
+	if len(s.snapshots) > 0 {
+		record.Members = s.snapshots[len(s.snapshots)-1].members
 	}
 	return record
 }
@@ -108,9 +108,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	for i := len(s.told) - 1; i >= 0; i-- {
-		if !s.told[i].at.After(moment) {
-			return s.told[i].members
+	for i := len(s.snapshots) - 1; i >= 0; i-- {
+		if !s.snapshots[i].at.After(moment) {
+			return s.snapshots[i].members
 		}
 	}
 	return []Member{}
--- a/internal/standin/list/server_test.go
+++ b/internal/standin/list/server_test.go
@@ -13,9 +13,9 @@
 	"lacewingrock.example/lacewingrock/internal/standin/list"
 )
 
-// The list tells of a leaving upstream seconds late, or cannot be reached at all. Who builds on it
-// alone goes on sending work to a machine that is about to stop.
-func TestLagsAndIsUnreachable(t *testing.T) {
+// The list reports a leaving upstream seconds late, or cannot be reached at all. A client that relies on
+// the list alone keeps sending requests to a machine that is about to stop.
+func TestLagAndUnreachableFault(t *testing.T) {
 	is := is.New(t)
 	s := &list.Server{LagMillis: 200}
 	is.NoErr(s.Listen())
@@ -40,7 +40,7 @@
 	is.NoErr(err)
 	answer.Body.Close()
 	is.Equal(answer.StatusCode, http.StatusOK)
-	told := time.Now()
+	setAt := time.Now()
 	for {
 		body, err := get()
 		is.NoErr(err)
@@ -48,10 +48,10 @@
 			is.Equal(body, `[{"Name":"e1","Role":"engine","Address":"127.0.0.1:1","DataCentre":"north","Leaving":true}]`)
 			break
 		}
-		is.True(time.Since(told) < 10*time.Second)
+		is.True(time.Since(setAt) < 10*time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.True(time.Since(told) >= 100*time.Millisecond)
+	is.True(time.Since(setAt) >= 100*time.Millisecond)
 	s.SetFaults(list.Faults{Unreachable: true})
 	_, err = get()
 	is.True(err != nil)
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -1,6 +1,5 @@
-// Package proxy stands between two processes of a trial and fails on demand: toxiproxy's library inside
-// the process that watches the trial, with a toxic of our own for connections that go silent while new
-// ones work.
+// Package proxy injects network faults between two processes of a test. It runs the toxiproxy library
+// inside the test process, with a custom toxic for connections that go silent while new ones work.
 package proxy
 
 import (
@@ -15,51 +14,53 @@
 	"github.com/pkg/errors"
 )
 
-// gate says which of a proxy's connections carry data. It is read by every connection's toxic and set
-// by the trial, so it stands beside the toxic, whose own attributes the library reads without a lock.
+// gate controls which connections of a proxy carry data. The test sets it, and the toxic of every
+// connection reads it. It is separate from the toxic because the library reads a toxic's own attributes
+// without a lock.
 type gate struct {
-	// silentBefore: connections born before this moment (Unix nanoseconds) carry nothing any more.
+	// silentBefore: connections opened before this time (Unix nanoseconds) carry no more data.
 	silentBefore atomic.Int64
-	// silentAll: no connection carries anything.
+	// silentAll: no connection carries data.
 	silentAll atomic.Bool
-	// silentUp and silentDown: nothing is carried in one direction, to the process or from it.
+	// silentUp and silentDown: no data is carried to the process, or from it.
 	silentUp, silentDown atomic.Bool
 }
 
-func (g *gate) silences(born time.Time, upstream bool) bool {
+func (g *gate) isSilent(openedAt time.Time, upstream bool) bool {
 	oneWay := g.silentDown.Load()
 	if upstream {
 		oneWay = g.silentUp.Load()
 	}
-	return oneWay || g.silentAll.Load() || born.UnixNano() < g.silentBefore.Load()
+	return oneWay || g.silentAll.Load() || openedAt.UnixNano() < g.silentBefore.Load()
 }
 
-// gates finds the gate that a toxic names; the library makes toxics from JSON and cannot be given one.
+// gates maps gate names to gates. The library creates toxics from JSON, which cannot contain a pointer to
+// a gate.
 var gates sync.Map
 
-// gateToxic drops what arrives on a silent connection, its end included: the other end is never told
-// that this connection is gone.
+// gateToxic drops all data on a silent connection, including its close, so that the other end does not
+// learn that the connection is closed.
 type gateToxic struct {
 	Gate     string `json:"gate"`
 	Upstream bool   `json:"upstream"`
 }
 
-type gateState struct{ born time.Time }
+type gateState struct{ openedAt time.Time }
 
-// NewState notes when the connection was opened.
-func (t *gateToxic) NewState() any { return &gateState{born: time.Now()} }
+// NewState records when the connection was opened.
+func (t *gateToxic) NewState() any { return &gateState{openedAt: time.Now()} }
 
-// Pipe carries data while the connection is not silent.
+// Pipe forwards data while the connection is not silent.
 func (t *gateToxic) Pipe(stub *toxics.ToxicStub) {
 	found, _ := gates.Load(t.Gate)
-	held := found.(*gate)
+	gate := found.(*gate)
 	state := stub.State.(*gateState)
 	for {
 		select {
 		case <-stub.Interrupt:
 			return
 		case chunk := <-stub.Input:
-			if chunk == nil && held.silences(state.born, t.Upstream) {
+			if chunk == nil && gate.isSilent(state.openedAt, t.Upstream) {
 				<-stub.Interrupt
 				return
 			}
@@ -67,7 +68,7 @@
 				stub.Close()
 				return
 			}
-			if !held.silences(state.born, t.Upstream) {
+			if !gate.isSilent(state.openedAt, t.Upstream) {
 				stub.Output <- chunk
 			}
 		}
@@ -78,12 +79,12 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Direction of what passes a proxy.
+// Direction is the direction of data through a proxy.
 type Direction string
 
 // The directions.
 const (
-	// Up is to the process behind the proxy, Down is from it.
+	// Up is towards the process behind the proxy, Down is from it.
 	Up   Direction = "upstream"
 	Down Direction = "downstream"
 )
@@ -94,25 +95,26 @@
 	toxicDelay = "delay"
 )
 
-// Proxy stands before the process at Upstream. Set the exported fields before Start.
+// Proxy forwards connections to the process at Upstream. Set the exported fields before Start.
 type Proxy struct {
 	Name string
-	// Upstream is the address of the process behind it.
+	// Upstream is the address of the process behind the proxy.
 	Upstream string
 
 	gate  *gate
 	inner *toxiproxy.Proxy
 }
 
-// started counts the proxies, so that two of one name do not share a gate.
-var started atomic.Int64
+// proxyCount counts the proxies. It makes their names unique, so that two with the same name do not share a
+// gate.
+var proxyCount atomic.Int64
 
 // Start listens on a free port of the loopback address.
 func (p *Proxy) Start() (err error) {
 	defer func() { err = errors.WithMessagef(err, "proxy %s", p.Name) }()
 	p.gate = &gate{}
 	p.inner = toxiproxy.NewProxy()
-	p.inner.Name = fmt.Sprintf("%s#%d", p.Name, started.Add(1))
+	p.inner.Name = fmt.Sprintf("%s#%d", p.Name, proxyCount.Add(1))
 	p.inner.Listen = "127.0.0.1:0"
 	p.inner.Upstream = p.Upstream
 	gates.Store(p.inner.Name, p.gate)
@@ -126,22 +128,22 @@
 	return p.inner.Start()
 }
 
-// Stop closes every connection and refuses new ones, as a process that is gone would.
+// Stop closes every connection and refuses new ones, as if the process had ended.
 func (p *Proxy) Stop() { p.inner.Stop() }
 
-// Resume ends Stop, at the same address.
+// Resume accepts connections again after Stop, at the same address.
 func (p *Proxy) Resume() error { return p.inner.Start() }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.inner.Listen }
 
-// SilenceOpen makes the connections now open silent for good; new ones work.
+// SilenceOpen permanently drops all data on the connections that are open now. New connections work.
 func (p *Proxy) SilenceOpen() { p.gate.silentBefore.Store(time.Now().UnixNano()) }
 
-// Partition lets nothing through, on old connections or new, and tells nobody.
+// Partition sets whether all data on old and new connections is dropped without closing them.
 func (p *Proxy) Partition(cut bool) { p.gate.silentAll.Store(cut) }
 
-// PartitionOneWay lets nothing through in one direction.
+// PartitionOneWay sets whether all data in one direction is dropped.
 func (p *Proxy) PartitionOneWay(direction Direction, cut bool) {
 	if direction == Up {
 		p.gate.silentUp.Store(cut)
@@ -150,7 +152,7 @@
 	p.gate.silentDown.Store(cut)
 }
 
-// CutAfter cuts each connection once so many bytes went in a direction, until EndCut.
+// CutAfter closes each connection after the given number of bytes in a direction, until EndCut.
 func (p *Proxy) CutAfter(direction Direction, bytes int) error {
 	return p.add(fmt.Sprintf(`{"name":"%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`,
 		toxicCut, direction, bytes))
@@ -159,7 +161,7 @@
 // EndCut ends CutAfter.
 func (p *Proxy) EndCut() error { return p.inner.Toxics.RemoveToxic(toxicCut) }
 
-// Delay holds what comes from the process back for a time, until EndDelay.
+// Delay delays the data from the process, until EndDelay.
 func (p *Proxy) Delay(wait time.Duration) error {
 	return p.add(fmt.Sprintf(`{"name":"%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`,
 		toxicDelay, Down, wait.Milliseconds()))
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -1,6 +1,6 @@
-// Package service stands in for a plain service beside the engines, such as one that books paint
-// orders. It records every call that reaches it with its idempotency key and runs each one, also a
-// second with the same key: what runs at most once must be kept by the system before it.
+// Package service is a stand-in for a plain service, such as one that books paint orders. It records every
+// call that reaches it with its idempotency key, and executes every one, including a second call with the
+// same key: running a call at most once is the duty of the system in front of it.
 package service
 
 import (
@@ -18,10 +18,10 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// Faults of the service. DelayMillis is waited after the call has run and before its answer.
-// CutBeforeRun is how many calls have their connection cut without running, CutBeforeAnswer how many
-// run and are then cut. Status, when set, is answered in place of 200; the call runs all the same.
-// SilentConnections makes the connections open when it is set silent for good; new ones work.
+// Faults of the service. DelayMillis is the delay between running a call and answering it. CutBeforeRun is
+// the number of calls whose connection is cut before they run, CutBeforeAnswer the number of calls that
+// run and whose connection is then cut. Status, if set, replaces 200 in the answer; the call still runs.
+// SilentConnections: connections that are open when it is set carry no more data; new connections work.
 type Faults struct {
 	DelayMillis       int
 	CutBeforeRun      int
@@ -32,13 +32,13 @@
 
 // Outcomes of a call.
 const (
-	// OutcomeRunning: run, its answer not yet sent.
+	// OutcomeRunning: the call ran, and its answer has not been sent yet.
 	OutcomeRunning = "running"
-	// OutcomeAnswered: run and answered.
+	// OutcomeAnswered: the call ran and was answered.
 	OutcomeAnswered = "answered"
-	// OutcomeCut: run, and the connection cut before the answer.
+	// OutcomeCut: the call ran, and its connection was cut before the answer.
 	OutcomeCut = "cut"
-	// OutcomeNotRun: cut before it ran.
+	// OutcomeNotRun: the connection was cut before the call ran.
 	OutcomeNotRun = "not-run"
 )
 
@@ -56,15 +56,15 @@
 	Outcome        string
 }
 
-// Ran tells whether the call took effect.
+// Ran reports whether the call took effect.
 func (c Call) Ran() bool { return c.Outcome != OutcomeNotRun }
 
-// Record is the calls so far, in the order in which they came.
+// Record holds the calls so far, in order of arrival.
 type Record struct {
 	Calls []Call
 }
 
-// Answer is what the service answers to a call that ran.
+// Answer is the response body of a call that ran.
 type Answer struct {
 	Service        string
 	Number         int
@@ -75,7 +75,8 @@
 	BodyHash       string
 }
 
-// Server is the service. RecordPath, when set, is the file that keeps the record over a kill.
+// Server is the service. RecordPath, if set, is the journal file that preserves the record if the process
+// is killed.
 type Server struct {
 	endpoint.Endpoint
 	Name       string
@@ -88,13 +89,13 @@
 	calls []Call
 }
 
-// maxCalls bounds the record.
+// maxCalls is the largest number of calls in the record.
 const maxCalls = 200_000
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	s.Verb = "service"
-	if err := s.load(); err != nil {
+	if err := s.loadJournal(); err != nil {
 		return err
 	}
 	work := fault.NewRouter()
@@ -102,7 +103,7 @@
 	control := &fault.Control[Faults]{
 		Faults:  &s.faults,
 		Record:  func() any { return s.Record() },
-		Applied: s.apply,
+		Applied: s.applyFaults,
 	}
 	return s.Serve(ctx, work, control.Routes())
 }
@@ -110,7 +111,7 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.faults.Set(faults)
-	s.apply(faults)
+	s.applyFaults(faults)
 }
 
 // Record returns a copy of the calls so far.
@@ -120,15 +121,15 @@
 	return Record{Calls: append([]Call{}, s.calls...)}
 }
 
-func (s *Server) apply(faults Faults) {
+func (s *Server) applyFaults(faults Faults) {
 	if faults.SilentConnections {
 		s.SilenceOpen()
 	}
 }
 
-// load takes over the record of an earlier process. Each call is in the journal twice, at its start
-// and at its end; the later line counts.
-func (s *Server) load() error {
+// loadJournal restores the record of an earlier process. A call has two journal lines, one at its start and
+// one at its end; the later line replaces the earlier.
+func (s *Server) loadJournal() error {
 	s.journal.Path = s.RecordPath
 	earlier, err := s.journal.Open()
 	if err != nil {
@@ -149,22 +150,22 @@
 func (s *Server) serve(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
-		return c.String(http.StatusBadRequest, "body: not whole\n")
+		return c.String(http.StatusBadRequest, "body: incomplete\n")
 	}
-	cutFirst := s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeRun) })
-	call := s.begin(c.Request(), body, cutFirst)
-	if cutFirst {
+	cutBeforeRun := s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeRun) })
+	call := s.recordStart(c.Request(), body, cutBeforeRun)
+	if cutBeforeRun {
 		fault.Cut(c.Response().Writer)
 		return nil
 	}
 	faults := s.faults.Get()
 	time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
 	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeAnswer) }) {
-		s.end(call, OutcomeCut)
+		s.recordEnd(call, OutcomeCut)
 		fault.Cut(c.Response().Writer)
 		return nil
 	}
-	s.end(call, OutcomeAnswered)
+	s.recordEnd(call, OutcomeAnswered)
 	c.Response().Header().Set("X-Request-Id", call.RequestID)
 	return c.JSON(answerStatus(faults), Answer{
 		Service:        s.Name,
@@ -184,8 +185,8 @@
 	return http.StatusOK
 }
 
-// begin records the call. From here on it has taken effect, unless it was cut first.
-func (s *Server) begin(request *http.Request, body []byte, cutFirst bool) Call {
+// recordStart records the call. From then on the call has taken effect, unless cutBeforeRun is set.
+func (s *Server) recordStart(request *http.Request, body []byte, cutBeforeRun bool) Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call := Call{
@@ -199,7 +200,7 @@
 		StartedAt:      time.Now(),
 		Outcome:        OutcomeRunning,
 	}
-	if cutFirst {
+	if cutBeforeRun {
 		call.Outcome = OutcomeNotRun
 		call.EndedAt = call.StartedAt
 	}
@@ -210,7 +211,7 @@
 	return call
 }
 
-func (s *Server) end(call Call, outcome string) {
+func (s *Server) recordEnd(call Call, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call.EndedAt = time.Now()
@@ -221,7 +222,7 @@
 	}
 }
 
-// BodyHash is how the record names a body.
+// BodyHash returns the hash by which the record identifies a body.
 func BodyHash(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
--- a/internal/standin/service/server_test.go
+++ b/internal/standin/service/server_test.go
@@ -33,7 +33,7 @@
 		return 0, "", err
 	}
 	request.Header.Set("Idempotency-Key", key)
-	// A client that sends again by itself would blur what the record says of each send.
+	// Disables retries by the HTTP client, which would add further calls to the record.
 	request.GetBody = nil
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -44,9 +44,9 @@
 	return answer.StatusCode, string(body), err
 }
 
-// Connections are cut before a call runs, or after it ran and before its answer. The caller sees the
-// same reset both times; only the record tells a booking made from one that was not.
-func TestRecordTellsWhatRan(t *testing.T) {
+// A connection is cut before the call runs, or after it ran and before its answer. The caller sees the
+// same reset in both cases. The record must show whether the booking was made.
+func TestRecordShowsWhatRan(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "service.jsonl")
 	s := start(t, &service.Server{Name: "bookings", RecordPath: path})
@@ -75,9 +75,9 @@
 			is.Equal(last.BodyHash, service.BodyHash([]byte("two pallets")))
 		})
 	}
-	again := &service.Server{RecordPath: path}
-	start(t, again)
-	_, body, err := book(again, "later")
+	restarted := &service.Server{RecordPath: path}
+	start(t, restarted)
+	_, body, err := book(restarted, "later")
 	is.NoErr(err)
 	is.True(strings.Contains(body, `"Number":5`))
 }
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -1,6 +1,6 @@
-// Package weights stands in for the platform's rate-limited weight store. A load takes a quarter
-// second while no more than eight are in flight and proportionally longer beyond; past about two
-// loads a second it refuses.
+// Package weights is a stand-in for the platform's rate-limited weight store. A load takes a quarter
+// second while at most eight are in flight, and proportionally longer above that. Loads above about two
+// per second are refused.
 package weights
 
 import (
@@ -15,26 +15,28 @@
 	"lacewingrock.example/lacewingrock/internal/standin/fault"
 )
 
-// The platform's usual figures. Burst is one load for each that may be in flight at full speed.
+// Defaults, which are those of the platform. The burst is the number of loads that can be in flight at
+// full speed.
 const (
-	usualLoadsPerSecond = 2
-	usualBurst          = 8
-	usualLoadTime       = 250 * time.Millisecond
-	fullSpeedInFlight   = 8
-	// maxLoads bounds the record.
+	defaultLoadsPerSecond = 2
+	defaultBurst          = 8
+	defaultLoadTime       = 250 * time.Millisecond
+	fullSpeedInFlight     = 8
+	// maxLoads is the largest number of loads in the record.
 	maxLoads = 100_000
-	// weightBytes is the size of what a load answers; the bytes mean nothing.
+	// weightBytes is the size of the response to a load. Its content is all zeros.
 	weightBytes = 1 << 10
 )
 
-// Faults of the weight store. Fail is how many loads fail with 500; DelayMillis is added to each.
+// Faults of the weight store. Fail is the number of loads that fail with 500. DelayMillis is added to the
+// time of each load.
 type Faults struct {
 	Fail        int
 	DelayMillis int
 }
 
-// Load is one load. Outcome is "done", "failed", "refused" (over the rate) or "left" (its caller
-// went away).
+// Load is one load. Outcome is "done", "failed", "refused" (over the rate limit) or "left" (the client
+// disconnected).
 type Load struct {
 	Adapter   string
 	Version   string
@@ -44,14 +46,13 @@
 	Outcome   string
 }
 
-// Record is the loads so far and the most that were in flight at once.
+// Record holds the loads so far and the largest number that were in flight at once.
 type Record struct {
 	Loads       []Load
 	MaxInFlight int
 }
 
-// Server is the weight store. LoadsPerSecond, Burst and LoadTime are the platform's usual ones when
-// zero.
+// Server is the weight store. LoadsPerSecond, Burst and LoadTime take the defaults if zero.
 type Server struct {
 	endpoint.Endpoint
 	LoadsPerSecond float64
@@ -60,11 +61,11 @@
 
 	faults fault.Setting[Faults]
 
-	mu       sync.Mutex
-	tokens   float64
-	filledAt time.Time
-	inFlight int
-	record   Record
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	inFlight   int
+	record     Record
 }
 
 // Run serves until ctx ends.
@@ -80,7 +81,7 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) { s.faults.Set(faults) }
 
-// Record returns a copy of the loads so far.
+// Record returns a copy of the record so far.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,48 +92,48 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.LoadsPerSecond == 0 {
-		s.LoadsPerSecond = usualLoadsPerSecond
+		s.LoadsPerSecond = defaultLoadsPerSecond
 	}
 	if s.Burst == 0 {
-		s.Burst = usualBurst
+		s.Burst = defaultBurst
 	}
 	if s.LoadTime == 0 {
-		s.LoadTime = usualLoadTime
+		s.LoadTime = defaultLoadTime
 	}
 	s.tokens = s.Burst
-	s.filledAt = time.Now()
+	s.refilledAt = time.Now()
 }
 
 func (s *Server) serve(c echo.Context) error {
 	load := Load{Adapter: c.Param("adapter"), Version: c.Param("version"), StartedAt: time.Now()}
-	inFlight, admitted := s.begin(load.StartedAt)
+	inFlight, admitted := s.admit(load.StartedAt)
 	load.InFlight = inFlight
 	if !admitted {
-		s.end(load, "refused")
+		s.recordLoad(load, "refused")
 		return c.NoContent(http.StatusTooManyRequests)
 	}
-	defer s.leave()
+	defer s.release()
 	faults := s.faults.Get()
 	select {
-	case <-time.After(s.duration(inFlight) + time.Duration(faults.DelayMillis)*time.Millisecond):
+	case <-time.After(s.loadDuration(inFlight) + time.Duration(faults.DelayMillis)*time.Millisecond):
 	case <-c.Request().Context().Done():
-		s.end(load, "left")
+		s.recordLoad(load, "left")
 		return nil
 	}
 	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.Fail) }) {
-		s.end(load, "failed")
+		s.recordLoad(load, "failed")
 		return c.NoContent(http.StatusInternalServerError)
 	}
-	s.end(load, "done")
+	s.recordLoad(load, "done")
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, make([]byte, weightBytes))
 }
 
-// begin takes one load from the budget and returns how many are then in flight.
-func (s *Server) begin(now time.Time) (inFlight int, admitted bool) {
+// admit takes one token from the bucket and returns the number of loads that are then in flight.
+func (s *Server) admit(now time.Time) (inFlight int, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tokens = min(s.Burst, s.tokens+s.LoadsPerSecond*now.Sub(s.filledAt).Seconds())
-	s.filledAt = now
+	s.tokens = min(s.Burst, s.tokens+s.LoadsPerSecond*now.Sub(s.refilledAt).Seconds())
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return s.inFlight, false
 	}
@@ -142,21 +143,22 @@
 	return s.inFlight, true
 }
 
-func (s *Server) leave() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 }
 
-// duration is how long a load takes that began as the given one in flight.
-func (s *Server) duration(inFlight int) time.Duration {
+// loadDuration returns how long a load takes if inFlight loads, itself included, are in flight when it
+// starts.
+func (s *Server) loadDuration(inFlight int) time.Duration {
 	if inFlight <= fullSpeedInFlight {
 		return s.LoadTime
 	}
 	return s.LoadTime * time.Duration(inFlight) / fullSpeedInFlight
 }
 
-func (s *Server) end(load Load, outcome string) {
+func (s *Server) recordLoad(load Load, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	load.EndedAt = time.Now()
--- a/internal/standin/weights/server_test.go
+++ b/internal/standin/weights/server_test.go
@@ -12,9 +12,9 @@
 	"lacewingrock.example/lacewingrock/internal/standin/weights"
 )
 
-// Many instances order loads at once. Past its budget the store refuses, and what is in flight
-// together gets slower, so that a flood of loads makes every caller wait.
-func TestBudget(t *testing.T) {
+// Many instances order loads at once. Above its rate limit the store refuses loads, and loads that are in
+// flight together get slower, so that a flood of loads delays every caller.
+func TestRateLimit(t *testing.T) {
 	is := is.New(t)
 	s := &weights.Server{LoadsPerSecond: 0.001, Burst: 3, LoadTime: 20 * time.Millisecond}
 	is.NoErr(s.Listen())
