--- a/internal/command/standin/demo.go
+++ b/internal/command/standin/demo.go
@@ -1,7 +1,7 @@
 package standin
 
-// The verb demo: up, a short tour of what the system does, down. It prints what is asked, what came
-// back, and from which instance and engine.
+// The verb demo: starts a deployment, demonstrates the main functions and stops it. It prints each request,
+// its response, and the instance and engine that handled it.
 
 import (
 	"context"
@@ -21,34 +21,35 @@
 	"lacewingrock.example/lacewingrock/internal/standin/service"
 )
 
-// withdrawnWithin bounds the wait for a withdrawn key to be refused.
 const (
-	withdrawnWithin = 20 * time.Second
-	demoCallLimit   = 30 * time.Second
-	shownBytes      = 200
+	// withdrawalTimeout is the longest wait until a withdrawn key is refused.
+	withdrawalTimeout = 20 * time.Second
+	demoCallTimeout   = 30 * time.Second
+	maxShownBytes     = 200
 )
 
-type demoVerb struct{ sizes sizes }
+type demoVerb struct{ flags deploymentFlags }
 
 func (*demoVerb) Name() string     { return "demo" }
-func (*demoVerb) Synopsis() string { return "start a deployment, take a short tour of it, stop it" }
+func (*demoVerb) Synopsis() string { return "start a deployment, run a demonstration on it, stop it" }
+
 func (*demoVerb) Usage() string {
-	return "demo [flags]\n\tUp, a guided tour (completions, a booking sent twice, a withdrawn key), down.\n"
+	return "demo [flags]\n\tStart a deployment, run a demonstration (completions, a booking sent twice, a withdrawn key), stop it.\n"
 }
-func (v *demoVerb) SetFlags(flags *flag.FlagSet) { v.sizes.set(flags) }
+func (v *demoVerb) SetFlags(flags *flag.FlagSet) { v.flags.register(flags) }
 
 func (v *demoVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.run(ctx))
+	return exitStatus(v.run(ctx))
 }
 
 func (v *demoVerb) run(ctx context.Context) (err error) {
-	fmt.Println("Starting a store, a list, a weight store, engines, a service and entry instances on loopback.")
-	environment, err := v.sizes.start(ctx)
+	fmt.Println("Starting a key-value store, an instance list, a weight store, engines, services and entry instances on loopback.")
+	environment, err := v.flags.start(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		stopped := v.sizes.stop(context.WithoutCancel(ctx))
+		stopped := v.flags.stop(context.WithoutCancel(ctx))
 		if err == nil {
 			err = stopped
 		}
@@ -56,18 +57,18 @@
 			fmt.Println("Stopped everything.")
 		}
 	}()
-	shown := &tour{Environment: environment, client: &http.Client{Timeout: demoCallLimit}}
-	return shown.run(ctx)
+	demo := &tour{Environment: environment, client: &http.Client{Timeout: demoCallTimeout}}
+	return demo.run(ctx)
 }
 
-// tour is one guided tour.
+// tour is one run of the demonstration.
 type tour struct {
 	deployment.Environment
 	client *http.Client
 }
 
 func (t *tour) run(ctx context.Context) error {
-	for _, step := range []func(context.Context) error{t.completion, t.streamed, t.refusedForOther, t.booking, t.withdrawn} {
+	for _, step := range []func(context.Context) error{t.completion, t.streamed, t.otherWorkspace, t.booking, t.withdrawn} {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -75,20 +76,20 @@
 	return nil
 }
 
-// answer is what came back to one call.
-type answer struct {
+// callResponse is the response to one call.
+type callResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (t *tour) call(ctx context.Context, instance int, key, path, body string, headers ...string) (came answer, err error) {
+func (t *tour) call(ctx context.Context, instance int, key, path, body string, headers ...string) (response callResponse, err error) {
 	defer func() { err = errors.WithMessage(err, path) }()
 	process := t.Deployment.InstanceOf[instance%len(t.Deployment.InstanceOf)]
 	url := "http://" + process.Announced("CallerAddress") + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		return came, err
+		return response, err
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set("Content-Type", "application/json")
@@ -97,52 +98,52 @@
 		request.Header.Set(name, value)
 	}
 	fmt.Printf("\nto %s: POST %s %s %s\n", process.Name, path, strings.Join(headers, " "), body)
-	sent, err := t.client.Do(request)
+	answer, err := t.client.Do(request)
 	if err != nil {
-		return came, err
+		return response, err
 	}
-	defer sent.Body.Close()
-	read, err := io.ReadAll(sent.Body)
-	came = answer{status: sent.StatusCode, header: sent.Header, body: string(read)}
-	t.show(ctx, came)
-	return came, err
+	defer answer.Body.Close()
+	read, err := io.ReadAll(answer.Body)
+	response = callResponse{status: answer.StatusCode, header: answer.Header, body: string(read)}
+	t.show(ctx, response)
+	return response, err
 }
 
-func (t *tour) show(ctx context.Context, came answer) {
-	id := came.header.Get("X-Request-Id")
-	fmt.Printf("  answer %d, request %s", came.status, id)
-	if model := came.header.Get("X-Served-Model"); model != "" {
-		fmt.Printf(", ran on %s at %s", model, t.ranAt(ctx, id))
+func (t *tour) show(ctx context.Context, response callResponse) {
+	id := response.header.Get("X-Request-Id")
+	fmt.Printf("  answer %d, request %s", response.status, id)
+	if model := response.header.Get("X-Served-Model"); model != "" {
+		fmt.Printf(", ran on %s at %s", model, t.findEngine(ctx, id))
 	}
-	if run := came.header.Get("X-Run"); run != "" {
+	if run := response.header.Get("X-Run"); run != "" {
 		fmt.Printf(", X-Run: %s", run)
 	}
-	fmt.Printf("\n  %s\n", shorten(came.body))
+	fmt.Printf("\n  %s\n", shorten(response.body))
 }
 
 func shorten(body string) string {
 	body = strings.TrimSpace(body)
-	if len(body) <= shownBytes {
+	if len(body) <= maxShownBytes {
 		return body
 	}
-	return body[:shownBytes/2] + " ... " + body[len(body)-shownBytes/2:]
+	return body[:maxShownBytes/2] + " ... " + body[len(body)-maxShownBytes/2:]
 }
 
-// ranAt asks the engines' own records which of them ran a request.
-func (t *tour) ranAt(ctx context.Context, id string) string {
+// findEngine searches the records of the engines for the one that ran a request.
+func (t *tour) findEngine(ctx context.Context, id string) string {
 	for _, process := range t.Deployment.EngineOf {
 		var record engine.Record
 		if t.Deployment.Record(ctx, process, &record) != nil {
 			continue
 		}
 		for _, request := range record.Requests {
-			// The instance may add to the identity, one for each try.
+			// The instance may append a suffix to the ID for each try.
 			if strings.HasPrefix(request.RequestID, id) {
 				return process.Name
 			}
 		}
 	}
-	return "an engine that does not know it"
+	return "an unknown engine"
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -154,37 +155,37 @@
 )
 
 func (t *tour) completion(ctx context.Context) error {
-	fmt.Println("\n1. A completion. The adapter's current version is loaded first, as no engine holds it yet.")
-	came, err := t.call(ctx, 0, t.KeyA, pathCompletions,
+	fmt.Println("\n1. A completion. The adapter's current version is loaded first, because no engine has it loaded.")
+	response, err := t.call(ctx, 0, t.KeyA, pathCompletions,
 		`{"model":"`+deployment.AdapterA+`","prompt":"Junction repainting, Half Way Tree","max_tokens":6}`)
 	if err != nil {
 		return err
 	}
-	return expect(came, http.StatusOK)
+	return expectStatus(response, http.StatusOK)
 }
 
 func (t *tour) streamed(ctx context.Context) error {
-	fmt.Println("\n2. A streamed chat completion on another adapter, with usage, by another instance.")
-	came, err := t.call(ctx, 1, t.KeyB, pathChat, `{"model":"`+deployment.AdapterB+`@1","stream":true,`+
+	fmt.Println("\n2. A streamed chat completion on another adapter, with usage, through another instance.")
+	response, err := t.call(ctx, 1, t.KeyB, pathChat, `{"model":"`+deployment.AdapterB+`@1","stream":true,`+
 		`"stream_options":{"include_usage":true},"max_tokens":6,`+
 		`"messages":[{"role":"user","content":"Plan for a clay pitch"}]}`)
 	if err != nil {
 		return err
 	}
-	if !strings.HasSuffix(strings.TrimSpace(came.body), "data: [DONE]") {
-		return errors.New("the stream did not come whole")
+	if !strings.HasSuffix(strings.TrimSpace(response.body), "data: [DONE]") {
+		return errors.New("the stream is incomplete: it does not end with data: [DONE]")
 	}
-	return expect(came, http.StatusOK)
+	return expectStatus(response, http.StatusOK)
 }
 
-func (t *tour) refusedForOther(ctx context.Context) error {
-	fmt.Println("\n3. The first workspace's key asks for the second's adapter.")
-	came, err := t.call(ctx, 2, t.KeyA, pathCompletions, `{"model":"`+deployment.AdapterB+`","prompt":"x"}`)
+func (t *tour) otherWorkspace(ctx context.Context) error {
+	fmt.Println("\n3. The first workspace's key requests the second workspace's adapter; the request is refused.")
+	response, err := t.call(ctx, 2, t.KeyA, pathCompletions, `{"model":"`+deployment.AdapterB+`","prompt":"x"}`)
 	if err != nil {
 		return err
 	}
-	if came.status < http.StatusBadRequest {
-		return errors.Errorf("answered %d, expected a refusal", came.status)
+	if response.status < http.StatusBadRequest {
+		return errors.Errorf("answered %d, expected a refusal", response.status)
 	}
 	return nil
 }
@@ -192,12 +193,12 @@
 func (t *tour) booking(ctx context.Context) error {
 	fmt.Println("\n4. A booking, sent twice with one idempotency key to two instances. It runs once.")
 	for instance := range 2 {
-		came, err := t.call(ctx, instance, t.KeyB, pathBooking, `{"Pallets":2}`,
+		response, err := t.call(ctx, instance, t.KeyB, pathBooking, `{"Pallets":2}`,
 			"Idempotency-Key: hotel-olympia-17")
 		if err != nil {
 			return err
 		}
-		if err := expect(came, http.StatusOK); err != nil {
+		if err := expectStatus(response, http.StatusOK); err != nil {
 			return err
 		}
 	}
@@ -205,7 +206,7 @@
 	if err := t.Deployment.Record(ctx, t.Deployment.ServiceOf[0], &record); err != nil {
 		return err
 	}
-	fmt.Printf("  the service's own record: %d call(s) ran\n", len(record.Calls))
+	fmt.Printf("  the record of the service: %d call(s) ran\n", len(record.Calls))
 	if len(record.Calls) != 1 {
 		return errors.Errorf("the booking ran %d times", len(record.Calls))
 	}
@@ -217,38 +218,38 @@
 	if _, err := t.Deployment.Operate(ctx, 0, "key", "withdraw", "-name", "key-a"); err != nil {
 		return err
 	}
-	begun := time.Now()
+	start := time.Now()
 	for instance := range t.Deployment.InstanceOf {
-		if err := t.awaitRefusal(ctx, instance, begun); err != nil {
+		if err := t.awaitRefusal(ctx, instance, start); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *tour) awaitRefusal(ctx context.Context, instance int, begun time.Time) error {
-	for time.Since(begun) < withdrawnWithin {
-		came, err := t.call(ctx, instance, t.KeyA, pathCompletions,
+func (t *tour) awaitRefusal(ctx context.Context, instance int, start time.Time) error {
+	for time.Since(start) < withdrawalTimeout {
+		response, err := t.call(ctx, instance, t.KeyA, pathCompletions,
 			`{"model":"`+deployment.AdapterA+`","prompt":"again","max_tokens":1}`)
 		if err != nil {
 			return err
 		}
-		if came.status == http.StatusUnauthorized || came.status == http.StatusForbidden {
-			fmt.Printf("  refused %.1f s after the withdrawal was accepted\n", time.Since(begun).Seconds())
+		if response.status == http.StatusUnauthorized || response.status == http.StatusForbidden {
+			fmt.Printf("  refused %.1f s after the withdrawal was accepted\n", time.Since(start).Seconds())
 			return nil
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return errors.New("the withdrawn key still works")
+	return errors.New("the withdrawn key is still accepted")
 }
 
-func expect(came answer, status int) error {
-	if came.status == status {
+func expectStatus(response callResponse, status int) error {
+	if response.status == status {
 		return nil
 	}
 	var compact json.RawMessage
-	if json.Unmarshal([]byte(came.body), &compact) == nil {
-		return errors.Errorf("answered %d: %s", came.status, compact)
+	if json.Unmarshal([]byte(response.body), &compact) == nil {
+		return errors.Errorf("answered %d: %s", response.status, compact)
 	}
-	return errors.Errorf("answered %d", came.status)
+	return errors.Errorf("answered %d", response.status)
 }
--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -1,6 +1,6 @@
 package standin
 
-// The verbs up and down: a small deployment on loopback, for trials by hand.
+// The verbs up and down: start and stop a small deployment on loopback, for manual tests.
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"lacewingrock.example/lacewingrock/internal/standin/deployment"
 )
 
-// sizes are the flags of a deployment.
-type sizes struct {
+// deploymentFlags are the flags of the verbs that start a deployment.
+type deploymentFlags struct {
 	directory string
 	template  string
 	engines   int
@@ -24,18 +24,18 @@
 	instances int
 }
 
-func (s *sizes) set(flags *flag.FlagSet) {
-	flags.StringVar(&s.directory, "directory", ".run", "where settings, records and output go")
-	flags.StringVar(&s.template, "template", filepath.Join("examples", "cooperatives.json.tmpl"), "resources to apply")
+func (s *deploymentFlags) register(flags *flag.FlagSet) {
+	flags.StringVar(&s.directory, "directory", ".run", "directory for settings, records and output")
+	flags.StringVar(&s.template, "template", filepath.Join("examples", "cooperatives.json.tmpl"), "resource template to apply")
 	flags.IntVar(&s.engines, "engines", 2, "number of engines")
 	flags.IntVar(&s.services, "services", 1, "number of plain services")
 	flags.IntVar(&s.instances, "instances", 3, "number of entry instances")
 }
 
-// start starts the deployment and grants a key of each example workspace.
-func (s *sizes) start(ctx context.Context) (environment deployment.Environment, err error) {
+// start starts the deployment and grants a key for each example workspace.
+func (s *deploymentFlags) start(ctx context.Context) (environment deployment.Environment, err error) {
 	defer func() { err = errors.WithMessage(err, "up") }()
-	d, ledger, err := s.prepare()
+	d, processes, err := s.prepare()
 	if err != nil {
 		return environment, err
 	}
@@ -45,7 +45,7 @@
 	}
 	defer func() {
 		if err != nil {
-			err = errors.WithMessage(err, fmt.Sprint("stopped again, ", ledger.Down(context.WithoutCancel(ctx))))
+			err = errors.WithMessage(err, fmt.Sprint("deployment stopped, error of the stop: ", processes.Down(context.WithoutCancel(ctx))))
 		}
 	}()
 	if s.instances > 0 {
@@ -62,30 +62,30 @@
 	return environment, environment.Write()
 }
 
-// prepare clears what an earlier deployment left, unless that still runs.
-func (s *sizes) prepare() (*deployment.Deployment, deployment.Ledger, error) {
+// prepare deletes the files of an earlier deployment, unless that is still running.
+func (s *deploymentFlags) prepare() (*deployment.Deployment, deployment.Ledger, error) {
 	directory, err := filepath.Abs(s.directory)
 	if err != nil {
 		return nil, deployment.Ledger{}, err
 	}
-	ledger := deployment.Ledger{Directory: directory}
-	running, err := ledger.Running()
+	processes := deployment.Ledger{Directory: directory}
+	running, err := processes.Running()
 	if err != nil {
-		return nil, ledger, err
+		return nil, processes, err
 	}
 	if len(running) > 0 {
-		return nil, ledger, errors.Errorf("%d processes of an earlier deployment still run in %s; stop them with down",
+		return nil, processes, errors.Errorf("%d processes of an earlier deployment are still running in %s; stop them with down",
 			len(running), s.directory)
 	}
 	if err := os.RemoveAll(directory); err != nil {
-		return nil, ledger, err
+		return nil, processes, err
 	}
 	if err := os.MkdirAll(directory, 0o700); err != nil {
-		return nil, ledger, err
+		return nil, processes, err
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return nil, ledger, err
+		return nil, processes, err
 	}
 	return &deployment.Deployment{
 		Binaries:  filepath.Dir(program),
@@ -94,17 +94,17 @@
 		Engines:   s.engines,
 		Services:  s.services,
 		Instances: s.instances,
-		// One engine ignores fencing, as some do.
+		// Every second engine ignores fencing tokens, as some real engines do.
 		CheckFencing: func(number int) bool { return number%2 == 0 },
 		OnStart: func(process *deployment.Process) {
-			if err := ledger.Add(process); err != nil {
+			if err := processes.Add(process); err != nil {
 				fmt.Fprintln(os.Stderr, "lacewingstand:", err)
 			}
 		},
-	}, ledger, nil
+	}, processes, nil
 }
 
-func (s *sizes) stop(ctx context.Context) error {
+func (s *deploymentFlags) stop(ctx context.Context) error {
 	directory, err := filepath.Abs(s.directory)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-type upVerb struct{ sizes sizes }
+type upVerb struct{ flags deploymentFlags }
 
 func (*upVerb) Name() string     { return "up" }
 func (*upVerb) Synopsis() string { return "start a small deployment on loopback" }
@@ -122,32 +122,32 @@
 	return "up [flags]\n\tStart the outside systems and entry instances, apply the example configuration, and\n" +
 		"\twrite addresses, keys and process ids to DIRECTORY/env.\n"
 }
-func (v *upVerb) SetFlags(flags *flag.FlagSet) { v.sizes.set(flags) }
+func (v *upVerb) SetFlags(flags *flag.FlagSet) { v.flags.register(flags) }
 
 func (v *upVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	environment, err := v.sizes.start(ctx)
+	environment, err := v.flags.start(ctx)
 	if err != nil {
-		return exit(err)
+		return exitStatus(err)
 	}
 	fmt.Printf("event=up Environment=%s\n", filepath.Join(environment.Deployment.Directory, "env"))
 	return subcommands.ExitSuccess
 }
 
-type downVerb struct{ sizes sizes }
+type downVerb struct{ flags deploymentFlags }
 
 func (*downVerb) Name() string     { return "down" }
 func (*downVerb) Synopsis() string { return "stop the deployment that up started" }
 func (*downVerb) Usage() string {
-	return "down [flags]\n\tStop just the processes that up started: instances first, then the outside systems.\n"
+	return "down [flags]\n\tStop only the processes that up started: first the instances, then the outside systems.\n"
 }
 
 func (v *downVerb) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&v.sizes.directory, "directory", ".run", "where up wrote")
+	flags.StringVar(&v.flags.directory, "directory", ".run", "directory given to up")
 }
 
 func (v *downVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := v.sizes.stop(ctx); err != nil {
-		return exit(err)
+	if err := v.flags.stop(ctx); err != nil {
+		return exitStatus(err)
 	}
 	fmt.Println("event=down")
 	return subcommands.ExitSuccess
--- a/internal/command/standin/measure.go
+++ b/internal/command/standin/measure.go
@@ -1,7 +1,7 @@
 package standin
 
-// The verbs measure and capacity: they put the deciding code and real processes through their loads
-// and write the tables into the pages of docs.
+// The verbs measure and capacity: they run the placement code and real processes under load, and write the
+// results as tables into the pages in docs.
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 const groupMeasure = "measurements"
 
-// defaultSeed makes two runs give the same figures.
+// defaultSeed is fixed, so that two runs give the same figures.
 const defaultSeed = 1
 
 type measureVerb struct {
@@ -41,7 +41,7 @@
 func (v *measureVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	plots := filepath.Join(v.docs, "plots")
 	if err := os.MkdirAll(plots, 0o755); err != nil {
-		return exit(err)
+		return exitStatus(err)
 	}
 	_, err := policy.Run(ctx, policy.Options{
 		Out:      os.Stdout,
@@ -49,7 +49,7 @@
 		Plots:    plots,
 		Seed:     v.seed,
 	})
-	return exit(err)
+	return exitStatus(err)
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -58,10 +58,13 @@
 	docs string
 }
 
-func (*capacityVerb) Name() string     { return "capacity" }
-func (*capacityVerb) Synopsis() string { return "measure slopes and work out the target's sizes" }
+func (*capacityVerb) Name() string { return "capacity" }
+func (*capacityVerb) Synopsis() string {
+	return "measure how costs grow and compute the sizes for the target"
+}
+
 func (*capacityVerb) Usage() string {
-	return "capacity [flags]\n\tMeasure decisions in this process and instances as processes, write CAPACITY.md.\n"
+	return "capacity [flags]\n\tMeasure decisions in this process and instances as separate processes, write CAPACITY.md.\n"
 }
 
 func (v *capacityVerb) SetFlags(flags *flag.FlagSet) {
@@ -69,7 +72,7 @@
 }
 
 func (v *capacityVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.run(ctx))
+	return exitStatus(v.run(ctx))
 }
 
 func (v *capacityVerb) run(ctx context.Context) (err error) {
--- a/internal/command/standin/systems.go
+++ b/internal/command/standin/systems.go
@@ -1,6 +1,6 @@
 package standin
 
-// The verbs that run an outside system until the process is told to stop. Each prints its addresses
+// The verbs that run a stand-in of an outside system until the process is stopped. Each prints its addresses
 // on one line when it listens, and is controlled over HTTP at its control address: GET and POST
 // /control/faults, GET /control/record.
 
@@ -19,10 +19,10 @@
 	"lacewingrock.example/lacewingrock/internal/standin/weights"
 )
 
-// setAddresses adds the flags that all outside systems have.
+// setAddresses adds the flags that all stand-ins have.
 func setAddresses(flags *flag.FlagSet, at *endpoint.Endpoint) {
-	flags.StringVar(&at.Address, "address", endpoint.Loopback, "IP:port to serve at; port 0 takes a free one")
-	flags.StringVar(&at.ControlAddress, "control", endpoint.Loopback, "IP:port to be controlled at; port 0 takes a free one")
+	flags.StringVar(&at.Address, "address", endpoint.Loopback, "IP:port of the service; port 0 selects a free port")
+	flags.StringVar(&at.ControlAddress, "control", endpoint.Loopback, "IP:port of the control interface; port 0 selects a free port")
 	at.Announce = os.Stdout
 }
 
@@ -36,12 +36,12 @@
 
 func (v *kvVerb) SetFlags(flags *flag.FlagSet) {
 	setAddresses(flags, &v.server.Endpoint)
-	flags.Float64Var(&v.server.WritesPerSecond, "writes", 0, "writes a second (0: the platform's usual)")
-	flags.Float64Var(&v.server.ReadsPerSecond, "reads", 0, "reads a second (0: the platform's usual)")
+	flags.Float64Var(&v.server.WritesPerSecond, "writes", 0, "writes per second (0: the default)")
+	flags.Float64Var(&v.server.ReadsPerSecond, "reads", 0, "reads per second (0: the default)")
 }
 
 func (v *kvVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.server.Run(ctx))
+	return exitStatus(v.server.Run(ctx))
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -56,11 +56,11 @@
 
 func (v *listVerb) SetFlags(flags *flag.FlagSet) {
 	setAddresses(flags, &v.server.Endpoint)
-	flags.IntVar(&v.server.LagMillis, "lag", 0, "how old the answers are, in milliseconds")
+	flags.IntVar(&v.server.LagMillis, "lag", 0, "age of the answers, in milliseconds")
 }
 
 func (v *listVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.server.Run(ctx))
+	return exitStatus(v.server.Run(ctx))
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -75,13 +75,13 @@
 
 func (v *weightsVerb) SetFlags(flags *flag.FlagSet) {
 	setAddresses(flags, &v.server.Endpoint)
-	flags.Float64Var(&v.server.LoadsPerSecond, "loads", 0, "loads a second (0: the platform's usual)")
-	flags.Float64Var(&v.server.Burst, "burst", 0, "loads at once over the rate (0: the usual)")
-	flags.DurationVar(&v.server.LoadTime, "load-time", 0, "how long a load takes at full speed (0: the usual)")
+	flags.Float64Var(&v.server.LoadsPerSecond, "loads", 0, "loads per second (0: the default)")
+	flags.Float64Var(&v.server.Burst, "burst", 0, "burst of loads above the rate (0: the default)")
+	flags.DurationVar(&v.server.LoadTime, "load-time", 0, "time of a load at full speed (0: the default)")
 }
 
 func (v *weightsVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.server.Run(ctx))
+	return exitStatus(v.server.Run(ctx))
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -99,24 +99,24 @@
 	setAddresses(flags, &v.server.Endpoint)
 	server := &v.server
 	flags.StringVar(&server.Name, "name", "engine", "name in the record")
-	flags.StringVar(&server.WeightsAddress, "weights", "", "IP:port of the weight store (empty: loads cannot fail)")
-	flags.StringVar(&server.RecordPath, "record", "", "file that keeps the record over a crash")
-	flags.IntVar(&server.Slots, "slots", 0, "adapter versions held at once (0: the usual)")
-	flags.IntVar(&server.Batch, "batch", 0, "requests run at once (0: the usual)")
-	flags.IntVar(&server.EventGap, "event-gap", 0, "drop each so-manieth event (0: the usual, -1: none)")
-	flags.BoolVar(&server.CheckFencing, "check-fencing", false, "refuse orders with an old fencing number")
-	flags.BoolVar(&server.ProtectInUse, "protect-in-use", false, "refuse to unload an adapter version that serves")
-	flags.DurationVar(&server.FirstTokenDelay, "first-token", 0, "time to the first token (0: the usual)")
-	flags.DurationVar(&server.TokenInterval, "token", 0, "time between tokens (0: the usual)")
-	flags.DurationVar(&server.LoadTime, "load-time", 0, "time of a load without a weight store (0: the usual)")
-	flags.DurationVar(&server.ColdStart, "cold-start", 0, "time after the start in which nothing runs")
-	flags.DurationVar(&server.ReportLag, "report-lag", 0, "age of the load report (0: the usual)")
-	flags.DurationVar(&server.EventDelay, "event-delay", 0, "delay of events (0: the usual)")
-	flags.DurationVar(&server.ResumeWithin, "resume-within", 0, "how long a stream runs on unread (0: the usual)")
+	flags.StringVar(&server.WeightsAddress, "weights", "", "IP:port of the weight store (empty: none; a load only takes load-time)")
+	flags.StringVar(&server.RecordPath, "record", "", "file that preserves the record across a crash")
+	flags.IntVar(&server.Slots, "slots", 0, "number of adapter slots (0: the default)")
+	flags.IntVar(&server.Batch, "batch", 0, "number of batch slots (0: the default)")
+	flags.IntVar(&server.EventGap, "event-gap", 0, "drop every n-th event (0: the default, -1: none)")
+	flags.BoolVar(&server.CheckFencing, "check-fencing", false, "refuse orders with a stale fencing token")
+	flags.BoolVar(&server.ProtectInUse, "protect-in-use", false, "refuse to unload an adapter version on which requests are running")
+	flags.DurationVar(&server.FirstTokenDelay, "first-token", 0, "time to the first token (0: the default)")
+	flags.DurationVar(&server.TokenInterval, "token", 0, "time between tokens (0: the default)")
+	flags.DurationVar(&server.LoadTime, "load-time", 0, "time of a load without a weight store (0: the default)")
+	flags.DurationVar(&server.ColdStart, "cold-start", 0, "time after the start during which requests are refused")
+	flags.DurationVar(&server.ReportLag, "report-lag", 0, "age of the load report (0: the default)")
+	flags.DurationVar(&server.EventDelay, "event-delay", 0, "delay of events (0: the default)")
+	flags.DurationVar(&server.ResumeWithin, "resume-within", 0, "how long a stream without a reader continues (0: the default)")
 }
 
 func (v *engineVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.server.Run(ctx))
+	return exitStatus(v.server.Run(ctx))
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -132,10 +132,10 @@
 
 func (v *serviceVerb) SetFlags(flags *flag.FlagSet) {
 	setAddresses(flags, &v.server.Endpoint)
-	flags.StringVar(&v.server.Name, "name", "service", "name in its answers")
-	flags.StringVar(&v.server.RecordPath, "record", "", "file that keeps the record over a kill")
+	flags.StringVar(&v.server.Name, "name", "service", "name in the answers")
+	flags.StringVar(&v.server.RecordPath, "record", "", "file that preserves the record if the process is killed")
 }
 
 func (v *serviceVerb) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return exit(v.server.Run(ctx))
+	return exitStatus(v.server.Run(ctx))
 }
--- a/internal/command/standin/verbs.go
+++ b/internal/command/standin/verbs.go
@@ -1,5 +1,6 @@
-// Package standin holds the verbs of lacewingstand: one for each outside system, and those that start,
-// show and stop a small deployment. Verbs are looked up in one table; each is a struct of its flags.
+// Package standin implements the verbs of lacewingstand: one for the stand-in of each outside system, those
+// that start, demonstrate and stop a small deployment, and those that measure. Verbs are registered in one
+// table. Each verb is a struct of its flags.
 package standin
 
 import (
@@ -18,13 +19,13 @@
 	groupDeployment = "deployment"
 )
 
-// verb is one entry of the table.
+// verb is one entry in the table of verbs.
 type verb struct {
 	group   string
 	command subcommands.Command
 }
 
-// verbs is the look-up table of the program.
+// verbs returns the table of verbs.
 func verbs() []verb {
 	return []verb{
 		{group: groupSystems, command: &kvVerb{}},
@@ -41,8 +42,7 @@
 	}
 }
 
-// Main runs the verb that the arguments name and returns the exit code: 0 done, 1 failed, 2 wrong
-// usage.
+// Main runs the verb given by the arguments and returns the exit code: 0 success, 1 failure, 2 wrong usage.
 func Main(ctx context.Context, arguments []string) int {
 	flags := flag.NewFlagSet(arguments[0], flag.ContinueOnError)
 	commander := subcommands.NewCommander(flags, "lacewingstand")
@@ -57,8 +57,8 @@
 	return int(commander.Execute(ctx))
 }
 
-// exit prints a failure and chooses the exit code.
-func exit(err error) subcommands.ExitStatus {
+// exitStatus prints an error, if any, and returns the exit status.
+func exitStatus(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
@@ -68,7 +68,7 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// versionVerb prints the version that the program was built from.
+// versionVerb prints the version of the program.
 type versionVerb struct{}
 
 func (*versionVerb) Name() string             { return "version" }
