--- a/cmd/lacewingctl/main.go
+++ b/cmd/lacewingctl/main.go
@@ -1,4 +1,5 @@
-// Command lacewingctl is the operators' client; see its help. All work is in the packages named for it.
+// Command lacewingctl is the operators' command-line client. See its help text. It is implemented in
+// internal/command/control.
 package main
 
 import (
--- a/cmd/lacewingd/main.go
+++ b/cmd/lacewingd/main.go
@@ -1,4 +1,5 @@
-// Command lacewingd is one entry instance; see its help. All work is in the packages named for it.
+// Command lacewingd runs one entry instance. See its help text. It is implemented in
+// internal/command/daemon.
 package main
 
 import (
@@ -12,7 +13,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	context.AfterFunc(ctx, stop) // from then on a second signal ends the process at once
+	context.AfterFunc(ctx, stop) // after the first signal, a second one ends the process at once
 	program := &daemon.Program{Out: os.Stdout, Err: os.Stderr}
 	os.Exit(program.Run(ctx, os.Args[1:]))
 }
--- a/cmd/lacewingstand/main.go
+++ b/cmd/lacewingstand/main.go
@@ -1,5 +1,5 @@
-// Command lacewingstand plays the outside systems for trials and tests, and starts a small
-// deployment on loopback. See its help; all work is in internal/command/standin.
+// Command lacewingstand runs stand-ins of the outside systems for tests, and starts a small deployment on
+// loopback. See its help text. It is implemented in internal/command/standin.
 package main
 
 import (
