--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -63,12 +63,12 @@
 }
 
 // prepare deletes the files of an earlier deployment, unless that is still running.
-func (s *deploymentFlags) prepare() (*deployment.Deployment, deployment.Ledger, error) {
+func (s *deploymentFlags) prepare() (*deployment.Deployment, deployment.ProcessFile, error) {
 	directory, err := filepath.Abs(s.directory)
 	if err != nil {
-		return nil, deployment.Ledger{}, err
+		return nil, deployment.ProcessFile{}, err
 	}
-	processes := deployment.Ledger{Directory: directory}
+	processes := deployment.ProcessFile{Directory: directory}
 	running, err := processes.Running()
 	if err != nil {
 		return nil, processes, err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return deployment.Ledger{Directory: directory}.Down(ctx)
+	return deployment.ProcessFile{Directory: directory}.Down(ctx)
 }
 
 // -----------------------------------------------------------------------------------------------
--- a/internal/proof/integration/configuration_test.go
+++ b/internal/proof/integration/configuration_test.go
@@ -79,7 +79,7 @@
 	for number := range 4 {
 		operators.Go(func() { w.operate(number, h, stop) })
 	}
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		operators.Go(func() { w.watchVersions(t, instance, stop) })
 	}
 	w.disturbConfiguration()
@@ -111,9 +111,9 @@
 	w.storeFaults(kv.Faults{StaleReads: true})
 	time.Sleep(2 * time.Second)
 	w.storeFaults(kv.Faults{})
-	w.must(w.d.InstanceOf[2].Kill())
+	w.must(w.d.InstanceProcesses[2].Kill())
 	time.Sleep(time.Second)
-	w.must(w.d.InstanceOf[2].Start(w.ctx))
+	w.must(w.d.InstanceProcesses[2].Start(w.ctx))
 	time.Sleep(2 * time.Second)
 }
 
@@ -127,14 +127,14 @@
 
 func (w *world) operator(instance int) *client.Client {
 	return &client.Client{
-		Server: "http://" + w.d.InstanceOf[instance].Announced("OperatorAddress"),
+		Server: "http://" + w.d.InstanceProcesses[instance].Announced("OperatorAddress"),
 		Token:  w.d.OperatorToken,
 	}
 }
 
 // operate reads the resource and changes it at the version read, again and again.
 func (w *world) operate(number int, h *history, stop <-chan struct{}) {
-	instance := number % len(w.d.InstanceOf)
+	instance := number % len(w.d.InstanceProcesses)
 	for round := 0; ; round++ {
 		select {
 		case <-stop:
@@ -211,7 +211,7 @@
 			continue
 		}
 		if version < highest {
-			t.Errorf("%s went back from version %d to %d", w.d.InstanceOf[instance].Name, highest, version)
+			t.Errorf("%s went back from version %d to %d", w.d.InstanceProcesses[instance].Name, highest, version)
 			return
 		}
 		highest = version
@@ -223,12 +223,12 @@
 	t.Helper()
 	w.apply(workspaceJSON(998, -1))
 	last := w.versionAt(t, 0)
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		took := w.eventually("the last change is in force", soonLimit, func() bool {
 			version, err := w.version(instance)
 			return err == nil && version == last
 		})
-		t.Logf("%s shows the last change after %.2f s", w.d.InstanceOf[instance].Name, took.Seconds())
+		t.Logf("%s shows the last change after %.2f s", w.d.InstanceProcesses[instance].Name, took.Seconds())
 	}
 }
 
--- a/internal/proof/integration/eviction_test.go
+++ b/internal/proof/integration/eviction_test.go
@@ -65,7 +65,7 @@
 		model := models[chance.IntN(len(models))]
 		prompt := fmt.Sprintf("shift %d %d", number, round)
 		tokens := 10 + chance.IntN(100)
-		came := using.stream(chance.IntN(len(w.d.InstanceOf)), model, prompt, tokens)
+		came := using.stream(chance.IntN(len(w.d.InstanceProcesses)), model, prompt, tokens)
 		seen.add(came.outcome())
 		if !came.ok() {
 			time.Sleep(20 * time.Millisecond)
@@ -78,7 +78,7 @@
 }
 
 func (w *world) eachInstance(disturb func(instance int)) {
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		time.Sleep(time.Second)
 		disturb(instance)
 	}
@@ -86,15 +86,15 @@
 }
 
 func (w *world) killAndStart(instance int) {
-	w.must(w.d.InstanceOf[instance].Kill())
+	w.must(w.d.InstanceProcesses[instance].Kill())
 	time.Sleep(2 * time.Second)
-	w.must(w.d.InstanceOf[instance].Start(w.ctx))
+	w.must(w.d.InstanceProcesses[instance].Start(w.ctx))
 }
 
 func (w *world) freezeAndWake(instance int) {
-	w.must(w.d.InstanceOf[instance].Freeze())
+	w.must(w.d.InstanceProcesses[instance].Freeze())
 	time.Sleep(6 * time.Second)
-	w.must(w.d.InstanceOf[instance].Wake())
+	w.must(w.d.InstanceProcesses[instance].Unfreeze())
 }
 
 // checkEvictions reads from the engines' own records that no serving adapter version was evicted, and
@@ -138,14 +138,14 @@
 		{name: "loads fail", fail: func(w *world, number int) { w.engineFaults(number, engine.Faults{FailLoads: 2}) }},
 		{name: "loads are lied about", fail: func(w *world, number int) { w.engineFaults(number, engine.Faults{LieAboutLoads: 2}) }},
 		{name: "the engine restarts", fail: func(w *world, number int) {
-			w.must(w.d.EngineOf[number].Kill())
-			w.must(w.d.EngineOf[number].Start(w.ctx))
+			w.must(w.d.EngineProcesses[number].Kill())
+			w.must(w.d.EngineProcesses[number].Start(w.ctx))
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWorld(t, options{})
 			w.warm(w.keyA, "bid-estimates@1")
-			for number := range w.d.EngineOf {
+			for number := range w.d.EngineProcesses {
 				tt.fail(w, number)
 			}
 			for _, model := range []string{"bid-estimates@1", "bid-estimates@2", "site-summaries@1"} {
--- a/internal/proof/integration/rate_test.go
+++ b/internal/proof/integration/rate_test.go
@@ -47,10 +47,10 @@
 		}},
 		{name: "store out and an instance replaced", disturb: func(w *world) {
 			w.storeFaults(kv.Faults{Outage: true})
-			w.must(w.d.InstanceOf[2].Kill())
+			w.must(w.d.InstanceProcesses[2].Kill())
 			time.Sleep(4 * time.Second)
 			w.storeFaults(kv.Faults{})
-			w.must(w.d.InstanceOf[2].Start(w.ctx))
+			w.must(w.d.InstanceProcesses[2].Start(w.ctx))
 			time.Sleep(4 * time.Second)
 		}},
 	} {
@@ -81,7 +81,7 @@
 			return
 		default:
 		}
-		came := using.completion((number+round)%len(w.d.InstanceOf), measuredModel,
+		came := using.completion((number+round)%len(w.d.InstanceProcesses), measuredModel,
 			fmt.Sprintf("hammer %d %d", number, round), askedTokens)
 		seen.add(came.outcome())
 		if !came.ok() {
--- a/internal/proof/integration/world_test.go
+++ b/internal/proof/integration/world_test.go
@@ -112,7 +112,7 @@
 		// The tests shift adapters faster than two loads a second; a test of the budget sets its own.
 		WeightArguments: append([]string{"-loads=20", "-burst=40"}, o.weightArguments...),
 		CheckFencing:    func(int) bool { return !o.ignoreFencing },
-		Through:         w.through,
+		ProxyAddress:    w.through,
 		ExtraSettings:   o.extraSettings,
 	}
 	t.Cleanup(w.end)
@@ -134,7 +134,7 @@
 	if !w.t.Failed() {
 		return
 	}
-	for _, process := range w.d.InstanceOf {
+	for _, process := range w.d.InstanceProcesses {
 		w.t.Logf("%s wrote last:\n%s", process.Name, process.Tail())
 	}
 }
@@ -241,12 +241,12 @@
 // engineFaults sets the faults of an engine by name, service faults and store faults likewise.
 func (w *world) engineFaults(number int, faults engine.Faults) {
 	w.t.Helper()
-	w.must(w.d.Control(w.ctx, w.d.EngineOf[number], "faults", faults))
+	w.must(w.d.Control(w.ctx, w.d.EngineProcesses[number], "faults", faults))
 }
 
 func (w *world) serviceFaults(faults service.Faults) {
 	w.t.Helper()
-	w.must(w.d.Control(w.ctx, w.d.ServiceOf[0], "faults", faults))
+	w.must(w.d.Control(w.ctx, w.d.ServiceProcesses[0], "faults", faults))
 }
 
 func (w *world) storeFaults(faults any) {
@@ -257,8 +257,8 @@
 // engineRecords reads what the engines ran, from the files that outlive them.
 func (w *world) engineRecords() []engine.Record {
 	w.t.Helper()
-	records := make([]engine.Record, 0, len(w.d.EngineOf))
-	for _, process := range w.d.EngineOf {
+	records := make([]engine.Record, 0, len(w.d.EngineProcesses))
+	for _, process := range w.d.EngineProcesses {
 		record, err := engine.ReadRecord(w.d.RecordPath(process.Name))
 		w.must(err)
 		records = append(records, record)
@@ -292,7 +292,7 @@
 func (w *world) bookings(key string) []service.Call {
 	w.t.Helper()
 	var record service.Record
-	w.must(w.d.Record(w.ctx, w.d.ServiceOf[0], &record))
+	w.must(w.d.Record(w.ctx, w.d.ServiceProcesses[0], &record))
 	var found []service.Call
 	for _, call := range record.Calls {
 		if call.IdempotencyKey == key && call.Ran() {
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -35,17 +35,17 @@
 	// CheckFencing reports whether the engine with the given number (from 0) checks fencing tokens; nil: all
 	// do.
 	CheckFencing func(number int) bool
-	Through      func(client, name, address string) string
+	ProxyAddress func(client, name, address string) string
 	// ExtraSettings is appended to the settings file of each instance.
 	ExtraSettings string
 
-	Store     *Process
-	List      *Process
-	Weights   *Process
-	EngineOf  []*Process
-	ServiceOf []*Process
+	Store            *Process
+	List             *Process
+	Weights          *Process
+	EngineProcesses  []*Process
+	ServiceProcesses []*Process
 	// InstanceProcesses are the entry instances.
-	InstanceOf []*Process
+	InstanceProcesses []*Process
 
 	OperatorToken string
 	// OnStart, if not nil, is called with each process after its start.
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	if err := d.TellList(ctx); err != nil {
+	if err := d.UpdateList(ctx); err != nil {
 		return err
 	}
 	if d.Instances == 0 || d.Template == "" {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return err
 		}
-		d.EngineOf = append(d.EngineOf, started)
+		d.EngineProcesses = append(d.EngineProcesses, started)
 	}
 	for number := range d.Services {
 		name := fmt.Sprintf("service-%d", number+1)
@@ -121,7 +121,7 @@
 		if err != nil {
 			return err
 		}
-		d.ServiceOf = append(d.ServiceOf, started)
+		d.ServiceProcesses = append(d.ServiceProcesses, started)
 	}
 	return nil
 }
@@ -180,10 +180,10 @@
 // addressFor returns the address at which a client reaches a process, which may be that of a proxy.
 func (d *Deployment) addressFor(client string, process *Process, announced string) string {
 	address := process.Announced(announced)
-	if d.Through == nil {
+	if d.ProxyAddress == nil {
 		return address
 	}
-	return d.Through(client, process.Name, address)
+	return d.ProxyAddress(client, process.Name, address)
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -196,21 +196,21 @@
 			systems = append(systems, process)
 		}
 	}
-	systems = append(systems, d.EngineOf...)
-	return append(systems, d.ServiceOf...)
+	systems = append(systems, d.EngineProcesses...)
+	return append(systems, d.ServiceProcesses...)
 }
 
 // KillAll kills every process.
 func (d *Deployment) KillAll() {
-	for _, process := range append(d.InstanceOf, d.Systems()...) {
-		_ = process.Wake()
+	for _, process := range append(d.InstanceProcesses, d.Systems()...) {
+		_ = process.Unfreeze()
 		_ = process.Kill()
 	}
 }
 
 // Stop stops the instances gracefully, and then the stand-ins.
 func (d *Deployment) Stop(ctx context.Context) (err error) {
-	for _, process := range append(d.InstanceOf, d.Systems()...) {
+	for _, process := range append(d.InstanceProcesses, d.Systems()...) {
 		if failure := process.Stop(ctx); failure != nil {
 			err = errors.WithMessage(failure, "stop deployment")
 		}
--- a/internal/standin/deployment/environment.go
+++ b/internal/standin/deployment/environment.go
@@ -19,11 +19,11 @@
 
 // Names from the example configuration that are used by the environment and the demo.
 const (
-	WorkspaceA = "kingston-crews"
-	WorkspaceB = "attica-grounds"
-	AdapterA   = "bid-estimates"
-	AdapterB   = "feeding-plans"
-	ServiceOne = "bookings"
+	WorkspaceA     = "kingston-crews"
+	WorkspaceB     = "attica-grounds"
+	AdapterA       = "bid-estimates"
+	AdapterB       = "feeding-plans"
+	BookingService = "bookings"
 )
 
 // Environment holds what a user needs to know about a running deployment. KeyA and KeyB are API keys of
@@ -41,13 +41,13 @@
 	line := func(name string, values ...string) {
 		fmt.Fprintf(&lines, "%s=%s\n", name, quote(strings.Join(values, " ")))
 	}
-	line("Instances", announcedValues(d.InstanceOf, "CallerAddress")...)
-	line("Operators", announcedValues(d.InstanceOf, "OperatorAddress")...)
-	line("Peers", announcedValues(d.InstanceOf, "PeerAddress")...)
-	line("Engines", announcedValues(d.EngineOf, "ControlAddress")...)
-	line("EngineAddresses", announcedValues(d.EngineOf, "Address")...)
-	line("Services", announcedValues(d.ServiceOf, "ControlAddress")...)
-	line("ServiceAddresses", announcedValues(d.ServiceOf, "Address")...)
+	line("Instances", announcedValues(d.InstanceProcesses, "CallerAddress")...)
+	line("Operators", announcedValues(d.InstanceProcesses, "OperatorAddress")...)
+	line("Peers", announcedValues(d.InstanceProcesses, "PeerAddress")...)
+	line("Engines", announcedValues(d.EngineProcesses, "ControlAddress")...)
+	line("EngineAddresses", announcedValues(d.EngineProcesses, "Address")...)
+	line("Services", announcedValues(d.ServiceProcesses, "ControlAddress")...)
+	line("ServiceAddresses", announcedValues(d.ServiceProcesses, "Address")...)
 	line("Store", d.Store.Announced("ControlAddress"))
 	line("StoreAddress", d.Store.Announced("Address"))
 	line("List", d.List.Announced("ControlAddress"))
@@ -61,9 +61,9 @@
 	line("WorkspaceB", WorkspaceB)
 	line("AdapterA", AdapterA)
 	line("AdapterB", AdapterB)
-	line("InstancePids", pids(d.InstanceOf)...)
-	line("EnginePids", pids(d.EngineOf)...)
-	line("ServicePids", pids(d.ServiceOf)...)
+	line("InstancePids", pids(d.InstanceProcesses)...)
+	line("EnginePids", pids(d.EngineProcesses)...)
+	line("ServicePids", pids(d.ServiceProcesses)...)
 	line("StorePid", pids([]*Process{d.Store})...)
 	line("ListPid", pids([]*Process{d.List})...)
 	line("WeightsPid", pids([]*Process{d.Weights})...)
@@ -103,28 +103,28 @@
 
 // StartedProcess is one line of the process file. CommandLine identifies the process, because the process
 // ID may belong to another process by the time that "down" runs.
-type Started struct {
+type StartedProcess struct {
 	Name        string
 	Pid         int
 	CommandLine string
 }
 
 // ProcessFile records started processes in a file in Directory.
-type Ledger struct {
+type ProcessFile struct {
 	Directory string
 }
 
-func (l Ledger) path() string { return filepath.Join(l.Directory, "processes.jsonl") }
+func (l ProcessFile) path() string { return filepath.Join(l.Directory, "processes.jsonl") }
 
 // Add records a process.
-func (l Ledger) Add(process *Process) (err error) {
+func (l ProcessFile) Add(process *Process) (err error) {
 	defer func() { err = errors.WithMessage(err, "record process") }()
 	file, err := os.OpenFile(l.path(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = file.Close() }()
-	return json.NewEncoder(file).Encode(Started{
+	return json.NewEncoder(file).Encode(StartedProcess{
 		Name:        process.Name,
 		Pid:         process.Pid(),
 		CommandLine: commandLine(process.Pid()),
@@ -132,7 +132,7 @@
 }
 
 // Running returns the recorded processes that are still running.
-func (l Ledger) Running() (running []Started, err error) {
+func (l ProcessFile) Running() (running []StartedProcess, err error) {
 	defer func() { err = errors.WithMessage(err, "read recorded processes") }()
 	file, err := os.Open(l.path())
 	if os.IsNotExist(err) {
@@ -144,7 +144,7 @@
 	defer func() { _ = file.Close() }()
 	decoder := json.NewDecoder(file)
 	for decoder.More() {
-		var record Started
+		var record StartedProcess
 		if err := decoder.Decode(&record); err != nil {
 			return nil, err
 		}
@@ -156,7 +156,7 @@
 }
 
 // isAlive reports whether the process ID still belongs to the process that was recorded.
-func (s Started) isAlive() bool {
+func (s StartedProcess) isAlive() bool {
 	return s.Pid > 0 && s.CommandLine != "" && commandLine(s.Pid) == s.CommandLine
 }
 
@@ -171,7 +171,7 @@
 }
 
 // Clear deletes the process file.
-func (l Ledger) Clear() error {
+func (l ProcessFile) Clear() error {
 	err := os.Remove(l.path())
 	if os.IsNotExist(err) {
 		return nil
@@ -180,17 +180,17 @@
 }
 
 // StopTimeout is how long "down" waits for the instances, and then for the other processes, to stop.
-const StopLimit = 30 * time.Second
+const StopTimeout = 30 * time.Second
 
 // Down stops the recorded processes and deletes the process file. Instances are stopped first, so that they
 // can finish their requests. A process that does not stop within StopTimeout is killed and named in the
 // error.
-func (l Ledger) Down(ctx context.Context) (err error) {
+func (l ProcessFile) Down(ctx context.Context) (err error) {
 	running, err := l.Running()
 	if err != nil {
 		return err
 	}
-	var instances, systems []Started
+	var instances, systems []StartedProcess
 	for _, record := range running {
 		if strings.HasPrefix(record.Name, "instance-") {
 			instances = append(instances, record)
@@ -210,8 +210,8 @@
 
 // stopAll sends SIGTERM to processes, waits up to StopTimeout, kills those that have not ended and returns
 // their names.
-func stopAll(ctx context.Context, processes []Started) (forced []string) {
-	stopCtx, cancel := context.WithTimeout(ctx, StopLimit)
+func stopAll(ctx context.Context, processes []StartedProcess) (forced []string) {
+	stopCtx, cancel := context.WithTimeout(ctx, StopTimeout)
 	defer cancel()
 	for _, process := range processes {
 		process.sendSignal(syscall.SIGCONT)
@@ -226,13 +226,13 @@
 	return forced
 }
 
-func (s Started) sendSignal(signal syscall.Signal) {
+func (s StartedProcess) sendSignal(signal syscall.Signal) {
 	if s.isAlive() {
 		_ = syscall.Kill(s.Pid, signal)
 	}
 }
 
-func (s Started) awaitEnd(ctx context.Context) bool {
+func (s StartedProcess) awaitEnd(ctx context.Context) bool {
 	for s.isAlive() {
 		select {
 		case <-ctx.Done():
--- a/internal/standin/deployment/instance.go
+++ b/internal/standin/deployment/instance.go
@@ -62,7 +62,7 @@
 	if err := process.Start(ctx); err != nil {
 		return err
 	}
-	d.InstanceOf = append(d.InstanceOf, process)
+	d.InstanceProcesses = append(d.InstanceProcesses, process)
 	d.onStart(process)
 	return nil
 }
@@ -109,14 +109,14 @@
 			})
 		}
 	}
-	add("instance", "PeerAddress", d.InstanceOf)
-	add("engine", "Address", d.EngineOf)
-	add("service", "Address", d.ServiceOf)
+	add("instance", "PeerAddress", d.InstanceProcesses)
+	add("engine", "Address", d.EngineProcesses)
+	add("service", "Address", d.ServiceProcesses)
 	return members
 }
 
 // UpdateList sets the members of the instance list.
-func (d *Deployment) TellList(ctx context.Context) error {
+func (d *Deployment) UpdateList(ctx context.Context) error {
 	return d.Control(ctx, d.List, "members", d.Members())
 }
 
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	var data templateData
-	for number, process := range d.EngineOf {
+	for number, process := range d.EngineProcesses {
 		data.Engines = append(data.Engines, templateEngine{
 			Name:          process.Name,
 			Address:       d.addressFor("", process, "Address"),
@@ -197,7 +197,7 @@
 			ChecksFencing: d.ChecksFencing(number),
 		})
 	}
-	for _, process := range d.ServiceOf {
+	for _, process := range d.ServiceProcesses {
 		data.Services = append(data.Services, d.addressFor("", process, "Address"))
 	}
 	var rendered bytes.Buffer
@@ -246,7 +246,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	all := []string{
-		"-server", "http://" + d.InstanceOf[instance].Announced("OperatorAddress"),
+		"-server", "http://" + d.InstanceProcesses[instance].Announced("OperatorAddress"),
 		"-token", d.OperatorToken,
 	}
 	command := exec.CommandContext(callCtx, filepath.Join(d.Binaries, "lacewingctl"), append(all, arguments...)...)
@@ -262,7 +262,7 @@
 // AwaitKeys waits until every instance accepts the keys. A grant takes some time to be in force everywhere,
 // and a test that starts earlier would see refusals that do not indicate a fault.
 func (d *Deployment) AwaitKeys(ctx context.Context, keys ...string) error {
-	for _, process := range d.InstanceOf {
+	for _, process := range d.InstanceProcesses {
 		for _, key := range keys {
 			url := "http://" + process.Announced("CallerAddress") + "/v1/models"
 			err := d.Retry(ctx, func() error { return checkKey(ctx, url, key) })
--- a/internal/standin/deployment/process.go
+++ b/internal/standin/deployment/process.go
@@ -255,7 +255,7 @@
 }
 
 // Unfreeze continues a frozen process.
-func (p *Process) Wake() error { return p.Signal(syscall.SIGCONT) }
+func (p *Process) Unfreeze() error { return p.Signal(syscall.SIGCONT) }
 
 // Stop sends SIGTERM to the process and waits until it has ended. It fails if ctx ends first.
 func (p *Process) Stop(ctx context.Context) error {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -106,7 +106,7 @@
 		}
 		return nil, orderResident
 	}
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.LieAboutLoads) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.LieAboutLoads) }) {
 		return nil, orderLied
 	}
 	if len(s.resident) >= s.Slots {
@@ -151,7 +151,7 @@
 
 // fetch loads the weights from the weight store, or waits for LoadTime if there is none.
 func (s *Server) fetch(order orderBody) string {
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.FailLoads) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.FailLoads) }) {
 		return orderFailed
 	}
 	if s.WeightsAddress == "" {
--- a/internal/standin/fault/setting.go
+++ b/internal/standin/fault/setting.go
@@ -35,7 +35,7 @@
 }
 
 // TakeOne decrements a counted fault. It returns false if the count was already zero.
-func Spend(count *int) bool {
+func TakeOne(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
--- a/internal/standin/kv/routes.go
+++ b/internal/standin/kv/routes.go
@@ -85,7 +85,7 @@
 
 // losesAnswer reports whether the answer to this write must be dropped, and counts it off LoseAnswers.
 func (s *Server) losesAnswer() bool {
-	return s.faults.Update(func(faults *Faults) bool { return fault.Spend(&faults.LoseAnswers) })
+	return s.faults.Update(func(faults *Faults) bool { return fault.TakeOne(&faults.LoseAnswers) })
 }
 
 // -----------------------------------------------------------------------------------------------
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -101,9 +101,9 @@
 	work := fault.NewRouter()
 	work.Any("/*", s.serve)
 	control := &fault.Control[Faults]{
-		Faults:  &s.faults,
-		Record:  func() any { return s.Record() },
-		Applied: s.applyFaults,
+		Faults:   &s.faults,
+		Record:   func() any { return s.Record() },
+		OnChange: s.applyFaults,
 	}
 	return s.Serve(ctx, work, control.Routes())
 }
@@ -152,7 +152,7 @@
 	if err != nil {
 		return c.String(http.StatusBadRequest, "body: incomplete\n")
 	}
-	cutBeforeRun := s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeRun) })
+	cutBeforeRun := s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.CutBeforeRun) })
 	call := s.recordStart(c.Request(), body, cutBeforeRun)
 	if cutBeforeRun {
 		fault.Cut(c.Response().Writer)
@@ -160,7 +160,7 @@
 	}
 	faults := s.faults.Get()
 	time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeAnswer) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.CutBeforeAnswer) }) {
 		s.recordEnd(call, OutcomeCut)
 		fault.Cut(c.Response().Writer)
 		return nil
