--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -29,8 +29,9 @@
 	orderNotResident = "not_resident"
 )
 
-// orderBody is the JSON body of an order.
-type orderBody struct {
+// order is the JSON body of an order. Refusals of malformed bodies contain the name of this type, because
+// they quote the error of the JSON decoder.
+type order struct {
 	Adapter string
 	Version string
 	Source  string
@@ -38,10 +39,10 @@
 	Role    string
 }
 
-func (o orderBody) model() string { return Model(o.Adapter, o.Version) }
+func (o order) model() string { return Model(o.Adapter, o.Version) }
 
 func (s *Server) serveLoad(c echo.Context) error {
-	var order orderBody
+	var order order
 	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
@@ -53,15 +54,15 @@
 	s.recordLoad(order, started, outcome)
 	switch outcome {
 	case orderStaleFence, orderNoSlot:
-		return refuse(c, http.StatusConflict, outcome, "adapter version was not loaded")
+		return refuse(c, http.StatusConflict, outcome, "not loaded")
 	case orderFailed:
-		return refuse(c, http.StatusBadGateway, outcome, "loading the weights failed")
+		return refuse(c, http.StatusBadGateway, outcome, "the weight store failed")
 	default:
 		return c.JSON(http.StatusOK, struct{}{})
 	}
 }
 
-func (s *Server) recordLoad(order orderBody, started time.Time, outcome string) {
+func (s *Server) recordLoad(order order, started time.Time, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appendLine(journalLine{Load: &Load{
@@ -75,7 +76,7 @@
 }
 
 // load executes a load order. It runs to completion even if the client has disconnected.
-func (s *Server) load(order orderBody) string {
+func (s *Server) load(order order) string {
 	reserved, outcome := s.reserveSlot(order)
 	if outcome == orderJoined {
 		<-reserved.loaded
@@ -94,7 +95,7 @@
 
 // reserveSlot checks the fencing token and reserves an adapter slot. If it reserves none, the outcome
 // gives the reason.
-func (s *Server) reserveSlot(order orderBody) (reserved *slot, outcome string) {
+func (s *Server) reserveSlot(order order) (reserved *slot, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isStaleFence(order.Fence) {
@@ -117,7 +118,7 @@
 	return reserved, ""
 }
 
-func (s *Server) finishLoad(order orderBody, reserved *slot, loaded bool) {
+func (s *Server) finishLoad(order order, reserved *slot, loaded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reserved.loading = false
@@ -150,7 +151,7 @@
 }
 
 // fetch loads the weights from the weight store, or waits for LoadTime if there is none.
-func (s *Server) fetch(order orderBody) string {
+func (s *Server) fetch(order order) string {
 	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.FailLoads) }) {
 		return orderFailed
 	}
@@ -164,7 +165,7 @@
 	return orderDone
 }
 
-func (s *Server) fetchWeights(order orderBody) (err error) {
+func (s *Server) fetchWeights(order order) (err error) {
 	defer func() { err = errors.WithMessage(err, "fetch weights") }()
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
@@ -189,14 +190,14 @@
 // -----------------------------------------------------------------------------------------------
 
 func (s *Server) serveUnload(c echo.Context) error {
-	var order orderBody
+	var order order
 	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
 	outcome := s.unload(order)
 	switch outcome {
 	case orderStaleFence, orderInUse:
-		return refuse(c, http.StatusConflict, outcome, "adapter version was not unloaded")
+		return refuse(c, http.StatusConflict, outcome, "not unloaded")
 	default:
 		return c.JSON(http.StatusOK, struct{}{})
 	}
@@ -204,7 +205,7 @@
 
 // unload evicts an adapter version. Requests running on it are stopped. The record shows such evictions,
 // because they must never happen.
-func (s *Server) unload(order orderBody) string {
+func (s *Server) unload(order order) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	outcome, serving := s.checkUnload(order)
@@ -229,7 +230,7 @@
 	return outcome
 }
 
-func (s *Server) checkUnload(order orderBody) (outcome string, serving int) {
+func (s *Server) checkUnload(order order) (outcome string, serving int) {
 	if s.isStaleFence(order.Fence) {
 		return orderStaleFence, 0
 	}
@@ -244,14 +245,14 @@
 }
 
 func (s *Server) serveRole(c echo.Context) error {
-	var order orderBody
+	var order order
 	if err := fault.Decode(c.Request(), &order); err != nil {
 		return refuse(c, http.StatusBadRequest, codeBadRequest, err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isStaleFence(order.Fence) {
-		return refuse(c, http.StatusConflict, orderStaleFence, "role was not changed")
+		return refuse(c, http.StatusConflict, orderStaleFence, "role not changed")
 	}
 	s.role = order.Role
 	return c.JSON(http.StatusOK, struct{}{})
--- a/internal/standin/engine/routes.go
+++ b/internal/standin/engine/routes.go
@@ -140,7 +140,7 @@
 func refuseWithRetry(c echo.Context, code string, wait time.Duration) error {
 	seconds := max(1, int(math.Ceil(wait.Seconds())))
 	c.Response().Header().Set(headerRetryAfter, strconv.Itoa(seconds))
-	return refuse(c, http.StatusServiceUnavailable, code, "request was not run; retry later")
+	return refuse(c, http.StatusServiceUnavailable, code, "not run, come back later")
 }
 
 func errorType(status int) string {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -25,11 +25,11 @@
 //
 // CrashOn: a request whose prompt contains this text crashes the process when it runs. FailLoads is the
 // number of load orders that fail with 502. LieAboutLoads is the number of load orders that are reported
-// as done but not executed. Slow multiplies every interval (0: no change). SilentConnections: connections
-// that are open when it is set carry no more data; new connections work. CutAfterTokens cuts the
-// connection of each answer after this many tokens; the request continues, and a resumed stream is not
-// cut. CrossAnswers sends the answer of another request. LateMillis is the delay before the answer
-// begins. RefuseAsFull refuses every request as if no batch slot were free.
+// as done but not executed. Slow multiplies FirstTokenDelay, TokenInterval and LoadTime (0: no change).
+// SilentConnections: connections that are open when it is set carry no more data; new connections work.
+// CutAfterTokens cuts the connection of each answer after this many tokens; the request continues, and a
+// resumed stream is not cut. CrossAnswers puts another request ID into the answer. LateMillis is the delay
+// before the answer begins. RefuseAsFull refuses every request as if no batch slot were free.
 type Faults struct {
 	CrashOn           string
 	FailLoads         int
--- a/internal/standin/engine/wire.go
+++ b/internal/standin/engine/wire.go
@@ -127,7 +127,7 @@
 		}
 	}
 	if params.maxTokens < 0 || params.maxTokens > maxTokensLimit {
-		return body, generationParams{}, errors.Errorf("max_tokens %d is out of range", params.maxTokens)
+		return body, generationParams{}, errors.Errorf("max_tokens: %d is out of range", params.maxTokens)
 	}
 	return body, params, nil
 }
@@ -148,7 +148,7 @@
 	}
 	var parts []partBody
 	if err := json.Unmarshal(raw, &parts); err != nil {
-		return "", errors.New("prompt or content is neither a string nor an array of strings or text parts")
+		return "", errors.New("prompt or content: neither text nor an array of text")
 	}
 	joined := make([]string, 0, len(parts))
 	for _, part := range parts {
--- a/internal/standin/kv/routes.go
+++ b/internal/standin/kv/routes.go
@@ -105,7 +105,7 @@
 	}
 	value, err := io.ReadAll(io.LimitReader(c.Request().Body, MaxValueBytes+1))
 	if err != nil {
-		return c.String(http.StatusBadRequest, "body: incomplete\n")
+		return c.String(http.StatusBadRequest, "body: not whole\n")
 	}
 	if len(value) > MaxValueBytes {
 		return c.NoContent(http.StatusRequestEntityTooLarge)
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -23,7 +23,7 @@
 }
 
 // Record holds what the store ran. Counts is the number of calls by kind ("get", "put", "delete", "list",
-// "watch", "lease"); a watch counts once, however long it waits. Refused counts the calls answered with
+// "watch", "lease"); a watch counts once, however long it waits. Refused counts the calls refused with
 // 429 or 503, which are in Counts too.
 type Record struct {
 	Counts   map[string]int
@@ -117,7 +117,7 @@
 	s.record = Record{Counts: make(map[string]int), Since: time.Now()}
 }
 
-// loop deletes the keys of expired leases, so that watches on them see the change without another call.
+// loop deletes the keys of expired leases.
 func (s *Server) loop(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
--- a/internal/standin/kv/server_test.go
+++ b/internal/standin/kv/server_test.go
@@ -87,8 +87,8 @@
 	is.Equal(counts["watch"], 2)
 }
 
-// A holder is paused for longer than the TTL of its lease. Its key must be deleted, which is all that a watch
-// on the key sees, and renewing the lease afterwards must fail.
+// A holder is paused for longer than the TTL of its lease. Its key must be deleted, and renewing the lease
+// afterwards must fail.
 func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	s := start(t, &kv.Server{})
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -150,7 +150,7 @@
 func (s *Server) serve(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
-		return c.String(http.StatusBadRequest, "body: incomplete\n")
+		return c.String(http.StatusBadRequest, "body: not whole\n")
 	}
 	cutBeforeRun := s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.CutBeforeRun) })
 	call := s.recordStart(c.Request(), body, cutBeforeRun)
