--- a/internal/catalog/codec/codec_test.go
+++ b/internal/catalog/codec/codec_test.go
@@ -67,7 +67,7 @@
 	_, err := codec.DecodeHead([]byte(`{"Parts":[{}]}`))
 	is.True(err != nil)
 
-	pointer := head.Pointer{Revision: 7, Mark: h.LastMark(), Hash: "hash"}
+	pointer := head.Pointer{Revision: 7, Mark: h.LastSwapID(), Hash: "hash"}
 	encoded, err := codec.EncodePointer(pointer)
 	is.NoErr(err)
 	decoded, err := codec.DecodePointer(encoded)
--- a/internal/catalog/codec/head_codec.go
+++ b/internal/catalog/codec/head_codec.go
@@ -68,8 +68,8 @@
 			Name: m.Name, Incarnation: m.Incarnation, Address: m.Address, DataCentre: m.DataCentre, Since: m.Since,
 		})
 	}
-	for _, c := range h.Changes {
-		wire.Changes = append(wire.Changes, wireChange{Mark: c.Mark, Revision: c.Revision})
+	for _, c := range h.RecentSwaps {
+		wire.Changes = append(wire.Changes, wireChange{Mark: c.SwapID, Revision: c.Revision})
 	}
 	return json.Marshal(wire)
 }
@@ -94,7 +94,7 @@
 		})
 	}
 	for _, c := range wire.Changes {
-		h.Changes = append(h.Changes, head.Change{Mark: c.Mark, Revision: c.Revision})
+		h.RecentSwaps = append(h.RecentSwaps, head.SwapRecord{SwapID: c.Mark, Revision: c.Revision})
 	}
 	return h, nil
 }
--- a/internal/catalog/head/head.go
+++ b/internal/catalog/head/head.go
@@ -11,10 +11,10 @@
 // takes, while the head that names them stays at a few kilobytes.
 const PartCount = 64
 
-// MaxChanges is how many marks of swaps the head keeps. A writer whose answer was lost looks for its
+// MaxRecentSwaps is how many marks of swaps the head keeps. A writer whose answer was lost looks for its
 // mark here; it would have to be out of touch for more swaps than this not to learn the outcome. The
 // number has no measured reason yet: at 1,000 changes a day it spans more than an hour.
-const MaxChanges = 64
+const MaxRecentSwaps = 64
 
 // Part names one immutable part. Revision is the head revision that the part was written for and Hash
 // the SHA-256 of its content in lower-case hex; Hash is empty for a part without resources. A part
@@ -36,9 +36,9 @@
 	Since       int64
 }
 
-// Change is the mark of one swap: the writer's own unique text, and the revision the swap made.
-type Change struct {
-	Mark     string
+// SwapRecord is the mark of one swap: the writer's own unique text, and the revision the swap made.
+type SwapRecord struct {
+	SwapID   string
 	Revision int64
 }
 
@@ -47,11 +47,11 @@
 // last change of members or of the upstreams' places; it is the fencing number of orders to engines.
 // Parts has PartCount entries or, before the first swap, none.
 type Head struct {
-	Revision int64
-	Epoch    int64
-	Parts    []Part
-	Members  []Member
-	Changes  []Change
+	Revision    int64
+	Epoch       int64
+	Parts       []Part
+	Members     []Member
+	RecentSwaps []SwapRecord
 }
 
 // Pointer is the value that is swapped: it names the whole head, which is kept beside the parts. Readers
@@ -64,12 +64,12 @@
 	Hash     string
 }
 
-// LastMark gives the mark of the swap that made this head, or nothing before the first.
-func (h Head) LastMark() string {
-	if len(h.Changes) == 0 {
+// LastSwapID gives the mark of the swap that made this head, or nothing before the first.
+func (h Head) LastSwapID() string {
+	if len(h.RecentSwaps) == 0 {
 		return ""
 	}
-	return h.Changes[len(h.Changes)-1].Mark
+	return h.RecentSwaps[len(h.RecentSwaps)-1].SwapID
 }
 
 // Part returns the name of a part, the empty Part while there is none.
@@ -90,10 +90,10 @@
 	return Member{}, false
 }
 
-// Marked tells whether one of the kept changes carries the mark, and the revision it made.
-func (h Head) Marked(mark string) (revision int64, found bool) {
-	for _, c := range h.Changes {
-		if c.Mark == mark {
+// FindSwap tells whether one of the kept changes carries the mark, and the revision it made.
+func (h Head) FindSwap(mark string) (revision int64, found bool) {
+	for _, c := range h.RecentSwaps {
+		if c.SwapID == mark {
 			return c.Revision, true
 		}
 	}
@@ -152,11 +152,11 @@
 // WithSwap completes the next head: the revision is one higher and the mark is the newest of Changes.
 func (h Head) WithSwap(mark string) Head {
 	h.Revision++
-	changes := append(slices.Clone(h.Changes), Change{Mark: mark, Revision: h.Revision})
-	if len(changes) > MaxChanges {
-		changes = changes[len(changes)-MaxChanges:]
+	changes := append(slices.Clone(h.RecentSwaps), SwapRecord{SwapID: mark, Revision: h.Revision})
+	if len(changes) > MaxRecentSwaps {
+		changes = changes[len(changes)-MaxRecentSwaps:]
 	}
-	h.Changes = changes
+	h.RecentSwaps = changes
 	return h
 }
 
@@ -164,7 +164,7 @@
 func (h Head) Equal(other Head) bool {
 	return h.Revision == other.Revision && h.Epoch == other.Epoch &&
 		slices.Equal(h.Parts, other.Parts) && slices.Equal(h.Members, other.Members) &&
-		slices.Equal(h.Changes, other.Changes)
+		slices.Equal(h.RecentSwaps, other.RecentSwaps)
 }
 
 func (h Head) withoutMember(name string) Head {
--- a/internal/catalog/head/head_test.go
+++ b/internal/catalog/head/head_test.go
@@ -33,13 +33,13 @@
 func TestChangesKeepTheNewestMarks(t *testing.T) {
 	is := is.New(t)
 	h := head.Head{}
-	for i := range head.MaxChanges + 3 {
+	for i := range head.MaxRecentSwaps + 3 {
 		h = h.WithSwap(fmt.Sprint(i))
 	}
-	is.Equal(len(h.Changes), head.MaxChanges)
-	_, found := h.Marked("2")
+	is.Equal(len(h.RecentSwaps), head.MaxRecentSwaps)
+	_, found := h.FindSwap("2")
 	is.True(!found)
-	revision, found := h.Marked("3")
+	revision, found := h.FindSwap("3")
 	is.True(found)
 	is.Equal(revision, int64(4))
 }
--- a/internal/catalog/repository/commit.go
+++ b/internal/catalog/repository/commit.go
@@ -79,7 +79,7 @@
 	defer r.committing.release()
 	for pause := firstPause; ; pause = min(2*pause, longestPause) {
 		base, err := r.Refresh(ctx)
-		if err != nil && !errors.Is(err, ErrWentBack) {
+		if err != nil && !errors.Is(err, ErrRevisionRegressed) {
 			return 0, err
 		}
 		if err == nil {
@@ -130,7 +130,7 @@
 		return nil, head.Pointer{}, nil
 	}
 	whole, err = codec.EncodeHead(h)
-	return whole, head.Pointer{Revision: h.Revision, Mark: h.LastMark(), Hash: codec.HashOf(whole)}, err
+	return whole, head.Pointer{Revision: h.Revision, Mark: h.LastSwapID(), Hash: codec.HashOf(whole)}, err
 }
 
 // confirm swaps the head for itself. The read that a change began with may have been stale, where the
@@ -272,11 +272,11 @@
 		began := time.Now()
 		entry, h, err := r.readWhole(ctx)
 		if err == nil {
-			if _, found := h.Marked(mark); found {
+			if _, found := h.FindSwap(mark); found {
 				_, _ = r.take(ctx, base.Head, entry, began) // what cannot be taken up now is read again later
 				return nil
 			}
-			if h.Revision > base.Head.Revision+head.MaxChanges {
+			if h.Revision > base.Head.Revision+head.MaxRecentSwaps {
 				return errors.WithMessage(store.ErrUnknown, "too many swaps since")
 			}
 			if h.Revision > base.Head.Revision {
--- a/internal/catalog/repository/history.go
+++ b/internal/catalog/repository/history.go
@@ -13,8 +13,8 @@
 // told so and reads everything again.
 const maxHistory = 100_000
 
-// Changed is one resource that was declared, with its resource version, or removed.
-type Changed struct {
+// ResourceChange is one resource that was declared, with its resource version, or removed.
+type ResourceChange struct {
 	ID      resource.ID
 	Version int64
 	Removed bool
@@ -24,7 +24,7 @@
 type step struct {
 	from    int64
 	to      int64
-	changed []Changed
+	changed []ResourceChange
 }
 
 // history is a ring of the newest steps, bounded by the resources in them.
@@ -40,7 +40,7 @@
 		return s
 	}
 	for _, d := range after.Configuration.DifferencesFrom(before.Configuration) {
-		changed := Changed{ID: d.ID, Removed: d.After == nil}
+		changed := ResourceChange{ID: d.ID, Removed: d.After == nil}
 		if d.After != nil {
 			changed.Version = d.After.ResourceVersion()
 		}
@@ -60,7 +60,7 @@
 }
 
 // since lists what changed after a revision; complete says whether the steps reach back that far.
-func (h *history) since(revision, current int64) (changed []Changed, complete bool) {
+func (h *history) since(revision, current int64) (changed []ResourceChange, complete bool) {
 	if revision >= current {
 		return nil, true
 	}
@@ -84,7 +84,7 @@
 // everything again. A resource that changed several times may be listed as often.
 func (r *Repository) ChangesAfter(
 	ctx context.Context, after int64,
-) (current Snapshot, changed []Changed, complete bool) {
+) (current Snapshot, changed []ResourceChange, complete bool) {
 	for {
 		current, advanced := r.currentAndAdvanced()
 		if current.Head.Revision > after || ctx.Err() != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (r *Repository) changesSince(revision int64) (current Snapshot, changed []Changed, complete bool) {
+func (r *Repository) changesSince(revision int64) (current Snapshot, changed []ResourceChange, complete bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	changed, complete = r.history.since(revision, r.current.Head.Revision)
--- a/internal/catalog/repository/parts_test.go
+++ b/internal/catalog/repository/parts_test.go
@@ -23,7 +23,7 @@
 		is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
 		other := &repository.Repository{Store: kv, Writer: "other"}
 		sweep := func() (deleted int) {
-			s := &repository.Sweeper{Repository: other, Grace: time.Minute}
+			s := &repository.Sweeper{Repository: other, GracePeriod: time.Minute}
 			for range 2 {
 				for index := range repository.SweepIndexes {
 					count, err := s.Sweep(ctx, index)
@@ -65,11 +65,11 @@
 			is.NoErr(err)
 		}
 		var chosen atomic.Bool
-		s := &repository.Sweeper{Repository: r, Chosen: chosen.Load}
+		s := &repository.Sweeper{Repository: r, HasDuty: chosen.Load}
 		ended := make(chan error)
 		go func() { ended <- s.Run(ctx) }()
 		left := func() int {
-			time.Sleep(2 * (repository.SweepIndexes + 1) * repository.DefaultSweepEvery)
+			time.Sleep(2 * (repository.SweepIndexes + 1) * repository.DefaultSweepInterval)
 			parts, err := kv.List(ctx, "part/")
 			is.NoErr(err)
 			heads, err := kv.List(ctx, "heads/")
--- a/internal/catalog/repository/read.go
+++ b/internal/catalog/repository/read.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// DefaultPollEvery is how often Run reads the head when PollEvery is not set.
-	DefaultPollEvery = time.Second
+	// DefaultPollInterval is how often Run reads the head when PollEvery is not set.
+	DefaultPollInterval = time.Second
 	// fetchWidth is how many parts are fetched or written at a time. It bounds what one instance asks
 	// of the store at once; the number has no measured reason yet.
 	fetchWidth = 8
--- a/internal/catalog/repository/repository.go
+++ b/internal/catalog/repository/repository.go
@@ -19,11 +19,11 @@
 // HeadKey is where the store keeps the pointer to the head.
 const HeadKey = "head"
 
-// ErrWentBack tells that the store gave a head of a lower revision than one it gave before, or another one of
+// ErrRevisionRegressed tells that the store gave a head of a lower revision than one it gave before, or another one of
 // the same revision. Either the read was stale, and the next one is not, or the store has lost
 // writes, and an operator has to look. The instance keeps the head it has, unconfirmed: taking the
 // old one up would bring a withdrawn key back to life.
-var ErrWentBack = errors.New("repository: the store's head is older than the one known")
+var ErrRevisionRegressed = errors.New("repository: the store's head is older than the one known")
 
 // ErrPartMissing tells that a part that the head names is not in the store, though the head was read again.
 var ErrPartMissing = errors.New("repository: a part of the configuration is missing")
@@ -50,12 +50,12 @@
 	// Writer begins the mark of each swap of this writer. It names the process: an instance and its
 	// incarnation.
 	Writer string
-	// PollEvery is how often Run reads the head, and how long it pauses after a failed read; zero
+	// PollInterval is how often Run reads the head, and how long it pauses after a failed read; zero
 	// means DefaultPollEvery.
-	PollEvery time.Duration
-	// WatchFor makes Run watch the head, that long at a time, instead of polling it. A change is then
+	PollInterval time.Duration
+	// WatchTimeout makes Run watch the head, that long at a time, instead of polling it. A change is then
 	// seen at once, for the price of one call in that time.
-	WatchFor time.Duration
+	WatchTimeout time.Duration
 	// Log takes a line when reading begins to fail and when it works again.
 	Log zerolog.Logger
 
@@ -115,10 +115,10 @@
 // known when the read began or to one that follows it.
 func notOlder(known head.Head, p head.Pointer) error {
 	if p.Revision < known.Revision {
-		return errors.WithMessagef(ErrWentBack, "revision %d after %d", p.Revision, known.Revision)
+		return errors.WithMessagef(ErrRevisionRegressed, "revision %d after %d", p.Revision, known.Revision)
 	}
-	if p.Revision == known.Revision && p.Mark != known.LastMark() {
-		return errors.WithMessagef(ErrWentBack, "another head of revision %d", p.Revision)
+	if p.Revision == known.Revision && p.Mark != known.LastSwapID() {
+		return errors.WithMessagef(ErrRevisionRegressed, "another head of revision %d", p.Revision)
 	}
 	return nil
 }
--- a/internal/catalog/repository/repository_test.go
+++ b/internal/catalog/repository/repository_test.go
@@ -69,14 +69,14 @@
 		head  bool
 		fault func(kv *store.Memory)
 	}{
-		{"part: answers lost", false, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"part: answers lost", false, func(kv *store.Memory) { kv.LoseResponses(4) }},
 		{"part: requests lost", false, func(kv *store.Memory) { kv.LoseRequests(4) }},
-		{"part: requests late", false, func(kv *store.Memory) { kv.LateWrites(4, 3) }},
-		{"answers lost", true, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"part: requests late", false, func(kv *store.Memory) { kv.DelayWrites(4, 3) }},
+		{"answers lost", true, func(kv *store.Memory) { kv.LoseResponses(4) }},
 		{"requests lost", true, func(kv *store.Memory) { kv.LoseRequests(4) }},
-		{"requests late by one call", true, func(kv *store.Memory) { kv.LateWrites(2, 1) }},
-		{"requests late by two calls", true, func(kv *store.Memory) { kv.LateWrites(2, 2) }},
-		{"requests late by five calls", true, func(kv *store.Memory) { kv.LateWrites(4, 5) }},
+		{"requests late by one call", true, func(kv *store.Memory) { kv.DelayWrites(2, 1) }},
+		{"requests late by two calls", true, func(kv *store.Memory) { kv.DelayWrites(2, 2) }},
+		{"requests late by five calls", true, func(kv *store.Memory) { kv.DelayWrites(4, 5) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 		r := &repository.Repository{Store: h, Writer: "a"}
 		h.before = func(key string) {
 			if key == repository.HeadKey {
-				kv.LoseAnswers(1)
+				kv.LoseResponses(1)
 				time.AfterFunc(time.Millisecond, func() { kv.SetOutage(true) })
 			}
 		}
@@ -139,12 +139,12 @@
 	_, err = declare(ctx, r, workspace("w", 2), 1)
 	is.NoErr(err)
 	confirmed := r.Current().ConfirmedAt
-	kv.StaleReads(1)
+	kv.ServeStaleReads(1)
 	_, err = r.Refresh(ctx)
-	is.True(errors.Is(err, repository.ErrWentBack))
+	is.True(errors.Is(err, repository.ErrRevisionRegressed))
 	is.Equal(r.Current().Head.Revision, int64(2))
 	is.Equal(r.Current().ConfirmedAt, confirmed) // and it confirms nothing
-	kv.StaleReads(2)
+	kv.ServeStaleReads(2)
 	_, err = declare(ctx, r, workspace("w", 3), 2) // nor does a change build on it
 	is.NoErr(err)
 }
@@ -242,7 +242,7 @@
 		_, err := declare(t.Context(), writer, workspace("w", 1), configuration.MustBeNew)
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(t.Context())
-		reader := &repository.Repository{Store: kv, Writer: "b", WatchFor: time.Second}
+		reader := &repository.Repository{Store: kv, Writer: "b", WatchTimeout: time.Second}
 		ended := make(chan error)
 		go func() { ended <- reader.Run(ctx) }()
 		time.Sleep(10 * time.Second)
@@ -270,7 +270,7 @@
 		_, err := declare(ctx, first, workspace("w", rate), int64(i))
 		is.NoErr(err)
 	}
-	kv.StaleReads(1)
+	kv.ServeStaleReads(1)
 	second := &repository.Repository{Store: kv, Writer: "b"}
 	revision, err := declare(ctx, second, workspace("w", 1), configuration.AnyVersion)
 	is.NoErr(err)
--- a/internal/catalog/repository/run.go
+++ b/internal/catalog/repository/run.go
@@ -23,8 +23,8 @@
 
 // step reads once and pauses where the read itself did not wait.
 func (r *Repository) step(ctx context.Context) error {
-	if r.WatchFor > 0 && r.Current().Head.Revision > 0 {
-		_, err := r.Await(ctx, r.WatchFor)
+	if r.WatchTimeout > 0 && r.Current().Head.Revision > 0 {
+		_, err := r.Await(ctx, r.WatchTimeout)
 		if err == nil {
 			return nil
 		}
@@ -46,8 +46,8 @@
 }
 
 func (r *Repository) pollEvery() time.Duration {
-	if r.PollEvery > 0 {
-		return r.PollEvery
+	if r.PollInterval > 0 {
+		return r.PollInterval
 	}
-	return DefaultPollEvery
+	return DefaultPollInterval
 }
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -14,15 +14,15 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// DefaultGrace is how long a part stays after it was first seen to be named by no head. It is for
+// DefaultGracePeriod is how long a part stays after it was first seen to be named by no head. It is for
 // readers that have read the old head and are fetching its parts. One that is slower finds a part
 // missing and reads the head again, so the time only spares them that.
-const DefaultGrace = 10 * time.Minute
+const DefaultGracePeriod = 10 * time.Minute
 
-// DefaultSweepEvery is how often Run looks at the parts of one index. All of them take an hour then, in
+// DefaultSweepInterval is how often Run looks at the parts of one index. All of them take an hour then, in
 // which some 40 changes leave as many parts behind at 1,000 changes a day, and a sweep reads the 300 kB
 // of one index a minute.
-const DefaultSweepEvery = time.Minute
+const DefaultSweepInterval = time.Minute
 
 // SweepIndexes is how many indexes there are to sweep: one for each part, and the last one for heads.
 const SweepIndexes = head.PartCount + 1
@@ -31,12 +31,12 @@
 // fields before the first call.
 type Sweeper struct {
 	Repository *Repository
-	// Grace is how long a part is left after it was first seen to be unnamed; zero means DefaultGrace.
-	Grace time.Duration
-	// Every is how often Run sweeps an index; zero means DefaultSweepEvery.
-	Every time.Duration
-	// Chosen tells whether this instance is the one to sweep now; nil means always.
-	Chosen func() bool
+	// GracePeriod is how long a part is left after it was first seen to be unnamed; zero means DefaultGrace.
+	GracePeriod time.Duration
+	// SweepInterval is how often Run sweeps an index; zero means DefaultSweepEvery.
+	SweepInterval time.Duration
+	// HasDuty tells whether this instance is the one to sweep now; nil means always.
+	HasDuty func() bool
 
 	unnamedSince map[string]time.Time
 }
@@ -44,9 +44,9 @@
 // Run sweeps one index after the other until the context ends. What cannot be swept now, because the
 // store is down, comes round again.
 func (s *Sweeper) Run(ctx context.Context) error {
-	every := s.Every
+	every := s.SweepInterval
 	if every <= 0 {
-		every = DefaultSweepEvery
+		every = DefaultSweepInterval
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -56,7 +56,7 @@
 			return nil
 		case <-ticker.C:
 		}
-		if s.Chosen != nil && !s.Chosen() {
+		if s.HasDuty != nil && !s.HasDuty() {
 			continue
 		}
 		s.sweepAndLog(ctx, index)
@@ -142,10 +142,10 @@
 }
 
 func (s *Sweeper) grace() time.Duration {
-	if s.Grace > 0 {
-		return s.Grace
+	if s.GracePeriod > 0 {
+		return s.GracePeriod
 	}
-	return DefaultGrace
+	return DefaultGracePeriod
 }
 
 // revisionOf reads the revision that a value was written for out of its key.
--- a/internal/measure/capacity/series.go
+++ b/internal/measure/capacity/series.go
@@ -240,8 +240,8 @@
 			Address: "10.0.0.100:7000", DataCentre: "dc-01", Since: 1_000_000,
 		})
 	}
-	for range head.MaxChanges {
-		h.Changes = append(h.Changes, head.Change{Mark: "0123456789abcdef0123456789abcdef", Revision: 1_000_000})
+	for range head.MaxRecentSwaps {
+		h.RecentSwaps = append(h.RecentSwaps, head.SwapRecord{SwapID: "0123456789abcdef0123456789abcdef", Revision: 1_000_000})
 	}
 	data, err := codec.EncodeHead(h)
 	if err != nil {
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -35,7 +35,7 @@
 	) (revision int64, err error)
 	ChangesAfter(
 		ctx context.Context, after int64,
-	) (current repository.Snapshot, changed []repository.Changed, complete bool)
+	) (current repository.Snapshot, changed []repository.ResourceChange, complete bool)
 }
 
 // InstanceStatus is what is known of one member.
--- a/internal/proof/integration/configuration_test.go
+++ b/internal/proof/integration/configuration_test.go
@@ -159,7 +159,7 @@
 		}
 		return swapped{outcome: "accepted", version: accepted.Resources[0].ResourceVersion}
 	}
-	var refused *client.Refused
+	var refused *client.RefusedError
 	if errors.As(err, &refused) {
 		switch refused.Detail.Code {
 		case message.CodeConflict:
