--- a/internal/report/burn/burn_test.go
+++ b/internal/report/burn/burn_test.go
@@ -77,7 +77,7 @@
 func TestRecorderIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		recorder := &burn.Recorder{Workspaces: 3}
+		recorder := &burn.Recorder{MaxWorkspaces: 3}
 		var group sync.WaitGroup
 		for n := range 50 {
 			group.Go(func() { recorder.Record(fmt.Sprint(n), burn.Answered, true) })
@@ -95,7 +95,7 @@
 func TestRingTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		recorder := &burn.Recorder{Bucket: time.Second, Keep: 10 * time.Second}
+		recorder := &burn.Recorder{Bucket: time.Second, Retention: 10 * time.Second}
 		total := int64(0)
 		for range 35 {
 			recorder.Record("a", burn.Answered, true)
--- a/internal/report/burn/recorder.go
+++ b/internal/report/burn/recorder.go
@@ -10,9 +10,9 @@
 // memory stays bounded whatever is declared; requests of further ones are not counted. Zero fields get
 // the defaults. Safe for concurrent use once its fields are set.
 type Recorder struct {
-	Bucket     time.Duration
-	Keep       time.Duration
-	Workspaces int
+	Bucket        time.Duration
+	Retention     time.Duration
+	MaxWorkspaces int
 
 	mu     sync.Mutex
 	series map[string]map[Objective]ring
@@ -63,7 +63,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.prepare()
-	oldest := r.number(time.Now().Add(-r.Keep))
+	oldest := r.number(time.Now().Add(-r.Retention))
 	for workspace, objectives := range r.series {
 		for objective, cells := range objectives {
 			counts = append(counts, r.since(oldest, workspace, objective, cells)...)
@@ -97,11 +97,11 @@
 	if r.Bucket < time.Second {
 		r.Bucket = defaultBucket
 	}
-	if r.Keep <= 0 {
-		r.Keep = defaultKeep
+	if r.Retention <= 0 {
+		r.Retention = defaultKeep
 	}
-	if r.Workspaces <= 0 {
-		r.Workspaces = defaultWorkspaces
+	if r.MaxWorkspaces <= 0 {
+		r.MaxWorkspaces = defaultWorkspaces
 	}
 }
 
@@ -109,7 +109,7 @@
 	objectives, known := r.series[workspace]
 	if !known {
 		r.prune()
-		if len(r.series) >= r.Workspaces {
+		if len(r.series) >= r.MaxWorkspaces {
 			return nil
 		}
 		objectives = map[Objective]ring{}
@@ -117,7 +117,7 @@
 	}
 	if objectives[objective] == nil {
 		// One cell more than Keep holds, for the bucket that is being filled.
-		cells := make(ring, r.Keep/r.Bucket+1)
+		cells := make(ring, r.Retention/r.Bucket+1)
 		objectives[objective] = cells
 	}
 	return objectives[objective]
@@ -131,11 +131,11 @@
 // no room for a new one. It looks once in a bucket's time, as looking costs a pass over all cells.
 func (r *Recorder) prune() {
 	now := r.number(time.Now())
-	if len(r.series) < r.Workspaces || r.pruned == now {
+	if len(r.series) < r.MaxWorkspaces || r.pruned == now {
 		return
 	}
 	r.pruned = now
-	oldest := r.number(time.Now().Add(-r.Keep))
+	oldest := r.number(time.Now().Add(-r.Retention))
 	for workspace, objectives := range r.series {
 		if quiet(objectives, oldest) {
 			delete(r.series, workspace)
--- a/internal/telemetry/logline/format.go
+++ b/internal/telemetry/logline/format.go
@@ -28,8 +28,8 @@
 	value gjson.Result
 }
 
-// Format gives a writer that turns zerolog's events into lines. Each call of Write has to be one event.
-func Format(out io.Writer) io.Writer { return &formatter{out: out} }
+// NewFormatter gives a writer that turns zerolog's events into lines. Each call of Write has to be one event.
+func NewFormatter(out io.Writer) io.Writer { return &formatter{out: out} }
 
 // Write implements io.Writer.
 func (f *formatter) Write(event []byte) (int, error) {
--- a/internal/telemetry/logring/logring.go
+++ b/internal/telemetry/logring/logring.go
@@ -71,8 +71,8 @@
 	return len(event), nil
 }
 
-// Dropped is how many events were left out since the last call.
-func (r *Ring) Dropped() (count int) {
+// TakeDropped is how many events were left out since the last call.
+func (r *Ring) TakeDropped() (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count = r.dropped
