--- a/internal/report/burn/burn.go
+++ b/internal/report/burn/burn.go
@@ -1,7 +1,7 @@
-// Package burn reports how fast each workspace uses up the failures that its service-level objectives
-// allow. Each instance counts good and bad requests in buckets of time (Recorder); the counts of all
-// instances together make a Report, whose burn rates over a short and a long window tell a fault that
-// began a moment ago from one that has been eating the budget for long.
+// Package burn reports how fast each workspace consumes the error budget of its service-level
+// objectives. Each instance counts good and bad requests in time buckets (Recorder). The counts of all
+// instances are combined into a Report. Its burn rates over a short and a long window distinguish a
+// fault that has just begun from one that has consumed the budget for a long time.
 package burn
 
 import (
@@ -10,23 +10,23 @@
 	"lacewingrock.example/lacewingrock/internal/catalog/resource"
 )
 
-// Objective is what a workspace was promised.
+// Objective names a service-level objective.
 type Objective string
 
-// The objectives: requests answered, first token in time, and requests within the rate not refused.
+// The objectives: requests answered, first token on time, and requests within the rate limit not refused.
 const (
 	Answered   Objective = "Answered"
 	FirstToken Objective = "FirstToken"
 	Admitted   Objective = "Admitted"
 )
 
-// Objectives lists all of them.
+// Objectives returns all objectives.
 func Objectives() []Objective {
 	return []Objective{Answered, FirstToken, Admitted}
 }
 
-// Count is one bucket of one workspace and objective at one instance. Buckets of all instances begin at
-// whole multiples of their length since the Unix epoch.
+// Count is one time bucket of one workspace and objective at one instance. Buckets of all instances start
+// at whole multiples of their length since the Unix epoch.
 type Count struct {
 	Workspace string
 	Objective Objective
@@ -36,25 +36,25 @@
 	Bad       int64
 }
 
-// Windows are the spans of time that a report looks back on.
+// Windows holds the lengths of the time windows that a report covers.
 type Windows struct {
 	Short time.Duration
 	Long  time.Duration
 }
 
-// DefaultWindows are the customary pair for paging: five minutes show that a fault is going on, an hour
-// that it matters.
+// DefaultWindows returns the usual pair of windows for paging: five minutes show that a fault is ongoing,
+// an hour shows that it is significant.
 func DefaultWindows() Windows {
 	return Windows{Short: 5 * time.Minute, Long: time.Hour}
 }
 
-// Target is what one workspace was promised.
+// Target holds the objectives of one workspace.
 type Target struct {
 	Workspace  string
 	Objectives resource.Objectives
 }
 
-// share is the promised share of good requests; zero when nothing was promised.
+// share returns the target share of good requests, or zero if the objective has no target.
 func (t Target) share(objective Objective) float64 {
 	switch objective {
 	case Answered:
--- a/internal/report/burn/burn_test.go
+++ b/internal/report/burn/burn_test.go
@@ -32,10 +32,11 @@
 	}
 }
 
-func about(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
-// Two instances serve one workspace, and a fault that is over by now hit one of them. The long window
-// shows what it cost, the short one that it is over, and the workspace comes before the calm ones.
+// Two instances serve one workspace, and one of them had a fault that has ended. The long window must show
+// the budget it consumed, the short window that it has ended, and the workspace must be listed before those
+// with lower burn rates.
 func TestReportOverInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,16 +53,16 @@
 		hit := report.Lines[0]
 		is.Equal(hit.Workspace, "hit")
 		is.Equal(hit.Objective, burn.Answered)
-		is.True(about(hit.ShortBurn, 0))
-		is.True(about(hit.LongBurn, 5)) // 50 of 1000 against one in a hundred
-		is.True(about(hit.BudgetLeft, -4))
+		is.True(approxEqual(hit.ShortBurn, 0))
+		is.True(approxEqual(hit.LongBurn, 5)) // 50 of 1000 are bad; the target allows 1 in 100
+		is.True(approxEqual(hit.BudgetLeft, -4))
 		is.Equal(hit.Good, int64(950))
-		is.Equal(report.Lines[1].Objective, burn.Admitted) // of the same workspace
+		is.Equal(report.Lines[1].Objective, burn.Admitted) // the same workspace
 		is.Equal(report.Lines[2].Workspace, "calm")
-		is.True(about(report.Lines[2].LongBurn, 0.1))
+		is.True(approxEqual(report.Lines[2].LongBurn, 0.1))
 		time.Sleep(41 * time.Minute)
 		report = burn.New(time.Now(), burn.DefaultWindows(), targets(), first.Counts())
-		is.True(about(report.Lines[0].LongBurn, 0)) // the fault is out of the window
+		is.True(approxEqual(report.Lines[0].LongBurn, 0)) // the fault has left the window
 	})
 }
 
@@ -73,7 +74,7 @@
 	is.True(!math.IsInf(report.Lines[0].ShortBurn, 0))
 }
 
-// More workspaces are declared than an instance has memory to count, and they come and go.
+// More workspaces are in use than the recorder may count. Idle ones must be evicted to make room for new ones.
 func TestRecorderIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -85,14 +86,14 @@
 		group.Wait()
 		is.Equal(len(recorder.Counts()), 3)
 		time.Sleep(2 * time.Hour)
-		recorder.Record("new", burn.Answered, true) // the others have been quiet for longer than Keep
+		recorder.Record("new", burn.Answered, true) // the others have had no request for longer than Keep
 		is.Equal(recorder.Counts()[0].Workspace, "new")
 	})
 }
 
-// The ring has turned several times, and an instance slept meanwhile. Old cells must not pass for new
-// ones.
-func TestRingTurns(t *testing.T) {
+// The ring buffer wraps around several times and then receives nothing for an hour. Cells from an earlier
+// pass must not be counted as current ones.
+func TestRingWrapsAround(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		recorder := &burn.Recorder{Bucket: time.Second, Keep: 10 * time.Second}
--- a/internal/report/burn/recorder.go
+++ b/internal/report/burn/recorder.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Recorder counts at one instance. Bucket is the length of a bucket, in whole seconds, and Keep how far
-// back it counts: the long window or more. Workspaces bounds how many workspaces are counted, so that
-// memory stays bounded whatever is declared; requests of further ones are not counted. Zero fields get
-// the defaults. Safe for concurrent use once its fields are set.
+// Recorder counts good and bad requests at one instance. Bucket is the length of a time bucket, in whole
+// seconds. Keep is the retention period of the buckets and must be at least the long window. Workspaces
+// limits the number of workspaces counted, so that memory stays bounded however many are declared;
+// requests of further workspaces are not counted. Zero fields get the defaults. Safe for concurrent use
+// once its fields are set.
 type Recorder struct {
 	Bucket     time.Duration
 	Keep       time.Duration
 	Workspaces int
 
-	mu     sync.Mutex
-	series map[string]map[Objective]ring
-	pruned int64
+	mu           sync.Mutex
+	rings        map[string]map[Objective]ring
+	lastEviction int64
 }
 
-// The defaults: an hour in half minutes costs 120 cells for each objective of a workspace.
+// The defaults: an hour in buckets of 30 s takes 120 cells for each objective of a workspace.
 const (
 	defaultBucket     = 30 * time.Second
 	defaultKeep       = time.Hour
 	defaultWorkspaces = 1000
 )
 
-// cell is one bucket; number is its start divided by its length, by which a cell from the last turn of
-// the ring is told from a present one.
+// cell is one time bucket. Its number is the bucket's start divided by its length, which distinguishes a
+// cell from an earlier pass around the ring from a current one.
 type cell struct {
 	number int64
 	good   int64
 	bad    int64
 }
 
-// ring holds the cells of one workspace and objective.
+// ring is the ring buffer of cells of one workspace and objective.
 type ring []cell
 
 // Record counts one request.
 func (r *Recorder) Record(workspace string, objective Objective, good bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.prepare()
+	r.applyDefaults()
 	cells := r.ring(workspace, objective)
 	if cells == nil {
 		return
 	}
-	number := r.number(time.Now())
+	number := r.bucketNumber(time.Now())
 	current := &cells[number%int64(len(cells))]
 	if current.number != number {
 		*current = cell{number: number}
@@ -58,21 +59,21 @@
 	current.bad++
 }
 
-// Counts returns the buckets that are not older than Keep.
+// Counts returns the non-empty buckets that are not older than Keep.
 func (r *Recorder) Counts() (counts []Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.prepare()
-	oldest := r.number(time.Now().Add(-r.Keep))
-	for workspace, objectives := range r.series {
+	r.applyDefaults()
+	oldest := r.bucketNumber(time.Now().Add(-r.Keep))
+	for workspace, objectives := range r.rings {
 		for objective, cells := range objectives {
-			counts = append(counts, r.since(oldest, workspace, objective, cells)...)
+			counts = append(counts, r.countsSince(oldest, workspace, objective, cells)...)
 		}
 	}
 	return counts
 }
 
-func (r *Recorder) since(oldest int64, workspace string, objective Objective, cells ring) (counts []Count) {
+func (r *Recorder) countsSince(oldest int64, workspace string, objective Objective, cells ring) (counts []Count) {
 	for _, each := range cells {
 		if each.number < oldest || each.good+each.bad == 0 {
 			continue
@@ -89,11 +90,11 @@
 	return counts
 }
 
-func (r *Recorder) prepare() {
-	if r.series != nil {
+func (r *Recorder) applyDefaults() {
+	if r.rings != nil {
 		return
 	}
-	r.series = map[string]map[Objective]ring{}
+	r.rings = map[string]map[Objective]ring{}
 	if r.Bucket < time.Second {
 		r.Bucket = defaultBucket
 	}
@@ -106,44 +107,44 @@
 }
 
 func (r *Recorder) ring(workspace string, objective Objective) ring {
-	objectives, known := r.series[workspace]
+	objectives, known := r.rings[workspace]
 	if !known {
-		r.prune()
-		if len(r.series) >= r.Workspaces {
+		r.evictIdle()
+		if len(r.rings) >= r.Workspaces {
 			return nil
 		}
 		objectives = map[Objective]ring{}
-		r.series[workspace] = objectives
+		r.rings[workspace] = objectives
 	}
 	if objectives[objective] == nil {
-		// One cell more than Keep holds, for the bucket that is being filled.
+		// One cell more than Keep covers, for the bucket that is being filled.
 		cells := make(ring, r.Keep/r.Bucket+1)
 		objectives[objective] = cells
 	}
 	return objectives[objective]
 }
 
-func (r *Recorder) number(at time.Time) int64 {
+func (r *Recorder) bucketNumber(at time.Time) int64 {
 	return at.Unix() / int64(r.Bucket/time.Second)
 }
 
-// prune gives up workspaces that have had no request within Keep, such as removed ones, when there is
-// no room for a new one. It looks once in a bucket's time, as looking costs a pass over all cells.
-func (r *Recorder) prune() {
-	now := r.number(time.Now())
-	if len(r.series) < r.Workspaces || r.pruned == now {
+// evictIdle evicts workspaces that have had no request within Keep, such as removed ones, when there is no
+// room for a new one. It runs at most once per bucket length, because it scans all cells.
+func (r *Recorder) evictIdle() {
+	now := r.bucketNumber(time.Now())
+	if len(r.rings) < r.Workspaces || r.lastEviction == now {
 		return
 	}
-	r.pruned = now
-	oldest := r.number(time.Now().Add(-r.Keep))
-	for workspace, objectives := range r.series {
-		if quiet(objectives, oldest) {
-			delete(r.series, workspace)
+	r.lastEviction = now
+	oldest := r.bucketNumber(time.Now().Add(-r.Keep))
+	for workspace, objectives := range r.rings {
+		if isIdle(objectives, oldest) {
+			delete(r.rings, workspace)
 		}
 	}
 }
 
-func quiet(objectives map[Objective]ring, oldest int64) bool {
+func isIdle(objectives map[Objective]ring, oldest int64) bool {
 	for _, cells := range objectives {
 		for _, each := range cells {
 			if each.number >= oldest {
