--- a/internal/telemetry/logline/format.go
+++ b/internal/telemetry/logline/format.go
@@ -11,10 +11,10 @@
 	"github.com/tidwall/gjson"
 )
 
-// format.go turns zerolog's events into lines of key=value pairs.
+// format.go formats zerolog's events as lines of key=value pairs.
 
-// formatter writes each event as one line: its name, time and level, an error, and the other fields by name. The library's
-// own writer for consoles does the same, and takes a tenth of what an instance allocates.
+// formatter writes each event as one line: its name, time and level, then the error, then the other fields sorted by name.
+// zerolog.ConsoleWriter produces the same lines, but accounts for a tenth of an instance's allocations.
 type formatter struct {
 	out io.Writer
 
@@ -28,7 +28,7 @@
 	value gjson.Result
 }
 
-// Format gives a writer that turns zerolog's events into lines. Each call of Write has to be one event.
+// Format returns a writer that formats zerolog's events as lines. Each call of Write must pass exactly one event.
 func Format(out io.Writer) io.Writer { return &formatter{out: out} }
 
 // Write implements io.Writer.
@@ -85,7 +85,7 @@
 	return append(line, value.Str...)
 }
 
-// needsQuotes reports whether a text would not stand for itself between two spaces.
+// needsQuotes reports whether a value must be quoted to be read back as one field of the line.
 func needsQuotes(text string) bool {
 	return strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' || r == '"' || r == '\\' })
 }
--- a/internal/telemetry/logline/format_test.go
+++ b/internal/telemetry/logline/format_test.go
@@ -12,7 +12,7 @@
 	"lacewingrock.example/lacewingrock/internal/telemetry/logline"
 )
 
-// consoleWriter is the library's way to write the same lines.
+// consoleWriter returns zerolog's own writer, configured to write the same lines.
 func consoleWriter(out io.Writer) io.Writer {
 	labelled := func(label string) zerolog.Formatter {
 		return func(value any) string { return fmt.Sprintf("%s=%v", label, value) }
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestLineIsTheLibrarysLine(t *testing.T) {
+func TestFormatMatchesConsoleWriter(t *testing.T) {
 	events := []struct {
 		name string
 		json string
--- a/internal/telemetry/logline/logline.go
+++ b/internal/telemetry/logline/logline.go
@@ -1,6 +1,6 @@
-// Package logline makes the logger of a program: zerolog, writing one line of key=value pairs for
-// each event, so that an operator can read it as it is and cut it up with ordinary tools. Whoever
-// logs names each field; nothing here or elsewhere logs whole requests, keys or tokens.
+// Package logline creates the logger of a program. It uses zerolog and writes one line of key=value pairs
+// for each event, so that an operator can read it directly and process it with ordinary text tools.
+// Callers name each field. Neither this package nor its callers log whole requests, keys or tokens.
 package logline
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Field names that mean the same in every event.
+// Field names that have the same meaning in every event.
 const (
 	FieldError     = "Error"
 	FieldInstance  = "Instance"
@@ -20,16 +20,16 @@
 )
 
 func init() {
-	zerolog.ErrorFieldName = FieldError // the library keeps this name for the whole program
+	zerolog.ErrorFieldName = FieldError // zerolog applies this name to the whole program
 }
 
-// New gives a logger for a program that writes events of at least the given level ("debug", "info",
-// "warn" or "error") to out. The event's name comes first on each line.
+// New returns a logger for a program that writes events of at least the given level ("debug", "info",
+// "warn" or "error") to out. Each line starts with the event's name.
 func New(out io.Writer, program, level string) (zerolog.Logger, error) {
 	return Through(zerolog.SyncWriter(Format(out)), program, level)
 }
 
-// Through gives a logger whose events go to a writer that formats them itself.
+// Through returns a logger that passes its events, unformatted, to a writer that formats them itself.
 func Through(writer io.Writer, program, level string) (_ zerolog.Logger, err error) {
 	defer func() { err = errors.WithMessage(err, "logline: make a logger") }()
 
--- a/internal/telemetry/logring/logring.go
+++ b/internal/telemetry/logring/logring.go
@@ -1,6 +1,6 @@
-// Package logring keeps logging from ever holding up a request: events go through a bounded ring to one
-// goroutine that writes them. When the ring is full, or more is logged in a second than the budget allows,
-// events are left out and counted; failures and refusals (warnings and above) are kept longest.
+// Package logring makes logging non-blocking for requests: events pass through a bounded buffer to one
+// goroutine that writes them. Events are dropped and counted when the buffer is full or more is logged in a
+// second than the budget allows. Failures and refusals (warnings and above) are dropped last.
 package logring
 
 import (
@@ -13,19 +13,19 @@
 )
 
 const (
-	// ringLength is some seconds of the budget.
-	ringLength = 2048
-	// DefaultBudget is events a second: at 60 requests a second and four events each there is room to
-	// spare, and a flood costs under a hundredth of a processor.
+	// bufferSize is the capacity of the buffer: a few seconds of the budget.
+	bufferSize = 2048
+	// DefaultBudget is the number of events per second. It exceeds the load of 60 requests per second with
+	// four events each, and a flood costs under a hundredth of a processor.
 	DefaultBudget = 300
-	// urgentFactor is how many times the budget warnings and above may take.
-	urgentFactor = 2
+	// warningBudgetFactor multiplies the budget for warnings and above.
+	warningBudgetFactor = 2
 )
 
-// Ring is a zerolog.LevelWriter. Set the exported fields before use.
+// Ring is a non-blocking zerolog.LevelWriter. Set the exported fields before use.
 type Ring struct {
 	Out io.Writer
-	// Budget is the events a second; 0 for DefaultBudget.
+	// Budget is the number of events per second; 0 means DefaultBudget.
 	Budget int
 
 	mutex   sync.Mutex
@@ -35,18 +35,18 @@
 	dropped int
 }
 
-// Start makes the ring ready; without Run nothing is written.
+// Start allocates the buffer. Events are written to Out only while Run runs.
 func (r *Ring) Start() {
-	r.events = make(chan []byte, ringLength)
+	r.events = make(chan []byte, bufferSize)
 	if r.Budget <= 0 {
 		r.Budget = DefaultBudget
 	}
 }
 
-// Write takes an event without a level.
+// Write accepts an event without a level.
 func (r *Ring) Write(event []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, event) }
 
-// WriteLevel takes an event, or leaves it out. It never blocks.
+// WriteLevel accepts or drops an event. It never blocks.
 func (r *Ring) WriteLevel(level zerolog.Level, event []byte) (int, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -56,7 +56,7 @@
 	}
 	budget := r.Budget
 	if level >= zerolog.WarnLevel {
-		budget *= urgentFactor
+		budget *= warningBudgetFactor
 	}
 	if r.written >= budget {
 		r.dropped++
@@ -71,7 +71,7 @@
 	return len(event), nil
 }
 
-// Dropped is how many events were left out since the last call.
+// Dropped returns the number of events dropped since the last call.
 func (r *Ring) Dropped() (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,7 +80,7 @@
 	return count
 }
 
-// Run writes events until the context ends, and then what is still in the ring.
+// Run writes events until the context ends, and then writes those still in the buffer.
 func (r *Ring) Run(ctx context.Context) error {
 	for {
 		select {
@@ -104,5 +104,5 @@
 	}
 }
 
-// write passes an event on. An error means that nobody reads the log, and there is nowhere to say so.
+// write writes an event to Out. Errors are ignored: they mean that the log is not read, so there is nowhere to report them.
 func (r *Ring) write(event []byte) { _, _ = r.Out.Write(event) }
--- a/internal/telemetry/logring/logring_test.go
+++ b/internal/telemetry/logring/logring_test.go
@@ -14,19 +14,19 @@
 	"lacewingrock.example/lacewingrock/internal/telemetry/logring"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Whoever collects the log has stopped reading. If logging waited for it, each request would too.
-func TestStuckOutputHoldsUpNobody(t *testing.T) {
+// The log collector has stopped reading. If logging blocked on it, each request would block too.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := stuck{release: make(chan struct{})}
+		out := blockedWriter{release: make(chan struct{})}
 		ring := &logring.Ring{Out: out, Budget: 1_000_000}
 		ring.Start()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -44,9 +44,9 @@
 	})
 }
 
-// A flood logs far more than the budget. What is left out is counted, and failures are kept when ordinary
-// events are not: they are what somebody will look for.
-func TestBudgetKeepsFailuresLongest(t *testing.T) {
+// A flood logs far more than the budget. Dropped events must be counted, and failures must be kept when
+// ordinary events are dropped, because failures are what an operator looks for.
+func TestBudgetDropsFailuresLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
@@ -60,10 +60,10 @@
 		}
 		is.Equal(ring.Dropped(), 20)
 		time.Sleep(time.Second)
-		_, _ = ring.Write([]byte("later\n")) // the next second has a budget of its own
+		_, _ = ring.Write([]byte("later\n")) // each second has its own budget
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		is.NoErr(ring.Run(ctx)) // what is in the ring is written at the end
+		is.NoErr(ring.Run(ctx)) // buffered events are written when the context ends
 		is.Equal(strings.Count(out.String(), "ordinary"), 10)
 		is.Equal(strings.Count(out.String(), "failure"), 10)
 		is.Equal(strings.Count(out.String(), "later"), 1)
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics makes the root of a program's metrics: a tally scope whose counters, gauges and
-// histograms are served in the usual exposition format.
+// Package metrics creates the root scope of a program's metrics: a tally scope whose counters, gauges and
+// histograms are served in the Prometheus exposition format.
 package metrics
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how often tally hands its values to the exposition endpoint. A second is the
-// shortest interval at which operators scrape; shorter only costs processor time.
-const reportEvery = time.Second
+// reportInterval is how often tally reports its values to the Prometheus registry. A second is the shortest
+// interval at which operators scrape; a shorter one only costs processor time.
+const reportInterval = time.Second
 
-// New gives the root scope, the handler that serves it, and what closes it. Each has a registry of its
-// own: the library's default one is shared by the whole process, and two instances in one test would
-// meet in it.
+// New returns the root scope, the handler that serves it, and the closer that stops it. Each scope has its
+// own registry: the library's default registry is shared by the whole process, and the metrics of two
+// instances in one test would collide in it.
 func New(program string) (tally.Scope, http.Handler, io.Closer) {
 	own := registry.NewRegistry()
 	own.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -30,6 +30,6 @@
 		Separator:              prometheus.DefaultSeparator,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return scope, reporter.HTTPHandler(), closer
 }
--- a/internal/telemetry/metrics/metrics_test.go
+++ b/internal/telemetry/metrics/metrics_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Two instances live in one process, as in the daemon's tests. In the library's shared registry the
-// second one's metrics met the first one's, and the process panicked.
-func TestTwoRootsInOneProcess(t *testing.T) {
+// Two instances run in one process, as in the daemon's tests. In the library's shared registry the second
+// instance's metrics collided with those of the first, and the process panicked.
+func TestTwoRootScopesInOneProcess(t *testing.T) {
 	for range 2 {
 		scope, _, closer := metrics.New("lacewingd")
 		scope.Gauge("fresh").Update(1)
