--- a/internal/timing/pause/pause.go
+++ b/internal/timing/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a while, or until a context ends.
+// Package pause provides a sleep that ends early when its context ends.
 package pause
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits, and tells whether the context still lives. It starts no timer where nothing is left to wait for: the
-// race detector crashes when two goroutines of one synctest bubble select on timers that are due already.
+// For sleeps for the given time or until the context ends. It returns whether the sleep completed; for a time of zero or
+// less, whether the context has not ended. It starts no timer in that case: the race detector crashes when two goroutines
+// of one synctest bubble select on timers that have already expired.
 func For(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
--- a/internal/timing/pause/pause_test.go
+++ b/internal/timing/pause/pause_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestManyGoroutinesWithNothingToWaitFor guards against a crash of the race detector when timers that are due already
-// fire on several goroutines of one bubble at once.
+// TestManyGoroutinesWithNothingToWaitFor guards against a crash of the race detector when timers that have already
+// expired fire on several goroutines of one bubble at once.
 func TestManyGoroutinesWithNothingToWaitFor(t *testing.T) {
 	const (
 		bubbles    = 20
