--- a/internal/measure/capacity/capacity_test.go
+++ b/internal/measure/capacity/capacity_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// An idle adapter must cost a holder next to nothing, or tens of thousands of them fill its memory.
-func TestIdleAdaptersCostHoldersNothing(t *testing.T) {
+// An idle adapter must take almost no memory at a holder. Otherwise tens of thousands of them fill its memory.
+func TestIdleAdaptersTakeAlmostNoMemory(t *testing.T) {
 	is := is.New(t)
 	size := Sizes()[0]
 	is.True(holderIdleBytes(size)/float64(size.Adapters) < 100)
@@ -50,7 +50,7 @@
 	is.True(bytes.Contains([]byte(tables(measured)), []byte(nameChoose)))
 }
 
-// An operator who stops a measurement gets no half page.
+// A cancelled measurement must not write a partial page.
 func TestCancelledRunWritesNothing(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/measure/capacity/placement.go
+++ b/internal/measure/capacity/placement.go
@@ -10,7 +10,7 @@
 	"lacewingrock.example/lacewingrock/internal/placement/route"
 )
 
-// placement.go measures the packages that place requests.
+// placement.go measures the packages that place requests on upstreams.
 
 func upstreamName(i int) string { return fmt.Sprintf("upstream-%03d", i) }
 
@@ -20,7 +20,7 @@
 	return model.Reference{Adapter: fmt.Sprintf("adapter-%05d", i), Version: "v1"}
 }
 
-// references are made beforehand, so that making their names is not measured.
+// references are generated in advance, so that formatting their names is not measured.
 func references(n int) (list []model.Reference) {
 	for i := range n {
 		list = append(list, reference(i))
@@ -28,12 +28,12 @@
 	return list
 }
 
-// newRouter makes a router that has heard of all upstreams, each with other versions loaded.
+// newRouter makes a router that has a summary of every upstream, each with different versions loaded.
 func newRouter(size Size, now time.Time) *route.Router {
 	r := &route.Router{Settings: route.DefaultSettings()}
 	var declared []resource.Upstream
 	for i := range size.Upstreams {
-		declared = append(declared, resource.Upstream{Meta: resource.Meta{Name: upstreamName(i)}, BaseModel: "base", Slots: residentsEach, Batch: residentsEach})
+		declared = append(declared, resource.Upstream{Meta: resource.Meta{Name: upstreamName(i)}, BaseModel: "base", Slots: residentsPerUpstream, Batch: residentsPerUpstream})
 	}
 	r.SetUpstreams(declared)
 	for i := range size.Upstreams {
@@ -43,20 +43,20 @@
 }
 
 func summary(i int, at time.Time) route.Summary {
-	told := route.Summary{Upstream: upstreamName(i), Epoch: 1, FreePlaces: 4, Healthy: true, At: at}
-	for j := range residentsEach {
-		told.Resident = append(told.Resident, reference(i*residentsEach/2+j))
+	s := route.Summary{Upstream: upstreamName(i), Epoch: 1, FreePlaces: 4, Healthy: true, At: at}
+	for j := range residentsPerUpstream {
+		s.Resident = append(s.Resident, reference(i*residentsPerUpstream/2+j))
 	}
-	return told
+	return s
 }
 
-// chooseTime asks for all adapters in turn: of those loaded nowhere as well as of those that are, each
-// upstream having been told of half a second ago at the most.
+// chooseTime measures choosing an upstream for all adapters in turn, both those that are loaded somewhere and
+// those that are not. Each upstream's summary is at most half a second old.
 func chooseTime(size Size) float64 {
 	now := time.Unix(0, 0)
 	r := newRouter(size, now)
 	all := references(size.Adapters)
-	return timeOf(func(i int) {
+	return measureTime(func(i int) {
 		now = now.Add(10 * time.Microsecond)
 		query := route.Query{Model: all[i*7%len(all)], BaseModel: "base", Cost: 200, Deadline: now.Add(time.Second)}
 		if _, err := r.Choose(now, query); err != nil {
@@ -65,34 +65,34 @@
 	})
 }
 
-func learnTime(size Size) float64 {
+func updateSummaryTime(size Size) float64 {
 	now := time.Unix(0, 0)
 	r := newRouter(size, now)
-	var told []route.Summary
+	var summaries []route.Summary
 	for i := range size.Upstreams {
-		told = append(told, summary(i, now))
+		summaries = append(summaries, summary(i, now))
 	}
-	return timeOf(func(i int) {
+	return measureTime(func(i int) {
 		now = now.Add(time.Millisecond)
-		s := told[i%len(told)]
+		s := summaries[i%len(summaries)]
 		s.At = now
 		if i%2 == 1 {
-			s.Resident = told[(i+1)%len(told)].Resident
+			s.Resident = summaries[(i+1)%len(summaries)].Resident
 		}
 		r.UpdateSummary(now, s)
 	})
 }
 
 func routerBytes(size Size) float64 {
-	return bytesOf(func() any { return newRouter(size, time.Unix(0, 0)) })
+	return measureBytes(func() any { return newRouter(size, time.Unix(0, 0)) })
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// newHolder makes a holder in force with some versions loaded and the batch free.
+// newHolder makes an active holder with some versions loaded and all batch slots free.
 func newHolder(now time.Time) *holder.Holder {
 	h := &holder.Holder{
-		Upstream: resource.Upstream{Meta: resource.Meta{Name: "upstream"}, Slots: residentsEach, Batch: residentsEach, ChecksFencing: true},
+		Upstream: resource.Upstream{Meta: resource.Meta{Name: "upstream"}, Slots: residentsPerUpstream, Batch: residentsPerUpstream, ChecksFencing: true},
 		Settings: holder.DefaultSettings(),
 	}
 	h.Settings.MaxBacklog = time.Hour
@@ -100,20 +100,20 @@
 	h.Handle(now, holder.EpochInForce{Epoch: 1})
 	h.Handle(now, holder.FenceNoted{Fence: 1})
 	h.Handle(now, holder.PinsReported{Instance: "i", Epoch: 1})
-	h.Handle(now, holder.Reported{Incarnation: "1", Resident: references(residentsEach)})
+	h.Handle(now, holder.Reported{Incarnation: "1", Resident: references(residentsPerUpstream)})
 	return h
 }
 
 func arrival(now time.Time, i int) holder.Arrived {
 	return holder.Arrived{Request: holder.Request{
 		ID: fmt.Sprint("r", i), Instance: "i", Incarnation: "1", Workspace: workspaceName(i % 5), Weight: 1,
-		Model: reference(i % residentsEach), Cost: 1, Deadline: now.Add(time.Hour),
+		Model: reference(i % residentsPerUpstream), Cost: 1, Deadline: now.Add(time.Hour),
 	}}
 }
 
-// holdTime is the cost of a request's arrival and of the release that makes room for the next, while
-// so many wait.
-func holdTime(waiting int) float64 {
+// holderTime measures the arrival of a request and the release that makes room for the next, while the given
+// number of requests wait.
+func holderTime(waiting int) float64 {
 	now := time.Unix(0, 0)
 	h := newHolder(now)
 	var pins []string
@@ -125,10 +125,10 @@
 		}
 	}
 	next := 0
-	for ; next < waiting+residentsEach; next++ {
+	for ; next < waiting+residentsPerUpstream; next++ {
 		handle(arrival(now, next))
 	}
-	return timeOf(func(int) {
+	return measureTime(func(int) {
 		now = now.Add(time.Microsecond)
 		handle(holder.Released{Pin: pins[0], Tokens: 1})
 		pins = pins[1:]
@@ -137,10 +137,10 @@
 	})
 }
 
-// holderIdleBytes lets every adapter be asked for once, all of them fall idle, and some hundred more
-// requests come: what is left is what an idle adapter costs.
+// holderIdleBytes measures the memory that idle adapters take at a holder. Every adapter is requested once, all
+// of them become idle, and 2,048 more requests follow.
 func holderIdleBytes(size Size) float64 {
-	return bytesOf(func() any {
+	return measureBytes(func() any {
 		now := time.Unix(0, 0)
 		h := newHolder(now)
 		for i := range size.Adapters {
--- a/internal/measure/capacity/run.go
+++ b/internal/measure/capacity/run.go
@@ -1,6 +1,6 @@
-// Package capacity measures what a decision, an idle adapter and a message cost at several sizes, with
-// small stand-ins in one process, and works the slopes out for the fleet of the target. Time is taken
-// as the best of several rounds, so that a busy machine disturbs it little.
+// Package capacity measures the cost of a decision, an idle adapter and a message at several fleet sizes, with
+// small stand-ins in one process, and extrapolates the slopes to the target fleet. A time is the best of
+// several rounds, so that a busy machine has little effect on it.
 package capacity
 
 import (
@@ -15,35 +15,36 @@
 	"lacewingrock.example/lacewingrock/internal/measure/section"
 )
 
-// Options of a Run. Out gets the tables as text. Markdown, unless empty, is the page whose section
-// the tables are written into.
+// Options configures a Run. Out receives the tables as text. Markdown, if set, is the page into whose section
+// the tables are written.
 type Options struct {
 	Out      io.Writer
 	Markdown string
 }
 
-// Size is a fleet at which everything is measured.
+// Size is a fleet size at which every series is measured.
 type Size struct {
 	Instances int
 	Upstreams int
 	Adapters  int
 }
 
-// Sizes from today's to the target's.
+// Sizes returns the fleet sizes, from the current one to the target.
 func Sizes() []Size {
 	return []Size{{8, 9, 3_000}, {30, 80, 10_000}, {110, 270, 22_500}, {330, 810, 45_000}}
 }
 
-// series is one figure measured at all sizes. growth says by what of the size it is expected to grow.
+// series is one figure measured at all sizes. scalesWith names the dimension of the size with which it is
+// expected to grow.
 type series struct {
-	name   string
-	unit   string
-	by     string
-	at     func(Size) float64
-	values []float64
+	name       string
+	unit       string
+	scalesWith string
+	measure    func(Size) float64
+	values     []float64
 }
 
-// decisionLimit is what a decision on a request may cost, in microseconds.
+// decisionLimit is the maximum cost of a decision on a request, in microseconds.
 const decisionLimit = 20
 
 // Run measures the slopes and writes the tables.
@@ -63,8 +64,8 @@
 	return section.Replace(options.Markdown, "capacity", text)
 }
 
-// measureAll takes every series at every size. A series that fails to be made is a fault of the
-// program, not of the machine, and ends the run.
+// measureAll measures every series at every size. A series that cannot be measured panics, because the cause
+// is a fault of the program, not of the machine.
 func measureAll(ctx context.Context) (measured map[string]series, err error) {
 	measured = make(map[string]series)
 	for _, s := range allSeries() {
@@ -72,7 +73,7 @@
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			s.values = append(s.values, s.at(size))
+			s.values = append(s.values, s.measure(size))
 		}
 		measured[s.name] = s
 	}
@@ -93,27 +94,27 @@
 		s = measured[s.name]
 		fmt.Fprintf(&b, "| %s | %s |", s.name, s.unit)
 		for _, value := range s.values {
-			fmt.Fprintf(&b, " %s |", figure(value))
+			fmt.Fprintf(&b, " %s |", formatFigure(value))
 		}
-		fmt.Fprintf(&b, " %s^%.2f |\n", s.by, exponent(s))
+		fmt.Fprintf(&b, " %s^%.2f |\n", s.scalesWith, growthExponent(s))
 	}
-	b.WriteString("\nThe last column is the power of the size between the smallest and the largest: 0 is constant, 1 linear.\n")
-	writeVerdicts(&b, measured)
+	b.WriteString("\nThe last column is the exponent of the growth between the smallest and the largest size: 0 is constant, 1 is linear.\n")
+	writeGoals(&b, measured)
 	writeTarget(&b, measured)
 	return b.String()
 }
 
-// exponent is the power of the size by which the series grows from the first to the last.
-func exponent(s series) float64 {
+// growthExponent returns the exponent of the power law by which the series grows between the first and the last size.
+func growthExponent(s series) float64 {
 	first, last := s.values[0], s.values[len(s.values)-1]
 	if first <= 0 || last <= 0 {
 		return 0
 	}
-	return math.Log(last/first) / math.Log(sizeOf(s.by, Sizes()[len(Sizes())-1])/sizeOf(s.by, Sizes()[0]))
+	return math.Log(last/first) / math.Log(sizeOf(s.scalesWith, Sizes()[len(Sizes())-1])/sizeOf(s.scalesWith, Sizes()[0]))
 }
 
-func sizeOf(by string, size Size) float64 {
-	switch by {
+func sizeOf(dimension string, size Size) float64 {
+	switch dimension {
 	case byInstances:
 		return float64(size.Instances)
 	case byAdapters:
@@ -122,30 +123,30 @@
 	return float64(size.Upstreams)
 }
 
-// writeVerdicts holds the goals on the decision's cost against the figures. Growth no faster than
-// logarithmic means: at most by the ratio of the logarithms of the numbers of upstreams.
-func writeVerdicts(b *strings.Builder, measured map[string]series) {
+// writeGoals compares the figures with the goals for the cost of a decision. Growth no faster than
+// logarithmic means growth by at most the ratio of the logarithms of the numbers of upstreams.
+func writeGoals(b *strings.Builder, measured map[string]series) {
 	choose := measured[nameChoose].values
 	largest, smallest := Sizes()[len(Sizes())-1], Sizes()[0]
 	logarithms := math.Log2(float64(largest.Upstreams)) / math.Log2(float64(smallest.Upstreams))
-	today := choose[0] + measured[nameHold].values[0]
+	today := choose[0] + measured[nameHolder].values[0]
 	growth := choose[len(choose)-1] / choose[0]
 	b.WriteString("\n| goal | measured | met |\n|---|---|---|\n")
-	fmt.Fprintf(b, "| route and holder together under %d us at today's size | %s us | %s |\n", decisionLimit, figure(today), yes(today < decisionLimit))
-	fmt.Fprintf(b, "| route under %d us at the target's size | %s us | %s |\n", decisionLimit, figure(choose[len(choose)-1]), yes(choose[len(choose)-1] < decisionLimit))
+	fmt.Fprintf(b, "| route and holder together under %d us at the current size | %s us | %s |\n", decisionLimit, formatFigure(today), yesNo(today < decisionLimit))
+	fmt.Fprintf(b, "| route under %d us at the target's size | %s us | %s |\n", decisionLimit, formatFigure(choose[len(choose)-1]), yesNo(choose[len(choose)-1] < decisionLimit))
 	fmt.Fprintf(b, "| route grows no faster than the logarithm of the upstreams (by %.2f) | by %.2f | %s |\n",
-		logarithms, growth, yes(growth <= logarithms))
+		logarithms, growth, yesNo(growth <= logarithms))
 }
 
-func yes(met bool) string {
+func yesNo(met bool) string {
 	if met {
 		return "yes"
 	}
 	return "no"
 }
 
-// figure writes three significant digits without an exponent.
-func figure(value float64) string {
+// formatFigure formats a value with three significant digits and no exponent.
+func formatFigure(value float64) string {
 	switch {
 	case value == 0:
 		return "0"
--- a/internal/measure/live/live.go
+++ b/internal/measure/live/live.go
@@ -1,7 +1,7 @@
-// Package live measures what one entry instance costs as a real process: at rest, where everything it
-// does is control, at several sizes of the fleet; and under load, for each request and each token. The
-// stand-ins play the outside systems, and the processor time, memory and bytes come from the operating
-// system's own counts of the process, so that nothing of the instance has to be trusted for them.
+// Package live measures the cost of one entry instance as a real process: idle, when all its work is control
+// traffic, at several fleet sizes; and under load, for each request and each token. Stand-ins replace the
+// external systems. Processor time, memory and bytes come from the operating system's counters for the
+// process, so that the figures do not rely on the instance itself.
 package live
 
 import (
@@ -20,7 +20,7 @@
 	"lacewingrock.example/lacewingrock/internal/timing/pause"
 )
 
-// Options of a run. Binaries is where the programs are; Markdown is the page to write to, or empty.
+// Options configures a Run. Binaries is the directory of the programs. Markdown, if set, is the page to write to.
 type Options struct {
 	Out      io.Writer
 	Binaries string
@@ -28,32 +28,32 @@
 }
 
 const (
-	// settle is how long a fleet is left alone before it is measured at rest: members join one by one,
-	// and each has to be in force.
-	settle = 12 * time.Second
-	// rest is for how long it is measured. Processor time is counted in hundredths of a second.
-	rest = 20 * time.Second
-	// requests and longAnswer are the load: enough for the count of processor time to be exact to a
-	// hundredth, short enough for CI's patience.
-	requests   = 2000
-	longAnswer = 101
-	callers    = 16
+	// settleTime is the wait before an idle fleet is measured: members join one by one, and each has to
+	// be in force.
+	settleTime = 12 * time.Second
+	// idlePeriod is how long it is measured. Processor time is counted in hundredths of a second.
+	idlePeriod = 20 * time.Second
+	// requestCount and longAnswer are the load: enough for the processor time to be accurate to a
+	// hundredth, and short enough for CI.
+	requestCount     = 2000
+	longAnswerTokens = 101
+	callerCount      = 16
 )
 
-// restSizes are the fleets measured at rest, by instances.
-func restSizes() []int { return []int{2, 4, 8} }
+// idleFleetSizes returns the numbers of instances of the fleets measured when idle.
+func idleFleetSizes() []int { return []int{2, 4, 8} }
 
-// atRest is what an instance costs when nobody calls, the mean over the fleet.
-type atRest struct {
-	instances   int
-	core        float64
-	bytesSecond float64
-	resident    float64
-	storeCalls  float64
+// idleUsage is the cost of an instance without calls, as the mean over the fleet.
+type idleUsage struct {
+	instances      int
+	cores          float64
+	bytesPerSecond float64
+	resident       float64
+	storeCalls     float64
 }
 
-// underLoad is the processor time of an instance for a load.
-type underLoad struct {
+// loadUsage is the processor time of an instance under a load.
+type loadUsage struct {
 	tokens int
 	cpu    time.Duration
 	took   time.Duration
@@ -62,19 +62,19 @@
 // Run measures, prints the tables and writes them to the page.
 func Run(ctx context.Context, options Options) (err error) {
 	defer func() { err = errors.WithMessage(err, "measure live") }()
-	var resting []atRest
-	for _, size := range restSizes() {
-		one, err := measureRest(ctx, options, size)
+	var idle []idleUsage
+	for _, size := range idleFleetSizes() {
+		usage, err := measureIdle(ctx, options, size)
 		if err != nil {
 			return err
 		}
-		resting = append(resting, one)
+		idle = append(idle, usage)
 	}
 	short, long, err := measureLoad(ctx, options)
 	if err != nil {
 		return err
 	}
-	text := tables(resting, short, long)
+	text := tables(idle, short, long)
 	if _, err := fmt.Fprintln(options.Out, text); err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// within runs a measurement in a deployment of its own.
-func within(
+// withDeployment runs a measurement in its own deployment.
+func withDeployment(
 	ctx context.Context, options Options, instances int, engineArguments []string,
 	measure func(d *deployment.Deployment) error,
 ) (err error) {
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // what is left there is of no use to anyone
+	defer func() { _ = os.RemoveAll(directory) }() // the files are not needed after the measurement
 	template := filepath.Join(directory, "resources.json.tmpl")
 	if err := os.WriteFile(template, []byte(resources), 0o600); err != nil {
 		return err
@@ -105,7 +105,7 @@
 		Directory:       directory,
 		Template:        template,
 		Engines:         2,
-		EngineBatch:     callers,
+		EngineBatch:     callerCount,
 		Instances:       instances,
 		EngineArguments: engineArguments,
 	}
@@ -116,7 +116,7 @@
 	return measure(d)
 }
 
-// resources declare a workspace whose rate never refuses and one adapter.
+// resources declares a workspace with a rate limit that is never reached, and one adapter.
 const resources = `{"Resources": [
 {"Kind": "BaseModel", "Name": "base"},
 {"Kind": "Workspace", "Name": "w", "Rate": 1000000000, "Burst": 1000000000, "Weight": 1},
@@ -128,39 +128,39 @@
 {"Kind": "AdapterVersion", "Name": "a@1", "Adapter": "a", "Version": "1", "Source": "a/1"}
 ]}`
 
-func measureRest(ctx context.Context, options Options, instances int) (measured atRest, err error) {
-	err = within(ctx, options, instances, nil, func(d *deployment.Deployment) error {
-		if !pause.For(ctx, settle) {
+func measureIdle(ctx context.Context, options Options, instances int) (measured idleUsage, err error) {
+	err = withDeployment(ctx, options, instances, nil, func(d *deployment.Deployment) error {
+		if !pause.For(ctx, settleTime) {
 			return ctx.Err()
 		}
-		before, err := take(ctx, d)
+		before, err := takeReading(ctx, d)
 		if err != nil {
 			return err
 		}
-		if !pause.For(ctx, rest) {
+		if !pause.For(ctx, idlePeriod) {
 			return ctx.Err()
 		}
-		after, err := take(ctx, d)
+		after, err := takeReading(ctx, d)
 		if err != nil {
 			return err
 		}
-		measured = restBetween(before, after, instances)
+		measured = idleBetween(before, after, instances)
 		return nil
 	})
 	return measured, err
 }
 
-// reading is the counts of all instances and of the store at one moment.
+// reading holds the counters of all instances and of the store at one moment.
 type reading struct {
 	at         time.Time
 	processes  []usage
 	storeCalls int
 }
 
-func take(ctx context.Context, d *deployment.Deployment) (taken reading, err error) {
+func takeReading(ctx context.Context, d *deployment.Deployment) (taken reading, err error) {
 	taken.at = time.Now()
 	for _, process := range d.InstanceOf {
-		u, err := usageOf(process.Pid())
+		u, err := readUsage(process.Pid())
 		if err != nil {
 			return reading{}, err
 		}
@@ -176,14 +176,14 @@
 	return taken, nil
 }
 
-func restBetween(before, after reading, instances int) atRest {
+func idleBetween(before, after reading, instances int) idleUsage {
 	seconds := after.at.Sub(before.at).Seconds()
-	measured := atRest{instances: instances, storeCalls: float64(after.storeCalls-before.storeCalls) / seconds}
+	measured := idleUsage{instances: instances, storeCalls: float64(after.storeCalls-before.storeCalls) / seconds}
 	for i := range after.processes {
 		spent := after.processes[i].cpu - before.processes[i].cpu
-		moved := after.processes[i].moved - before.processes[i].moved
-		measured.core += spent.Seconds() / seconds / float64(instances)
-		measured.bytesSecond += float64(moved) / seconds / float64(instances)
+		ioBytes := after.processes[i].ioBytes - before.processes[i].ioBytes
+		measured.cores += spent.Seconds() / seconds / float64(instances)
+		measured.bytesPerSecond += float64(ioBytes) / seconds / float64(instances)
 		measured.resident += float64(after.processes[i].resident) / float64(instances)
 	}
 	return measured
--- a/internal/measure/live/load.go
+++ b/internal/measure/live/load.go
@@ -15,14 +15,14 @@
 	"lacewingrock.example/lacewingrock/internal/standin/deployment"
 )
 
-// load.go puts one instance under a load of short and one of long streamed answers. The difference of
-// the two is the cost of the tokens, what is left the cost of the requests.
+// load.go measures one instance under a load of short streamed answers and under one of long ones. The difference
+// is the cost of the tokens; the remainder is the cost of the requests.
 
-// measureLoad runs both loads on one instance. The engines generate as fast as they can: the instance is
-// to be measured, not they.
-func measureLoad(ctx context.Context, options Options) (short, long underLoad, err error) {
+// measureLoad runs both loads on one instance. The engines generate tokens at a high rate, so that the instance
+// is measured and not the engines.
+func measureLoad(ctx context.Context, options Options) (short, long loadUsage, err error) {
 	fast := []string{"-token=1ms", "-first-token=1ms"}
-	err = within(ctx, options, 1, fast, func(d *deployment.Deployment) error {
+	err = withDeployment(ctx, options, 1, fast, func(d *deployment.Deployment) error {
 		key, err := d.Grant(ctx, "w", "load")
 		if err != nil {
 			return err
@@ -31,20 +31,20 @@
 			return err
 		}
 		caller := &caller{address: d.InstanceOf[0].Announced("CallerAddress"), key: key}
-		// The first call waits for the instance's share and loads the adapter.
+		// The first call waits until the instance has its share of the rate limit, and loads the adapter.
 		if err := d.Retry(ctx, func() error { return caller.callOnce(ctx, 1) }); err != nil {
 			return err
 		}
 		if short, err = caller.load(ctx, d, 1); err != nil {
 			return err
 		}
-		long, err = caller.load(ctx, d, longAnswer)
+		long, err = caller.load(ctx, d, longAnswerTokens)
 		return err
 	})
 	return short, long, err
 }
 
-// caller calls one instance.
+// caller sends requests to one instance.
 type caller struct {
 	address string
 	key     string
@@ -52,33 +52,33 @@
 	next    atomic.Int64
 }
 
-func (c *caller) load(ctx context.Context, d *deployment.Deployment, tokens int) (underLoad, error) {
+func (c *caller) load(ctx context.Context, d *deployment.Deployment, tokens int) (loadUsage, error) {
 	pid := d.InstanceOf[0].Pid()
-	before, err := usageOf(pid)
+	before, err := readUsage(pid)
 	if err != nil {
-		return underLoad{}, err
+		return loadUsage{}, err
 	}
 	began := time.Now()
 	c.next.Store(0)
-	failures := make(chan error, callers)
+	failures := make(chan error, callerCount)
 	var group sync.WaitGroup
-	for range callers {
+	for range callerCount {
 		group.Go(func() { c.run(ctx, tokens, failures) })
 	}
 	group.Wait()
 	select {
 	case err := <-failures:
-		return underLoad{}, err
+		return loadUsage{}, err
 	default:
 	}
 	took := time.Since(began)
-	after, err := usageOf(pid)
-	return underLoad{tokens: tokens, cpu: after.cpu - before.cpu, took: took}, err
+	after, err := readUsage(pid)
+	return loadUsage{tokens: tokens, cpu: after.cpu - before.cpu, took: took}, err
 }
 
-// run makes calls until the load is done or one fails.
+// run makes calls until the load is complete or a call fails.
 func (c *caller) run(ctx context.Context, tokens int, failures chan<- error) {
-	for c.next.Add(1) <= requests {
+	for c.next.Add(1) <= requestCount {
 		if err := c.callOnce(ctx, tokens); err != nil {
 			failures <- err
 			return
--- a/internal/measure/live/tables.go
+++ b/internal/measure/live/tables.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// tables.go writes what was measured, and works out the target's load from the slopes.
+// tables.go renders the measurements and extrapolates the slopes to the target's load.
 
-// The target's peak, from the users' letter.
+// The target's peak load, as set by the users.
 const (
 	targetRequests  = 5300
 	targetTokens    = 1_100_000
 	targetInstances = 330
 )
 
-func tables(resting []atRest, short, long underLoad) string {
+func tables(idle []idleUsage, short, long loadUsage) string {
 	var out strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&out, format+"\n", values...) }
-	line("Real processes on loopback, one machine. At rest, mean of all instances over %s:", rest)
+	line("Real processes on loopback, one machine. Idle, mean of all instances over %s:", idlePeriod)
 	line("")
-	line("| instances | core | control bytes a second, both ways | resident MB | store calls a second, whole fleet |")
+	line("| instances | core | control bytes per second, both directions | resident MB | store calls a second, whole fleet |")
 	line("|---|---|---|---|---|")
-	for _, r := range resting {
+	for _, r := range idle {
 		line("| %d | %.2f%% | %.0f | %.1f | %.1f |",
-			r.instances, 100*r.core, r.bytesSecond, r.resident/(1<<20), r.storeCalls)
+			r.instances, 100*r.cores, r.bytesPerSecond, r.resident/(1<<20), r.storeCalls)
 	}
-	perToken := (long.cpu - short.cpu) / time.Duration(requests*(long.tokens-short.tokens))
-	perRequest := short.cpu/requests - perToken*time.Duration(short.tokens)
+	perToken := (long.cpu - short.cpu) / time.Duration(requestCount*(long.tokens-short.tokens))
+	perRequest := short.cpu/requestCount - perToken*time.Duration(short.tokens)
 	line("")
-	line("Under load, one instance, %d streamed requests from %d callers each:", requests, callers)
+	line("Under load, one instance, %d streamed requests from %d callers each:", requestCount, callerCount)
 	line("")
 	line("| tokens an answer | processor time | requests a second reached |")
 	line("|---|---|---|")
-	for _, l := range []underLoad{short, long} {
-		line("| %d | %s | %.0f |", l.tokens, l.cpu, requests/l.took.Seconds())
+	for _, l := range []loadUsage{short, long} {
+		line("| %d | %s | %.0f |", l.tokens, l.cpu, requestCount/l.took.Seconds())
 	}
 	line("")
-	line("| slope | measured | at the target, worked out |")
+	line("| slope | measured | at the target, extrapolated |")
 	line("|---|---|---|")
 	requestCores := targetRequests * perRequest.Seconds()
 	tokenCores := targetTokens * perToken.Seconds()
--- a/internal/measure/live/usage.go
+++ b/internal/measure/live/usage.go
@@ -10,32 +10,34 @@
 	"github.com/pkg/errors"
 )
 
-// usage.go reads the operating system's counts of a process.
+// usage.go reads the operating system's counters for a process.
 
-// usage of a process since its start. Moved is the bytes it read and wrote, by files and sockets;
-// instances have no disk, so at rest these are the bytes of control in both directions.
+// usage is the resource usage of a process since its start. ioBytes counts the bytes that it read and wrote
+// through files and sockets. Instances do not use a disk, so when idle these are the bytes of control traffic
+// in both directions.
 type usage struct {
 	cpu      time.Duration
-	moved    int64
+	ioBytes  int64
 	resident int64
 }
 
 const (
-	// tick is the unit of processor time in the process's stat file.
-	tick = 10 * time.Millisecond
-	// userField and systemField are the places of the times behind the command's closing bracket.
+	// clockTick is the unit of processor time in /proc/PID/stat.
+	clockTick = 10 * time.Millisecond
+	// userField and systemField are the indexes of the times among the fields after the command's closing
+	// bracket.
 	userField, systemField = 11, 12
 	pageSize               = 4096
 )
 
-func usageOf(pid int) (u usage, err error) {
+func readUsage(pid int) (u usage, err error) {
 	defer func() { err = errors.WithMessagef(err, "counts of process %d", pid) }()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return usage{}, err
 	}
-	_, behind, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(behind)
+	_, afterCommand, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(afterCommand)
 	if len(fields) <= systemField {
 		return usage{}, errors.New("stat is too short")
 	}
@@ -47,15 +49,15 @@
 	if err != nil {
 		return usage{}, err
 	}
-	u.cpu = time.Duration(user+system) * tick
-	if u.moved, err = moved(pid); err != nil {
+	u.cpu = time.Duration(user+system) * clockTick
+	if u.ioBytes, err = readIOBytes(pid); err != nil {
 		return usage{}, err
 	}
-	u.resident, err = resident(pid)
+	u.resident, err = readResidentBytes(pid)
 	return u, err
 }
 
-func moved(pid int) (bytes int64, err error) {
+func readIOBytes(pid int) (bytes int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0, err
@@ -74,7 +76,7 @@
 	return bytes, nil
 }
 
-func resident(pid int) (bytes int64, err error) {
+func readResidentBytes(pid int) (bytes int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, err
--- a/internal/measure/policy/cases.go
+++ b/internal/measure/policy/cases.go
@@ -10,107 +10,108 @@
 	"lacewingrock.example/lacewingrock/internal/placement/model"
 )
 
-// cases.go names the loads and makes their requests. Every policy gets the very same requests.
+// cases.go defines the workloads and generates their requests. Every policy gets exactly the same requests.
 
-// The sizes of today's deployments.
+// The sizes of the current deployments.
 const (
-	instances  = 8
-	upstreams  = 9
-	slots      = 8
-	batch      = 8
-	workspaces = 5
-	adapters   = 3000
+	instances    = 8
+	upstreams    = 9
+	adapterSlots = 8
+	batchSlots   = 8
+	workspaces   = 5
+	adapters     = 3000
 )
 
-// The work of a request: a fixed time to the first token, then one token after the other.
+// The work of a request: a fixed time to the first token, then a fixed time for each token.
 const (
-	firstToken = 100 * time.Millisecond
-	tokenTime  = 20 * time.Millisecond
-	usualWork  = 200
+	timeToFirstToken = 100 * time.Millisecond
+	timePerToken     = 20 * time.Millisecond
+	meanTokens       = 200
 )
 
-// The exponents of the popularity of a workspace's adapters (Zipf). With the usual one the best 72
-// versions to keep would leave 0.72 loads a second, with the wide one 1.31, of the two that the weight
-// store allows.
+// The Zipf exponents of the popularity of a workspace's adapters. Keeping the best 72 versions loaded would
+// leave 0.72 loads per second with the default exponent and 1.31 with the wide one. The weight store allows
+// two.
 const (
-	usualSkew = 1.8
-	wideSkew  = 1.6
+	defaultSkew = 1.8
+	wideSkew    = 1.6
 )
 
-// Lengths of a case: requests that arrive before warm are played and not counted.
+// Times of a case: requests that arrive before warmUp are simulated but not counted.
 const (
-	warm   = 60 * time.Second
-	length = 240 * time.Second
-	// turn is when what a case is about begins.
-	turn = 100 * time.Second
+	warmUp     = 60 * time.Second
+	caseLength = 240 * time.Second
+	// disturbanceStart is when the fault or change of a case begins.
+	disturbanceStart = 100 * time.Second
 )
 
-// shares of the five workspaces in the requests; their weights are the same.
-var shares = [workspaces]float64{0.35, 0.25, 0.2, 0.12, 0.08}
+// trafficShares holds the five workspaces' shares of the requests, which are also their weights.
+var trafficShares = [workspaces]float64{0.35, 0.25, 0.2, 0.12, 0.08}
 
-// overRate is the workspaces' rate as a multiple of what they usually send. Rates are oversold: not
-// all of them can be used at once.
-const overRate = 6
+// rateOversubscription is the workspaces' rate limit as a multiple of their usual traffic. Rate limits are
+// oversubscribed: not all of them can be used up at once.
+const rateOversubscription = 6
 
-// burstTime is the workspaces' burst, as seconds of their rate.
-const burstTime = 10
+// burstSeconds is the workspaces' burst, in seconds of their rate.
+const burstSeconds = 10
 
-// Case is one named load.
+// Case is one named workload.
 type Case struct {
-	Name  string
-	About string
-	// Load is the work offered as a share of what all batch places can do.
+	Name        string
+	Description string
+	// Load is the offered work as a share of the capacity of all batch slots.
 	Load float64
-	// Flood multiplies what the largest workspace sends from turn on.
+	// Flood multiplies the traffic of the largest workspace from disturbanceStart on.
 	Flood float64
 	// Mixed makes most requests short and a few very long.
 	Mixed bool
-	// Shift moves the popularity to other adapters at turn.
+	// Shift moves the popularity to other adapters at disturbanceStart.
 	Shift bool
-	// Slow multiplies the token time of the first upstream from turn on.
+	// Slow multiplies the time per token of the first upstream from disturbanceStart on.
 	Slow float64
-	// Restart restarts the first upstream, cold, at turn.
+	// Restart restarts the first upstream at disturbanceStart, with nothing loaded.
 	Restart bool
 	// FailedLoads is the share of loads that fail.
 	FailedLoads float64
-	// SlowStore multiplies the time of a load from turn on.
+	// SlowStore multiplies the time of a load from disturbanceStart on.
 	SlowStore float64
-	// Poison is how many requests crash each upstream that runs them, sent again by their callers.
+	// Poison is the number of poison requests. They crash each upstream that runs them, and their
+	// callers retry them.
 	Poison int
 	// Lopsided sends half of all requests to one instance.
 	Lopsided bool
-	// Skew is the exponent of the adapters' popularity, usualSkew if zero.
+	// Skew is the exponent of the adapters' popularity; zero means defaultSkew.
 	Skew float64
-	// BelowCapacity tells that no refusal is to be expected.
+	// BelowCapacity marks a case in which no refusal is expected.
 	BelowCapacity bool
 }
 
-// Cases lists the loads in the order of the tables.
+// Cases returns the workloads in the order of the tables.
 func Cases() []Case {
 	return []Case{
-		{Name: "steady", About: "skewed popularity", Load: 0.6, BelowCapacity: true},
-		{Name: "wide", About: "wider popularity: loads near the weight store's limit", Load: 0.6, Skew: wideSkew},
-		{Name: "shift", About: "popularity moves to other adapters", Load: 0.6, Shift: true},
-		{Name: "flood", About: "one workspace at five times its usual", Load: 0.6, Flood: 5},
-		{Name: "slow-upstream", About: "one upstream three times slower", Load: 0.6, Slow: 3},
-		{Name: "mixed", About: "short and very long work", Load: 0.6, Mixed: true, BelowCapacity: true},
-		{Name: "saturated", About: "half as much again as fits", Load: 1.5},
-		{Name: "cold", About: "one upstream restarts with nothing loaded", Load: 0.6, Restart: true},
-		{Name: "failed-loads", About: "one load in five fails", Load: 0.6, FailedLoads: 0.2},
-		{Name: "poison", About: "three requests crash each upstream that runs them", Load: 0.6, Poison: 3},
-		{Name: "slow-store", About: "loads take four times as long", Load: 0.6, SlowStore: 4},
-		{Name: "lopsided", About: "half of the requests reach one instance", Load: 0.6, Lopsided: true, BelowCapacity: true},
+		{Name: "steady", Description: "skewed popularity", Load: 0.6, BelowCapacity: true},
+		{Name: "wide", Description: "wider popularity: loads near the weight store's limit", Load: 0.6, Skew: wideSkew},
+		{Name: "shift", Description: "popularity moves to other adapters", Load: 0.6, Shift: true},
+		{Name: "flood", Description: "one workspace at five times its usual traffic", Load: 0.6, Flood: 5},
+		{Name: "slow-upstream", Description: "one upstream three times slower", Load: 0.6, Slow: 3},
+		{Name: "mixed", Description: "short and very long work", Load: 0.6, Mixed: true, BelowCapacity: true},
+		{Name: "saturated", Description: "one and a half times the capacity", Load: 1.5},
+		{Name: "cold", Description: "one upstream restarts with nothing loaded", Load: 0.6, Restart: true},
+		{Name: "failed-loads", Description: "one load in five fails", Load: 0.6, FailedLoads: 0.2},
+		{Name: "poison", Description: "three requests crash each upstream that runs them", Load: 0.6, Poison: 3},
+		{Name: "slow-store", Description: "loads take four times as long", Load: 0.6, SlowStore: 4},
+		{Name: "lopsided", Description: "half of the requests reach one instance", Load: 0.6, Lopsided: true, BelowCapacity: true},
 	}
 }
 
 func (c Case) skew() float64 {
 	if c.Skew == 0 {
-		return usualSkew
+		return defaultSkew
 	}
 	return c.Skew
 }
 
-// request is one caller's request.
+// request is one request of a caller.
 type request struct {
 	id        string
 	at        time.Duration
@@ -119,55 +120,55 @@
 	ref       model.Reference
 	tokens    float64
 	cost      float64
-	patience  time.Duration
+	timeout   time.Duration
 	poison    bool
 }
 
-// work is how long the request occupies a batch place at full speed.
+// work returns how long the request occupies a batch slot at full speed.
 func (r request) work() time.Duration {
-	return firstToken + time.Duration(r.tokens*float64(tokenTime))
+	return timeToFirstToken + time.Duration(r.tokens*float64(timePerToken))
 }
 
-// generator draws the requests of a case.
+// generator generates the requests of a case at random.
 type generator struct {
-	load  Case
-	rng   *rand.Rand
-	ranks []float64
+	load       Case
+	rng        *rand.Rand
+	popularity []float64
 }
 
-// requests draws all requests of a case, by time.
+// requests generates all requests of a case, sorted by arrival time.
 func requests(load Case, seed int64) (list []request) {
-	g := generator{load: load, rng: rand.New(rand.NewPCG(uint64(seed), 1)), ranks: zipf(adapters/workspaces, load.skew())}
+	g := generator{load: load, rng: rand.New(rand.NewPCG(uint64(seed), 1)), popularity: zipfCDF(adapters/workspaces, load.skew())}
 	for w := range workspaces {
-		g.draw(w, &list)
+		g.addWorkspaceRequests(w, &list)
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	for i := range list {
 		list[i].id = fmt.Sprintf("r%d", i)
 	}
-	g.poison(list)
+	g.markPoison(list)
 	return list
 }
 
-// ratePerSecond is how many requests a second a workspace usually sends.
+// ratePerSecond returns the usual request rate of a workspace.
 func ratePerSecond(load Case, workspace int) float64 {
-	mean := firstToken.Seconds() + usualWork*tokenTime.Seconds()
-	return load.Load * shares[workspace] * upstreams * batch / mean
+	mean := timeToFirstToken.Seconds() + meanTokens*timePerToken.Seconds()
+	return load.Load * trafficShares[workspace] * upstreams * batchSlots / mean
 }
 
-// draw draws one workspace's requests: independent arrivals at a steady rate.
-func (g generator) draw(workspace int, list *[]request) {
-	for at := time.Duration(0); at < length; {
+// addWorkspaceRequests generates one workspace's requests: a Poisson process with a steady rate.
+func (g generator) addWorkspaceRequests(workspace int, list *[]request) {
+	for at := time.Duration(0); at < caseLength; {
 		rate := ratePerSecond(g.load, workspace)
-		if g.load.Flood > 0 && workspace == 0 && at >= turn {
+		if g.load.Flood > 0 && workspace == 0 && at >= disturbanceStart {
 			rate *= g.load.Flood
 		}
 		at += time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
-		*list = append(*list, g.one(at, workspace))
+		*list = append(*list, g.newRequest(at, workspace))
 	}
 }
 
-func (g generator) one(at time.Duration, workspace int) request {
+func (g generator) newRequest(at time.Duration, workspace int) request {
 	tokens := g.tokens()
 	return request{
 		at:        at,
@@ -176,14 +177,14 @@
 		ref:       g.adapter(at, workspace),
 		tokens:    tokens,
 		cost:      tokens * (1 + g.rng.Float64()/2),
-		patience:  g.patience(),
+		timeout:   g.timeout(),
 	}
 }
 
-// tokens has the mean usualWork in either mix.
+// tokens returns the length of an answer. Its mean is meanTokens with and without Mixed.
 func (g generator) tokens() float64 {
 	if !g.load.Mixed {
-		return usualWork * (0.5 + g.rng.Float64())
+		return meanTokens * (0.5 + g.rng.Float64())
 	}
 	if g.rng.Float64() < 0.1 {
 		return 1640
@@ -191,8 +192,8 @@
 	return 40
 }
 
-// patience: look-ups are given up early, drafts late.
-func (g generator) patience() time.Duration {
+// timeout returns the time within which the caller wants an answer: short for look-ups, long for drafts.
+func (g generator) timeout() time.Duration {
 	return 5*time.Second + time.Duration(g.rng.Float64()*float64(15*time.Second))
 }
 
@@ -203,31 +204,32 @@
 	return g.rng.IntN(instances)
 }
 
-// adapter draws by popularity. A shift turns the ranking by a third: what was idle becomes hot.
+// adapter picks an adapter by popularity. A shift rotates the ranking by a third, so that idle adapters become
+// popular.
 func (g generator) adapter(at time.Duration, workspace int) model.Reference {
 	each := adapters / workspaces
-	rank := sort.SearchFloat64s(g.ranks, g.rng.Float64())
-	if g.load.Shift && at >= turn {
+	rank := sort.SearchFloat64s(g.popularity, g.rng.Float64())
+	if g.load.Shift && at >= disturbanceStart {
 		rank = (rank + each/3) % each
 	}
 	return model.Reference{Adapter: fmt.Sprintf("w%d-a%d", workspace, rank), Version: "v1"}
 }
 
-// poison marks requests after the turn, evenly spread.
-func (g generator) poison(list []request) {
-	next := turn
-	left := g.load.Poison
+// markPoison marks evenly spaced requests after disturbanceStart as poison requests.
+func (g generator) markPoison(list []request) {
+	next := disturbanceStart
+	remaining := g.load.Poison
 	for i := range list {
-		if left > 0 && list[i].at >= next {
+		if remaining > 0 && list[i].at >= next {
 			list[i].poison = true
-			next += (length - turn) / time.Duration(g.load.Poison+1)
-			left--
+			next += (caseLength - disturbanceStart) / time.Duration(g.load.Poison+1)
+			remaining--
 		}
 	}
 }
 
-// zipf is the cumulative distribution of n ranks.
-func zipf(n int, exponent float64) []float64 {
+// zipfCDF returns the cumulative distribution function of a Zipf distribution of n ranks.
+func zipfCDF(n int, exponent float64) []float64 {
 	ranks := make([]float64, n)
 	sum := 0.0
 	for i := range ranks {
--- a/internal/measure/policy/clock.go
+++ b/internal/measure/policy/clock.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// clock.go is the simulated clock: what is to happen, by time and then by order of scheduling.
+// clock.go implements the simulated clock. Events run by time, then in the order in which they were scheduled.
 
-type scheduled struct {
+type timedEvent struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
-type schedule []scheduled
+type eventQueue []timedEvent
 
-func (s schedule) Len() int { return len(s) }
+func (s eventQueue) Len() int { return len(s) }
 
-func (s schedule) Less(i, j int) bool {
+func (s eventQueue) Less(i, j int) bool {
 	if !s[i].at.Equal(s[j].at) {
 		return s[i].at.Before(s[j].at)
 	}
 	return s[i].seq < s[j].seq
 }
 
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
-func (s *schedule) Push(x any) { *s = append(*s, x.(scheduled)) }
+func (s *eventQueue) Push(x any) { *s = append(*s, x.(timedEvent)) }
 
-func (s *schedule) Pop() any {
+func (s *eventQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
-// clock plays scheduled steps; between two of them no time passes for anybody.
+// clock runs scheduled events. Simulated time advances only from one event to the next.
 type clock struct {
 	start time.Time
 	now   time.Time
 	seq   int
-	steps schedule
+	queue eventQueue
 }
 
 func newClock() *clock {
@@ -47,26 +47,26 @@
 	return &clock{start: start, now: start}
 }
 
-func (c *clock) since() time.Duration { return c.now.Sub(c.start) }
+func (c *clock) elapsed() time.Duration { return c.now.Sub(c.start) }
 
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
-	heap.Push(&c.steps, scheduled{at: c.now.Add(d), seq: c.seq, do: do})
+	heap.Push(&c.queue, timedEvent{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
-// every repeats the step until the given time.
+// every repeats the event at an interval until the given time.
 func (c *clock) every(d, until time.Duration, do func()) {
 	c.after(d, func() {
 		do()
-		if c.since() < until {
+		if c.elapsed() < until {
 			c.every(d, until, do)
 		}
 	})
 }
 
-func (c *clock) play() {
-	for len(c.steps) > 0 {
-		next := heap.Pop(&c.steps).(scheduled)
+func (c *clock) run() {
+	for len(c.queue) > 0 {
+		next := heap.Pop(&c.queue).(timedEvent)
 		c.now = next.at
 		next.do()
 	}
--- a/internal/measure/policy/plots.go
+++ b/internal/measure/policy/plots.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plots.go draws one bar chart for each measure: cases along, one bar for each policy.
+// plots.go draws one bar chart for each measure: cases on the x axis, one bar for each policy.
 
 const (
 	plotWidth   = 34 * vg.Centimeter
--- a/internal/measure/policy/run_test.go
+++ b/internal/measure/policy/run_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator repeats the measurement to check a page's figures. If two runs differed, no figure could
-// be compared with the one before a change.
+// Repeated runs with the same seed must give the same figures. Otherwise an operator could not verify a page's
+// figures, or compare them with those before a change.
 func TestSameSeedSameResult(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"poison", "saturated"} {
@@ -19,13 +19,13 @@
 				continue
 			}
 			v := variants()[0]
-			is.Equal(play(load, v, 7), play(load, v, 7))
+			is.Equal(simulate(load, v, 7), simulate(load, v, 7))
 		}
 	}
 }
 
-// The invariants hold in a measured run too: nothing runs after its deadline, nothing that serves is
-// evicted, and one poisonous request crashes three upstreams at the most.
+// The invariants must hold in a measured run too: no request is dispatched after its deadline, no serving
+// version is evicted, and one poison request crashes at most three upstreams.
 func TestInvariantsUnderLoad(t *testing.T) {
 	tests := []string{"saturated", "poison", "cold"}
 	for _, name := range tests {
@@ -35,11 +35,11 @@
 				if load.Name != name {
 					continue
 				}
-				result := play(load, variants()[0], 3)
+				result := simulate(load, variants()[0], 3)
 				is.Equal(result.lateDispatches, 0)
 				is.Equal(result.evictedServing, 0)
-				is.True(result.crashes <= mostCrashesEach*load.Poison)
-				is.True(result.retryShare() <= mostRetries)
+				is.True(result.crashes <= maxCrashesPerPoison*load.Poison)
+				is.True(result.retryShare() <= maxRetryShare)
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 func TestReportIsWritten(t *testing.T) {
 	is := is.New(t)
 	report := Report{Results: []Result{{Case: "steady", Policy: nameHellenic, Stalls: 3}}}
-	report.Goals = judge(report)
+	report.Goals = evaluateGoals(report)
 	directory := t.TempDir()
 	is.NoErr(plotAll(report, directory))
 	plots, err := os.ReadDir(directory)
--- a/internal/measure/policy/simulation.go
+++ b/internal/measure/policy/simulation.go
@@ -10,40 +10,40 @@
 	"lacewingrock.example/lacewingrock/internal/placement/holder"
 )
 
-// simulation.go puts engines, holders, instances and the broker together and carries messages between
+// simulation.go connects engines, holders, instances and the broker, and delivers the messages between
 // them.
 
 const (
-	// hop is the time of a message between two instances, or between an instance and an upstream.
-	hop = time.Millisecond
-	// heartbeat is how often holders tell of their upstreams.
-	heartbeat = 500 * time.Millisecond
-	// reports is how often engines report, and reportAge how old a report is when it arrives.
-	reports   = time.Second
-	reportAge = 500 * time.Millisecond
-	// tick is how often holders and the broker are told that time has passed.
-	tick = 100 * time.Millisecond
-	// drain is how long after the last arrival the steps go on.
-	drain = 90 * time.Second
+	// messageDelay is the latency of a message between two instances, or between an instance and an upstream.
+	messageDelay = time.Millisecond
+	// heartbeatInterval is how often holders send summaries of their upstreams.
+	heartbeatInterval = 500 * time.Millisecond
+	// reportInterval is how often engines report, and reportAge is the age of a report on arrival.
+	reportInterval = time.Second
+	reportAge      = 500 * time.Millisecond
+	// tickInterval is how often holders and the broker get a Tick event.
+	tickInterval = 100 * time.Millisecond
+	// drainTime is how long after the last arrival the periodic events continue.
+	drainTime = 90 * time.Second
 )
 
-// simulation is one case played with one variant.
+// simulation is the state of one simulated case and variant.
 type simulation struct {
-	clock   *clock
-	load    Case
-	variant variant
-	rng     *rand.Rand
-	entries []*entry
-	engines []*engine
-	broker  *broker.Broker
-	calls   map[string]*call
-	loading int
-	tally   *tally
-	rates   [workspaces]rateBucket
-}
-
-// play plays a case with a variant and returns what came out.
-func play(load Case, v variant, seed int64) *tally {
+	clock         *clock
+	load          Case
+	variant       variant
+	rng           *rand.Rand
+	entries       []*entry
+	engines       []*engine
+	broker        *broker.Broker
+	calls         map[string]*call
+	loadsInFlight int
+	tally         *tally
+	rates         [workspaces]rateBucket
+}
+
+// simulate simulates a case with a variant and returns the tally of its outcomes.
+func simulate(load Case, v variant, seed int64) *tally {
 	s := &simulation{
 		clock:   newClock(),
 		load:    load,
@@ -58,9 +58,9 @@
 	s.addEntries()
 	s.start()
 	for _, r := range requests(load, seed) {
-		s.clock.after(r.at, func() { s.entries[r.instance].arrive(r) })
+		s.clock.after(r.at, func() { s.entries[r.instance].admit(r) })
 	}
-	s.clock.play()
+	s.clock.run()
 	return s.tally
 }
 
@@ -68,13 +68,13 @@
 	for i := range upstreams {
 		declared := resource.Upstream{
 			Meta:      resource.Meta{Name: fmt.Sprintf("u%d", i)},
-			BaseModel: baseModel, Slots: slots, Batch: batch, ChecksFencing: true,
+			BaseModel: baseModel, Slots: adapterSlots, Batch: batchSlots, ChecksFencing: true,
 		}
 		s.engines = append(s.engines, &engine{
 			sim: s, number: i, declared: declared,
 			holder:   &holder.Holder{Upstream: declared, Settings: s.variant.policy.Holder},
 			resident: make(map[refKey]bool),
-			running:  make(map[string]*run),
+			running:  make(map[string]*execution),
 		})
 	}
 }
@@ -89,57 +89,57 @@
 	}
 }
 
-// start brings the holders into force and schedules what repeats.
+// start activates the holders and schedules the periodic events.
 func (s *simulation) start() {
-	until := length + drain
+	until := caseLength + drainTime
 	for _, e := range s.engines {
-		s.tell(e, holder.Appointed{Epoch: 1, Members: []string{"all"}})
-		s.tell(e, holder.EpochInForce{Epoch: 1})
-		s.tell(e, holder.PinsReported{Instance: "all", Epoch: 1})
-		s.clock.every(tick, until, func() { s.tell(e, holder.Tick{}) })
-		s.clock.every(reports, until, func() { s.report(e) })
-		s.clock.every(heartbeat, until, func() { s.summarise(e) })
-	}
-	s.clock.every(tick, until, func() { s.askBroker(broker.Tick{}) })
-	s.clock.every(heartbeat, until, s.shareSuspects)
+		s.deliver(e, holder.Appointed{Epoch: 1, Members: []string{"all"}})
+		s.deliver(e, holder.EpochInForce{Epoch: 1})
+		s.deliver(e, holder.PinsReported{Instance: "all", Epoch: 1})
+		s.clock.every(tickInterval, until, func() { s.deliver(e, holder.Tick{}) })
+		s.clock.every(reportInterval, until, func() { s.sendReport(e) })
+		s.clock.every(heartbeatInterval, until, func() { s.broadcastSummary(e) })
+	}
+	s.clock.every(tickInterval, until, func() { s.deliverToBroker(broker.Tick{}) })
+	s.clock.every(heartbeatInterval, until, s.exchangeSuspects)
 	if s.load.Restart {
-		s.clock.after(turn, func() { s.engines[0].crash(nil) })
+		s.clock.after(disturbanceStart, func() { s.engines[0].crash(nil) })
 	}
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// tell gives the engine's holder an event and carries out what it decides.
-func (s *simulation) tell(e *engine, event holder.Event) {
+// deliver delivers an event to the engine's holder and executes the resulting actions.
+func (s *simulation) deliver(e *engine, event holder.Event) {
 	for _, action := range e.holder.Handle(s.clock.now, event) {
-		s.carryOut(e, action)
+		s.execute(e, action)
 	}
 }
 
-func (s *simulation) carryOut(e *engine, action holder.Action) {
+func (s *simulation) execute(e *engine, action holder.Action) {
 	switch a := action.(type) {
 	case holder.Grant:
 		c := s.calls[a.Pin.RequestID]
 		c.waitedLoad += a.WaitedLoad
-		s.clock.after(2*hop, func() { e.begin(c, a.Pin) })
+		s.clock.after(2*messageDelay, func() { e.startRequest(c, a.Pin) })
 	case holder.Refuse:
 		c := s.calls[a.RequestID]
 		c.waitedLoad += a.WaitedLoad
-		s.clock.after(hop, func() { c.entry.refused(c, e) })
+		s.clock.after(messageDelay, func() { c.entry.handleRefusal(c, e) })
 	case holder.OrderFence:
-		s.clock.after(2*hop, func() { s.tell(e, holder.FenceNoted(a)) })
+		s.clock.after(2*messageDelay, func() { s.deliver(e, holder.FenceNoted(a)) })
 	case holder.RequestPermit:
-		s.clock.after(hop, func() { s.askBroker(asked(e, a)) })
+		s.clock.after(messageDelay, func() { s.deliverToBroker(permitRequest(e, a)) })
 	case holder.ReturnPermit:
 		load := broker.Load{Upstream: e.name(), Model: a.Model}
-		s.clock.after(hop, func() { s.askBroker(broker.Withdrawn{Load: load}) })
+		s.clock.after(messageDelay, func() { s.deliverToBroker(broker.Withdrawn{Load: load}) })
 	case holder.OrderLoad:
-		s.clock.after(hop, func() { e.order(a) })
+		s.clock.after(messageDelay, func() { e.startLoad(a) })
 	case holder.RequestPins:
 	}
 }
 
-func asked(e *engine, a holder.RequestPermit) broker.PermitRequested {
+func permitRequest(e *engine, a holder.RequestPermit) broker.PermitRequested {
 	return broker.PermitRequested{
 		Load:      broker.Load{Upstream: e.name(), Model: a.Model},
 		Workspace: a.Workspace,
@@ -149,53 +149,53 @@
 	}
 }
 
-func (s *simulation) askBroker(event broker.Event) {
+func (s *simulation) deliverToBroker(event broker.Event) {
 	for _, action := range s.broker.Handle(s.clock.now, event) {
 		switch a := action.(type) {
 		case broker.Permit:
-			s.answer(a.Load, holder.PermitGranted{Model: a.Load.Model, UseWithin: a.UseWithin})
+			s.replyToHolder(a.Load, holder.PermitGranted{Model: a.Load.Model, UseWithin: a.UseWithin})
 		case broker.Refuse:
-			s.answer(a.Load, holder.PermitRefused{Model: a.Load.Model, RetryAfter: a.RetryAfter})
+			s.replyToHolder(a.Load, holder.PermitRefused{Model: a.Load.Model, RetryAfter: a.RetryAfter})
 		}
 	}
 }
 
-func (s *simulation) answer(load broker.Load, event holder.Event) {
+func (s *simulation) replyToHolder(load broker.Load, event holder.Event) {
 	for _, e := range s.engines {
 		if e.name() == load.Upstream {
-			s.clock.after(hop, func() { s.tell(e, event) })
+			s.clock.after(messageDelay, func() { s.deliver(e, event) })
 		}
 	}
 }
 
-// loadTakes is how long a load takes that begins now.
-func (s *simulation) loadTakes() time.Duration {
-	takes := float64(loadTime) * max(1, float64(s.loading)/crowd)
-	if s.load.SlowStore > 0 && s.clock.since() >= turn {
-		takes *= s.load.SlowStore
+// loadDuration returns the duration of a load that starts now.
+func (s *simulation) loadDuration() time.Duration {
+	duration := float64(loadTime) * max(1, float64(s.loadsInFlight)/uncongestedLoads)
+	if s.load.SlowStore > 0 && s.clock.elapsed() >= disturbanceStart {
+		duration *= s.load.SlowStore
 	}
-	return time.Duration(takes)
+	return time.Duration(duration)
 }
 
-func (s *simulation) report(e *engine) {
+func (s *simulation) sendReport(e *engine) {
 	if e.down {
 		return
 	}
-	report := holder.Reported{Incarnation: e.life(), Resident: e.list(), Age: reportAge}
-	s.clock.after(reportAge, func() { s.tell(e, report) })
+	report := holder.Reported{Incarnation: e.incarnationID(), Resident: e.residentModels(), Age: reportAge}
+	s.clock.after(reportAge, func() { s.deliver(e, report) })
 }
 
-func (s *simulation) summarise(e *engine) {
-	told := e.holder.Summary(s.clock.now)
+func (s *simulation) broadcastSummary(e *engine) {
+	summary := e.holder.Summary(s.clock.now)
 	at := s.clock.now
-	s.clock.after(hop, func() {
+	s.clock.after(messageDelay, func() {
 		for _, entry := range s.entries {
-			entry.learn(told, at)
+			entry.updateSummary(summary, at)
 		}
 	})
 }
 
-func (s *simulation) shareSuspects() {
+func (s *simulation) exchangeSuspects() {
 	for _, from := range s.entries {
 		counts := from.suspects.LocalCounts(s.clock.now)
 		for _, to := range s.entries {
@@ -206,18 +206,18 @@
 	}
 }
 
-// ended tells the holder and the instance that a granted request is over.
-func (s *simulation) ended(e *engine, c *call, released holder.Released, took time.Duration) {
-	s.clock.after(hop, func() { s.tell(e, released) })
-	s.clock.after(hop, func() { c.entry.ended(c, e.name(), released, took) })
+// notifyEnd notifies the holder and the instance that a granted request has ended.
+func (s *simulation) notifyEnd(e *engine, c *call, released holder.Released, took time.Duration) {
+	s.clock.after(messageDelay, func() { s.deliver(e, released) })
+	s.clock.after(messageDelay, func() { c.entry.handleEnd(c, e.name(), released, took) })
 }
 
-// crashed tells the instances what they lost.
-func (s *simulation) crashed(e *engine, lost []*run) {
+// notifyCrash notifies the instances of a crash, and the holder and the instances of the lost requests.
+func (s *simulation) notifyCrash(e *engine, lost []*execution) {
 	for _, entry := range s.entries {
-		entry.crashed(lost)
+		entry.recordCrash(lost)
 	}
 	for _, r := range lost {
-		s.ended(e, r.call, holder.Released{Pin: r.pin.ID, UpstreamFailed: true}, 0)
+		s.notifyEnd(e, r.call, holder.Released{Pin: r.pin.ID, UpstreamFailed: true}, 0)
 	}
 }
--- a/internal/measure/policy/tables.go
+++ b/internal/measure/policy/tables.go
@@ -7,10 +7,10 @@
 	"lacewingrock.example/lacewingrock/internal/placement/deployment"
 )
 
-// tables.go writes the results as Markdown: one table for each measure, cases down and policies
-// across, then what the two deployments' settings buy, then the goals.
+// tables.go renders the results as Markdown: one table for each measure, with a row for each case and a column
+// for each policy, then a comparison of the two deployments' settings, then the goals.
 
-// measure is one figure of a result. ratio tells that a table of ratios to least-loaded is wanted too.
+// measure is one figure of a result. ratio requests an additional table of ratios to least-loaded.
 type measure struct {
 	name   string
 	file   string
@@ -21,23 +21,23 @@
 
 func measures() []measure {
 	return []measure{
-		{"Load stalls (requests that waited for a load, or were refused for want of it)", "load_stalls", "%.0f", func(r Result) float64 { return r.Stalls }, true},
+		{"Load stalls (requests that waited for a load, or were refused because none could be had)", "load_stalls", "%.0f", func(r Result) float64 { return r.Stalls }, true},
 		{"Load stalls (seconds waited)", "load_stall_seconds", "%.0f", func(r Result) float64 { return r.StallSeconds }, true},
-		{"Batch efficiency (share of batch places' time that worked for answers)", "batch_efficiency", "%.3f", func(r Result) float64 { return r.Efficiency }, true},
-		{"Worst-served workspace: goodput as a share of what is fair", "worst_share", "%.3f", func(r Result) float64 { return r.WorstShare }, true},
+		{"Batch efficiency (share of batch slots' time spent on answered requests)", "batch_efficiency", "%.3f", func(r Result) float64 { return r.Efficiency }, true},
+		{"Worst-served workspace: goodput as a share of its fair share", "worst_share", "%.3f", func(r Result) float64 { return r.WorstShare }, true},
 		{"Worst-served workspace: first token, 95th percentile in seconds", "worst_first_token", "%.2f", func(r Result) float64 { return r.WorstFirstToken }, true},
-		{"Wrongful refusals (share of the requests within their rates)", "wrongful_refusals", "%.4f", func(r Result) float64 { return r.Wrongful }, true},
-		{"Loads a second", "loads", "%.2f", func(r Result) float64 { return r.Loads }, false},
-		{"Retries (share of first sends)", "retries", "%.3f", func(r Result) float64 { return r.Retries }, false},
+		{"Wrongful refusals (share of the requests within their rate limits)", "wrongful_refusals", "%.4f", func(r Result) float64 { return r.Wrongful }, true},
+		{"Loads per second", "loads", "%.2f", func(r Result) float64 { return r.Loads }, false},
+		{"Retries (ratio to first attempts)", "retries", "%.3f", func(r Result) float64 { return r.Retries }, false},
 	}
 }
 
 func markdown(report Report, seed int64) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "`make measure`, seeds %d to %d: %d instances, %d upstreams with %d slots and %d batch places each, ",
-		seed, seed+seedsEach-1, instances, upstreams, slots, batch)
-	fmt.Fprintf(&b, "%d adapters (Zipf %.1f within each workspace, %.1f in wide), %d workspaces; %s of arrivals after %s of warming up. Means over the seeds.\n",
-		adapters, usualSkew, wideSkew, workspaces, length-warm, warm)
+	fmt.Fprintf(&b, "`make measure`, seeds %d to %d: %d instances, %d upstreams with %d adapter slots and %d batch slots each, ",
+		seed, seed+seedCount-1, instances, upstreams, adapterSlots, batchSlots)
+	fmt.Fprintf(&b, "%d adapters (Zipf %.1f within each workspace, %.1f in wide), %d workspaces; %s of arrivals after %s of warm-up. Means over the seeds.\n",
+		adapters, defaultSkew, wideSkew, workspaces, caseLength-warmUp, warmUp)
 	writeCases(&b)
 	for _, m := range measures() {
 		writeMeasure(&b, report, m, false)
@@ -53,7 +53,7 @@
 func writeCases(b *strings.Builder) {
 	b.WriteString("\n| case | load | offered |\n|---|---|---|\n")
 	for _, load := range Cases() {
-		fmt.Fprintf(b, "| %s | %s | %.0f%% of capacity |\n", load.Name, load.About, load.Load*100)
+		fmt.Fprintf(b, "| %s | %s | %.0f%% of capacity |\n", load.Name, load.Description, load.Load*100)
 	}
 }
 
@@ -71,7 +71,7 @@
 		fmt.Fprintf(b, "| %s |", load.Name)
 		base := m.value(report.find(load.Name, nameLeastLoaded))
 		for _, v := range variants() {
-			fmt.Fprintf(b, " %s |", cell(m, m.value(report.find(load.Name, v.name)), base, ratio))
+			fmt.Fprintf(b, " %s |", formatCell(m, m.value(report.find(load.Name, v.name)), base, ratio))
 		}
 		b.WriteString("\n")
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func cell(m measure, value, base float64, ratio bool) string {
+func formatCell(m measure, value, base float64, ratio bool) string {
 	if !ratio {
 		return fmt.Sprintf(m.format, value)
 	}
@@ -90,10 +90,10 @@
 	return fmt.Sprintf("%.2f", value/base)
 }
 
-// writeSettings shows what the settings that differ buy and cost, summed or averaged over the cases.
+// writeSettings compares the settings in which the two deployments differ, with the figures averaged over the cases.
 func writeSettings(b *strings.Builder, report Report) {
-	b.WriteString("\n### What the settings buy and cost\n\nMeans over all cases.\n\n")
-	b.WriteString("| policy | longest backlog | price of a load at a busy store | stalls | stall seconds | efficiency | worst share | worst first token | wrongful |\n")
+	b.WriteString("\n### Comparison of the settings\n\nMeans over all cases.\n\n")
+	b.WriteString("| policy | maximum backlog | load price at a busy store | stalls | stall seconds | efficiency | worst share | worst first token | wrongful |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
 	for _, p := range []deployment.Policy{deployment.BlueMountain(), deployment.Hellenic()} {
 		mean := meanOverCases(report, p.Name)
--- a/internal/measure/policy/tally.go
+++ b/internal/measure/policy/tally.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// tally.go counts what came out for callers. Requests that arrive before warm are not counted.
+// tally.go counts the outcomes for callers. Requests that arrive before warmUp are not counted.
 
 type tally struct {
-	requests       int
-	withinRate     int
-	answered       int
-	refusedWithin  int
-	stalls         int
-	stallTime      time.Duration
-	loads          int
-	firsts         int
-	retries        int
-	crashes        int
-	lateDispatches int
-	evictedServing int
-	usefulTime     time.Duration
-	burnedTime     time.Duration
-	offeredWork    [workspaces]time.Duration
-	answeredWork   [workspaces]time.Duration
-	firstTokens    [workspaces][]time.Duration
+	requests         int
+	withinRate       int
+	answered         int
+	wrongfulRefusals int
+	stalls           int
+	stallTime        time.Duration
+	loads            int
+	firstAttempts    int
+	retries          int
+	crashes          int
+	lateDispatches   int
+	evictedServing   int
+	usefulTime       time.Duration
+	wastedTime       time.Duration
+	offeredWork      [workspaces]time.Duration
+	answeredWork     [workspaces]time.Duration
+	firstTokens      [workspaces][]time.Duration
 }
 
 func newTally() *tally { return &tally{} }
 
-func counts(r request) bool { return r.at >= warm }
+func isCounted(r request) bool { return r.at >= warmUp }
 
-func (t *tally) offered(r request, within bool) {
-	if !counts(r) {
+func (t *tally) recordOffered(r request, within bool) {
+	if !isCounted(r) {
 		return
 	}
 	t.requests++
@@ -43,70 +43,70 @@
 	t.offeredWork[r.workspace] += r.work()
 }
 
-func (t *tally) answer(c *call) {
-	if !counts(c.request) {
+func (t *tally) recordAnswer(c *call) {
+	if !isCounted(c.request) {
 		return
 	}
 	t.answered++
 	t.answeredWork[c.request.workspace] += c.request.work()
 	first := c.firstToken - c.request.at
 	t.firstTokens[c.request.workspace] = append(t.firstTokens[c.request.workspace], first)
-	t.stall(c)
+	t.recordStall(c)
 }
 
-// refuse counts a request that was within its workspace's rate and not answered.
-func (t *tally) refuse(c *call) {
-	if !counts(c.request) || c.request.poison {
+// recordRefusal counts a request that was within its workspace's rate limit and was not answered.
+func (t *tally) recordRefusal(c *call) {
+	if !isCounted(c.request) || c.request.poison {
 		return
 	}
-	t.refusedWithin++
-	t.stall(c)
+	t.wrongfulRefusals++
+	t.recordStall(c)
 }
 
-func (t *tally) stall(c *call) {
-	if c.waitedLoad > 0 || c.wantedLoad {
+func (t *tally) recordStall(c *call) {
+	if c.waitedLoad > 0 || c.neededLoad {
 		t.stalls++
 		t.stallTime += c.waitedLoad
 	}
 }
 
-func (t *tally) load(at time.Duration) {
-	if at >= warm && at < length {
+func (t *tally) recordLoad(at time.Duration) {
+	if at >= warmUp && at < caseLength {
 		t.loads++
 	}
 }
 
-// useful counts the time a batch place worked for an answer, at the speed of a healthy upstream.
-func (t *tally) useful(from, to time.Duration, slowness float64) {
-	t.usefulTime += time.Duration(float64(inWindow(from, to)) / slowness)
+// recordUseful adds the time that a batch slot spent on an answered request, at the speed of a healthy upstream.
+func (t *tally) recordUseful(from, to time.Duration, slowdown float64) {
+	t.usefulTime += time.Duration(float64(measuredPart(from, to)) / slowdown)
 }
 
-// burned counts the time a batch place worked for nothing.
-func (t *tally) burned(from, to time.Duration) { t.burnedTime += inWindow(from, to) }
+// recordWasted adds the time that a batch slot spent on a request that was lost.
+func (t *tally) recordWasted(from, to time.Duration) { t.wastedTime += measuredPart(from, to) }
 
-func inWindow(from, to time.Duration) time.Duration {
-	return max(0, min(to, length)-max(from, warm))
+func measuredPart(from, to time.Duration) time.Duration {
+	return max(0, min(to, caseLength)-max(from, warmUp))
 }
 
 // ---------------------------------------------------------------------------------------------
 
-// efficiency is the share of all batch places' time that worked for answers.
+// efficiency returns the share of all batch slots' time spent on answered requests.
 func (t *tally) efficiency() float64 {
-	return t.usefulTime.Seconds() / ((length - warm).Seconds() * upstreams * batch)
+	return t.usefulTime.Seconds() / ((caseLength - warmUp).Seconds() * upstreams * batchSlots)
 }
 
-// wrongful is the share of the requests within their rates that were refused.
-func (t *tally) wrongful() float64 {
-	return float64(t.refusedWithin) / float64(max(t.withinRate, 1))
+// wrongfulShare returns the share of the requests within their rate limits that were refused.
+func (t *tally) wrongfulShare() float64 {
+	return float64(t.wrongfulRefusals) / float64(max(t.withinRate, 1))
 }
 
-// retryShare is the share of repeated sends in the first ones.
+// retryShare returns the ratio of retries to first attempts.
 func (t *tally) retryShare() float64 {
-	return float64(t.retries) / float64(max(t.firsts, 1))
+	return float64(t.retries) / float64(max(t.firstAttempts, 1))
 }
 
-// worstShare is the worst-served workspace's answered work as a share of what is fair: all it asked
-// for within its rate, or its weighted part of the places where all cannot be had.
+// worstShare returns the worst-served workspace's answered work as a share of its fair share: all work that it
+// offered within its rate limit, or, if the capacity is not enough, its weighted part of the batch slots.
 func (t *tally) worstShare() float64 {
 	worst := 1.0
 	fair := t.fairWork()
@@ -118,36 +118,37 @@
 	return worst
 }
 
-// fairWork divides the places' time by weight, in seconds; what one does not ask for goes to others.
+// fairWork divides the batch slots' time by weight, in seconds. Time that one workspace does not need is shared by
+// the others (max-min fairness).
 func (t *tally) fairWork() (fair [workspaces]float64) {
-	left := (length - warm).Seconds() * upstreams * batch
-	open := make(map[int]bool)
+	remaining := (caseLength - warmUp).Seconds() * upstreams * batchSlots
+	unsatisfied := make(map[int]bool)
 	weight := 0.0
 	for w := range workspaces {
-		open[w] = true
-		weight += shares[w]
+		unsatisfied[w] = true
+		weight += trafficShares[w]
 	}
 	for range workspaces {
 		for w := range workspaces {
 			asked := t.offeredWork[w].Seconds()
-			if open[w] && asked <= left*shares[w]/weight {
+			if unsatisfied[w] && asked <= remaining*trafficShares[w]/weight {
 				fair[w] = asked
-				left -= asked
-				weight -= shares[w]
-				delete(open, w)
+				remaining -= asked
+				weight -= trafficShares[w]
+				delete(unsatisfied, w)
 			}
 		}
 	}
 	for w := range workspaces {
-		if open[w] {
-			fair[w] = left * shares[w] / weight
+		if unsatisfied[w] {
+			fair[w] = remaining * trafficShares[w] / weight
 		}
 	}
 	return fair
 }
 
-// worstFirstToken is the time to the first token that 95 in 100 answers of a workspace keep, of the
-// workspace where it is longest.
+// worstFirstToken returns the 95th percentile of the time to first token, of the workspace where it is
+// longest.
 func (t *tally) worstFirstToken() (worst time.Duration) {
 	for _, times := range t.firstTokens {
 		if len(times) == 0 {
--- a/internal/measure/policy/variants.go
+++ b/internal/measure/policy/variants.go
@@ -7,28 +7,28 @@
 	"lacewingrock.example/lacewingrock/internal/placement/holder"
 )
 
-// variants.go lists what is compared: our policy with the settings of either deployment, and simple
-// baselines that differ from it in one thing or a few.
+// variants.go lists the policies compared: the project's policy with the settings of each deployment, and simple
+// baselines that differ from it in one or a few respects.
 
-// chooser is the way an instance chooses an upstream. It is sealed.
+// chooser selects how an instance chooses an upstream. It is a sealed interface.
 type chooser interface{ chooser() }
 
 type (
-	// routed is our route.
-	routed struct{}
-	// randomly takes any upstream.
-	randomly struct{}
-	// leastLoaded takes the upstream with the most free places or the shortest queue, whatever it
-	// has loaded.
-	leastLoaded struct{}
+	// routerChooser chooses with the project's router.
+	routerChooser struct{}
+	// randomChooser chooses an upstream at random.
+	randomChooser struct{}
+	// leastLoadedChooser chooses the upstream with the most free batch slots or the shortest queue,
+	// whatever it has loaded.
+	leastLoadedChooser struct{}
 )
 
-func (routed) chooser()      {}
-func (randomly) chooser()    {}
-func (leastLoaded) chooser() {}
+func (routerChooser) chooser()      {}
+func (randomChooser) chooser()      {}
+func (leastLoadedChooser) chooser() {}
 
-// variant is one policy under measurement. splitRate gives each instance an even part of each
-// workspace's rate; otherwise the rate is counted over all instances, as the admission packages do.
+// variant is one policy to measure. splitRate gives each instance an equal part of each workspace's rate limit;
+// otherwise the limit applies to all instances together, as in the admission packages.
 type variant struct {
 	name      string
 	policy    deployment.Policy
@@ -36,7 +36,7 @@
 	splitRate bool
 }
 
-// The names of the variants that the goals speak of.
+// The names of the variants.
 const (
 	nameBlueMountain = "blue-mountain"
 	nameHellenic     = "hellenic"
@@ -49,17 +49,17 @@
 
 func variants() []variant {
 	return []variant{
-		{name: nameBlueMountain, policy: deployment.BlueMountain(), chooser: routed{}},
-		{name: nameHellenic, policy: deployment.Hellenic(), chooser: routed{}},
-		{name: nameRandom, policy: leastRecentlyUsed(), chooser: randomly{}},
-		{name: nameLeastLoaded, policy: leastRecentlyUsed(), chooser: leastLoaded{}},
-		{name: nameLRU, policy: leastRecentlyUsed(), chooser: routed{}},
-		{name: nameFIFO, policy: firstInFirstOut(), chooser: routed{}},
-		{name: nameEvenSplit, policy: deployment.BlueMountain(), chooser: routed{}, splitRate: true},
+		{name: nameBlueMountain, policy: deployment.BlueMountain(), chooser: routerChooser{}},
+		{name: nameHellenic, policy: deployment.Hellenic(), chooser: routerChooser{}},
+		{name: nameRandom, policy: leastRecentlyUsed(), chooser: randomChooser{}},
+		{name: nameLeastLoaded, policy: leastRecentlyUsed(), chooser: leastLoadedChooser{}},
+		{name: nameLRU, policy: leastRecentlyUsed(), chooser: routerChooser{}},
+		{name: nameFIFO, policy: firstInFirstOut(), chooser: routerChooser{}},
+		{name: nameEvenSplit, policy: deployment.BlueMountain(), chooser: routerChooser{}, splitRate: true},
 	}
 }
 
-func isOurs(name string) bool { return name == nameBlueMountain || name == nameHellenic }
+func isOwnPolicy(name string) bool { return name == nameBlueMountain || name == nameHellenic }
 
 func leastRecentlyUsed() deployment.Policy {
 	p := deployment.BlueMountain()
@@ -75,7 +75,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// rateBucket is a workspace's rate at one place: tokens that refill.
+// rateBucket is a token bucket for a workspace's rate limit, of one instance or of the fleet.
 type rateBucket struct {
 	rate, burst, tokens float64
 	at                  time.Duration
@@ -91,13 +91,13 @@
 	return true
 }
 
-// newBuckets makes the buckets of all workspaces, each holding the given part of the rate.
+// newBuckets makes the token buckets of all workspaces, each with the given part of the rate limit.
 func newBuckets(load Case, part float64) (buckets [workspaces]rateBucket) {
 	for w := range buckets {
-		// The expected cost is a quarter above the true one; the saturated case offers its load within
-		// the rates, so that each refusal there is one of the placement.
-		rate := ratePerSecond(load, w) * usualWork * 1.25 * overRate * part
-		buckets[w] = rateBucket{rate: rate, burst: rate * burstTime, tokens: rate * burstTime}
+		// The expected cost is on average a quarter above the actual one. The saturated case offers its
+		// load within the rate limits, so that each refusal there is caused by placement.
+		rate := ratePerSecond(load, w) * meanTokens * 1.25 * rateOversubscription * part
+		buckets[w] = rateBucket{rate: rate, burst: rate * burstSeconds, tokens: rate * burstSeconds}
 	}
 	return buckets
 }
--- a/internal/measure/section/replace.go
+++ b/internal/measure/section/replace.go
@@ -1,5 +1,5 @@
-// Package section writes measured tables into a page: each measuring program owns the part of the page
-// between its two marks and leaves the rest as it is.
+// Package section writes measured tables into a Markdown page. Each measuring program owns the section between
+// its two markers and leaves the rest unchanged.
 package section
 
 import (
@@ -11,8 +11,8 @@
 
 const permissions = 0o644
 
-// Replace puts text between the marks of that name in the file, or at its end when it has no such
-// marks. A missing file is made.
+// Replace writes text between the markers with the given name in the file, or at the end of the file if it has
+// no such markers. It creates a missing file.
 func Replace(file, name, text string) (err error) {
 	defer func() { err = errors.WithMessagef(err, "write section %s of %s", name, file) }()
 	old, err := os.ReadFile(file)
@@ -22,7 +22,7 @@
 	return os.WriteFile(file, []byte(Splice(string(old), name, text)), permissions)
 }
 
-// Splice returns the page with the named section replaced or added.
+// Splice returns the page with the named section replaced or appended.
 func Splice(page, name, text string) string {
 	begin := "<!-- measured: " + name + " -->\n"
 	end := "<!-- end of measured: " + name + " -->\n"
--- a/internal/measure/section/replace_test.go
+++ b/internal/measure/section/replace_test.go
@@ -8,7 +8,7 @@
 	"lacewingrock.example/lacewingrock/internal/measure/section"
 )
 
-func TestSpliceLeavesTheRest(t *testing.T) {
+func TestSpliceKeepsOtherSections(t *testing.T) {
 	is := is.New(t)
 	page := section.Splice("# Page\n\ntext\n", "a", "one")
 	page = section.Splice(page, "b", "two")
