--- a/internal/proof/integration/configuration_test.go
+++ b/internal/proof/integration/configuration_test.go
@@ -37,23 +37,23 @@
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
-		at, asked, came := state.(int64), input.(versionedChange), output.(changeResult)
-		switch came.outcome {
+		current, change, result := state.(int64), input.(versionedChange), output.(changeResult)
+		switch result.outcome {
 		case "accepted":
-			if (at == asked.expected || at == anyVersion) && came.version > asked.expected {
-				return []any{came.version}
+			if (current == change.expected || current == anyVersion) && result.version > change.expected {
+				return []any{result.version}
 			}
 			return nil
 		case "conflict":
-			if at != asked.expected {
-				return []any{at}
+			if current != change.expected {
+				return []any{current}
 			}
 			return nil
 		default:
-			if at == asked.expected || at == anyVersion {
-				return []any{at, int64(anyVersion)}
+			if current == change.expected || current == anyVersion {
+				return []any{current, int64(anyVersion)}
 			}
-			return []any{at}
+			return []any{current}
 		}
 	},
 	Equal: func(a, b any) bool { return a.(int64) == b.(int64) },
@@ -81,7 +81,7 @@
 	for instance := range w.d.InstanceOf {
 		operators.Go(func() { w.watchVersions(t, instance, stop) })
 	}
-	w.injectStoreFaults()
+	w.injectFaults()
 	close(stop)
 	operators.Wait()
 	events, accepted := h.done()
@@ -99,7 +99,7 @@
 	w.checkSettled(t)
 }
 
-func (w *world) injectStoreFaults() {
+func (w *world) injectFaults() {
 	time.Sleep(time.Second)
 	for range 5 {
 		w.storeFaults(kv.Faults{LoseAnswers: 1})
