--- a/internal/command/daemon/serve.go
+++ b/internal/command/daemon/serve.go
@@ -66,9 +66,9 @@
 	if err != nil {
 		return c.program.fail(exitInvalid, err)
 	}
-	ring := &logring.Ring{Out: logline.Format(c.program.Out), Budget: int(settings.Log.Budget)}
+	ring := &logring.Ring{Out: logline.NewFormatter(c.program.Out), Budget: int(settings.Log.Budget)}
 	ring.Start()
-	logger, err := logline.Through(ring, "lacewingd", settings.Log.Level)
+	logger, err := logline.NewWithWriter(ring, "lacewingd", settings.Log.Level)
 	if err != nil {
 		return c.program.fail(exitInvalid, err)
 	}
@@ -85,7 +85,7 @@
 		Orders:           &platform.Orders{Client: newHTTPClient(), Timeout: orderTimeout},
 		ReadyPath:        platform.PathReady,
 		Log:              logger,
-		DroppedLogEvents: ring.Dropped,
+		DroppedLogEvents: ring.TakeDropped,
 		ReloadSettings:   func() (node.Settings, error) { return node.LoadSettings(c.file) },
 		ApplySettings: func(changed node.Settings) {
 			store.Set(changed.Platform.StoreAddress, changed.Platform.StoreTimeout)
--- a/internal/report/burn/burn_test.go
+++ b/internal/report/burn/burn_test.go
@@ -78,7 +78,7 @@
 func TestRecorderIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		recorder := &burn.Recorder{Workspaces: 3}
+		recorder := &burn.Recorder{MaxWorkspaces: 3}
 		var group sync.WaitGroup
 		for n := range 50 {
 			group.Go(func() { recorder.Record(fmt.Sprint(n), burn.Answered, true) })
@@ -86,7 +86,7 @@
 		group.Wait()
 		is.Equal(len(recorder.Counts()), 3)
 		time.Sleep(2 * time.Hour)
-		recorder.Record("new", burn.Answered, true) // the others have had no request for longer than Keep
+		recorder.Record("new", burn.Answered, true) // the others have had no request for longer than Retention
 		is.Equal(recorder.Counts()[0].Workspace, "new")
 	})
 }
@@ -96,7 +96,7 @@
 func TestRingWrapsAround(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		recorder := &burn.Recorder{Bucket: time.Second, Keep: 10 * time.Second}
+		recorder := &burn.Recorder{Bucket: time.Second, Retention: 10 * time.Second}
 		total := int64(0)
 		for range 35 {
 			recorder.Record("a", burn.Answered, true)
--- a/internal/report/burn/recorder.go
+++ b/internal/report/burn/recorder.go
@@ -6,14 +6,14 @@
 )
 
 // Recorder counts good and bad requests at one instance. Bucket is the length of a time bucket, in whole
-// seconds. Keep is the retention period of the buckets and must be at least the long window. Workspaces
+// seconds. Retention is the retention period of the buckets and must be at least the long window. MaxWorkspaces
 // limits the number of workspaces counted, so that memory stays bounded however many are declared;
 // requests of further workspaces are not counted. Zero fields get the defaults. Safe for concurrent use
 // once its fields are set.
 type Recorder struct {
-	Bucket     time.Duration
-	Keep       time.Duration
-	Workspaces int
+	Bucket        time.Duration
+	Retention     time.Duration
+	MaxWorkspaces int
 
 	mu           sync.Mutex
 	rings        map[string]map[Objective]ring
@@ -22,9 +22,9 @@
 
 // The defaults: an hour in buckets of 30 s takes 120 cells for each objective of a workspace.
 const (
-	defaultBucket     = 30 * time.Second
-	defaultKeep       = time.Hour
-	defaultWorkspaces = 1000
+	defaultBucket        = 30 * time.Second
+	defaultRetention     = time.Hour
+	defaultMaxWorkspaces = 1000
 )
 
 // cell is one time bucket. Its number is the bucket's start divided by its length, which distinguishes a
@@ -59,12 +59,12 @@
 	current.bad++
 }
 
-// Counts returns the non-empty buckets that are not older than Keep.
+// Counts returns the non-empty buckets that are not older than Retention.
 func (r *Recorder) Counts() (counts []Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.applyDefaults()
-	oldest := r.bucketNumber(time.Now().Add(-r.Keep))
+	oldest := r.bucketNumber(time.Now().Add(-r.Retention))
 	for workspace, objectives := range r.rings {
 		for objective, cells := range objectives {
 			counts = append(counts, r.countsSince(oldest, workspace, objective, cells)...)
@@ -98,11 +98,11 @@
 	if r.Bucket < time.Second {
 		r.Bucket = defaultBucket
 	}
-	if r.Keep <= 0 {
-		r.Keep = defaultKeep
+	if r.Retention <= 0 {
+		r.Retention = defaultRetention
 	}
-	if r.Workspaces <= 0 {
-		r.Workspaces = defaultWorkspaces
+	if r.MaxWorkspaces <= 0 {
+		r.MaxWorkspaces = defaultMaxWorkspaces
 	}
 }
 
@@ -110,15 +110,15 @@
 	objectives, known := r.rings[workspace]
 	if !known {
 		r.evictIdle()
-		if len(r.rings) >= r.Workspaces {
+		if len(r.rings) >= r.MaxWorkspaces {
 			return nil
 		}
 		objectives = map[Objective]ring{}
 		r.rings[workspace] = objectives
 	}
 	if objectives[objective] == nil {
-		// One cell more than Keep covers, for the bucket that is being filled.
-		cells := make(ring, r.Keep/r.Bucket+1)
+		// One cell more than Retention covers, for the bucket that is being filled.
+		cells := make(ring, r.Retention/r.Bucket+1)
 		objectives[objective] = cells
 	}
 	return objectives[objective]
@@ -128,15 +128,15 @@
 	return at.Unix() / int64(r.Bucket/time.Second)
 }
 
-// evictIdle evicts workspaces that have had no request within Keep, such as removed ones, when there is no
+// evictIdle evicts workspaces that have had no request within Retention, such as removed ones, when there is no
 // room for a new one. It runs at most once per bucket length, because it scans all cells.
 func (r *Recorder) evictIdle() {
 	now := r.bucketNumber(time.Now())
-	if len(r.rings) < r.Workspaces || r.lastEviction == now {
+	if len(r.rings) < r.MaxWorkspaces || r.lastEviction == now {
 		return
 	}
 	r.lastEviction = now
-	oldest := r.bucketNumber(time.Now().Add(-r.Keep))
+	oldest := r.bucketNumber(time.Now().Add(-r.Retention))
 	for workspace, objectives := range r.rings {
 		if isIdle(objectives, oldest) {
 			delete(r.rings, workspace)
--- a/internal/telemetry/logline/format.go
+++ b/internal/telemetry/logline/format.go
@@ -28,8 +28,8 @@
 	value gjson.Result
 }
 
-// Format returns a writer that formats zerolog's events as lines. Each call of Write must pass exactly one event.
-func Format(out io.Writer) io.Writer { return &formatter{out: out} }
+// NewFormatter returns a writer that formats zerolog's events as lines. Each call of Write must pass exactly one event.
+func NewFormatter(out io.Writer) io.Writer { return &formatter{out: out} }
 
 // Write implements io.Writer.
 func (f *formatter) Write(event []byte) (int, error) {
--- a/internal/telemetry/logline/format_test.go
+++ b/internal/telemetry/logline/format_test.go
@@ -44,7 +44,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			var ours, library bytes.Buffer
-			n, err := logline.Format(&ours).Write([]byte(tt.json + "\n"))
+			n, err := logline.NewFormatter(&ours).Write([]byte(tt.json + "\n"))
 			is.NoErr(err)
 			is.Equal(n, len(tt.json)+1)
 			_, err = consoleWriter(&library).Write([]byte(tt.json + "\n"))
@@ -62,7 +62,7 @@
 		name   string
 		writer io.Writer
 	}{
-		{"ours", logline.Format(io.Discard)},
+		{"ours", logline.NewFormatter(io.Discard)},
 		{"library", consoleWriter(io.Discard)},
 	}
 	for _, tt := range writers {
--- a/internal/telemetry/logline/logline.go
+++ b/internal/telemetry/logline/logline.go
@@ -26,11 +26,11 @@
 // New returns a logger for a program that writes events of at least the given level ("debug", "info",
 // "warn" or "error") to out. Each line starts with the event's name.
 func New(out io.Writer, program, level string) (zerolog.Logger, error) {
-	return Through(zerolog.SyncWriter(Format(out)), program, level)
+	return NewWithWriter(zerolog.SyncWriter(NewFormatter(out)), program, level)
 }
 
-// Through returns a logger that passes its events, unformatted, to a writer that formats them itself.
-func Through(writer io.Writer, program, level string) (_ zerolog.Logger, err error) {
+// NewWithWriter returns a logger that passes its events, unformatted, to a writer that formats them itself.
+func NewWithWriter(writer io.Writer, program, level string) (_ zerolog.Logger, err error) {
 	defer func() { err = errors.WithMessage(err, "logline: make a logger") }()
 
 	parsed, err := zerolog.ParseLevel(level)
--- a/internal/telemetry/logring/logring.go
+++ b/internal/telemetry/logring/logring.go
@@ -71,8 +71,8 @@
 	return len(event), nil
 }
 
-// Dropped returns the number of events dropped since the last call.
-func (r *Ring) Dropped() (count int) {
+// TakeDropped returns the number of events dropped since the last call.
+func (r *Ring) TakeDropped() (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count = r.dropped
--- a/internal/telemetry/logring/logring_test.go
+++ b/internal/telemetry/logring/logring_test.go
@@ -36,8 +36,8 @@
 			_, err := ring.WriteLevel(zerolog.InfoLevel, []byte("event\n"))
 			is.NoErr(err)
 		}
-		is.True(ring.Dropped() > 7000)
-		is.Equal(ring.Dropped(), 0) // counted once
+		is.True(ring.TakeDropped() > 7000)
+		is.Equal(ring.TakeDropped(), 0) // counted once
 		close(out.release)
 		cancel()
 		is.NoErr(<-ended)
@@ -58,7 +58,7 @@
 		for range 20 {
 			_, _ = ring.WriteLevel(zerolog.WarnLevel, []byte("failure\n"))
 		}
-		is.Equal(ring.Dropped(), 20)
+		is.Equal(ring.TakeDropped(), 20)
 		time.Sleep(time.Second)
 		_, _ = ring.Write([]byte("later\n")) // each second has its own budget
 		ctx, cancel := context.WithCancel(context.Background())
