--- a/internal/catalog/repository/repository_history_test.go
+++ b/internal/catalog/repository/repository_history_test.go
@@ -46,7 +46,7 @@
 				"mend":    m.clearFaults,
 			})
 			m.clearFaults(t)
-			m.kv.StaleReads(0)
+			m.kv.ServeStaleReads(0)
 			for _, r := range m.instances {
 				m.read(t, r)
 			}
@@ -150,8 +150,8 @@
 // arrived or never take effect.
 func (m *machine) resolveUnknown(next map[string]float64) {
 	m.kv.SetOutage(false)
-	m.kv.StaleReads(0)
-	m.kv.LateWrites(0, 0)
+	m.kv.ServeStaleReads(0)
+	m.kv.DelayWrites(0, 0)
 	fresh := &repository.Repository{Store: m.kv, Writer: "settle"}
 	for range 8 {
 		_, _ = fresh.Refresh(context.Background())
@@ -186,21 +186,21 @@
 	case 0:
 		m.kv.SetOutage(true)
 	case 1:
-		m.kv.LoseAnswers(count)
+		m.kv.LoseResponses(count)
 	case 2:
 		m.kv.LoseRequests(count)
 	case 3:
-		m.kv.LateWrites(count, rapid.IntRange(1, 6).Draw(t, "late by"))
+		m.kv.DelayWrites(count, rapid.IntRange(1, 6).Draw(t, "late by"))
 	case 4:
-		m.kv.StaleReads(count)
+		m.kv.ServeStaleReads(count)
 	}
 }
 
 func (m *machine) clearFaults(*rapid.T) {
 	m.kv.SetOutage(false)
-	m.kv.LoseAnswers(0)
+	m.kv.LoseResponses(0)
 	m.kv.LoseRequests(0)
-	m.kv.LateWrites(0, 0)
+	m.kv.DelayWrites(0, 0)
 }
 
 // check compares every instance with the oracle: its revision never falls, and its configuration is the
@@ -344,8 +344,8 @@
 	group.Go(func() {
 		for range 20 {
 			time.Sleep(10 * time.Millisecond)
-			kv.LoseAnswers(1)
-			kv.LateWrites(1, 3)
+			kv.LoseResponses(1)
+			kv.DelayWrites(1, 3)
 		}
 	})
 	group.Wait()
--- a/internal/catalog/repository/repository_test.go
+++ b/internal/catalog/repository/repository_test.go
@@ -70,14 +70,14 @@
 		head  bool
 		fault func(kv *store.Memory)
 	}{
-		{"part: responses lost", false, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"part: responses lost", false, func(kv *store.Memory) { kv.LoseResponses(4) }},
 		{"part: requests lost", false, func(kv *store.Memory) { kv.LoseRequests(4) }},
-		{"part: requests late", false, func(kv *store.Memory) { kv.LateWrites(4, 3) }},
-		{"responses lost", true, func(kv *store.Memory) { kv.LoseAnswers(4) }},
+		{"part: requests late", false, func(kv *store.Memory) { kv.DelayWrites(4, 3) }},
+		{"responses lost", true, func(kv *store.Memory) { kv.LoseResponses(4) }},
 		{"requests lost", true, func(kv *store.Memory) { kv.LoseRequests(4) }},
-		{"requests late by one call", true, func(kv *store.Memory) { kv.LateWrites(2, 1) }},
-		{"requests late by two calls", true, func(kv *store.Memory) { kv.LateWrites(2, 2) }},
-		{"requests late by five calls", true, func(kv *store.Memory) { kv.LateWrites(4, 5) }},
+		{"requests late by one call", true, func(kv *store.Memory) { kv.DelayWrites(2, 1) }},
+		{"requests late by two calls", true, func(kv *store.Memory) { kv.DelayWrites(2, 2) }},
+		{"requests late by five calls", true, func(kv *store.Memory) { kv.DelayWrites(4, 5) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 		r := &repository.Repository{Store: h, Writer: "a"}
 		h.before = func(key string) {
 			if key == repository.HeadKey {
-				kv.LoseAnswers(1)
+				kv.LoseResponses(1)
 				time.AfterFunc(time.Millisecond, func() { kv.SetOutage(true) })
 			}
 		}
@@ -140,12 +140,12 @@
 	_, err = declare(ctx, r, workspace("w", 2), 1)
 	is.NoErr(err)
 	confirmed := r.Current().ConfirmedAt
-	kv.StaleReads(1)
+	kv.ServeStaleReads(1)
 	_, err = r.Refresh(ctx)
 	is.True(errors.Is(err, repository.ErrRevisionRegressed))
 	is.Equal(r.Current().Head.Revision, int64(2))
 	is.Equal(r.Current().ConfirmedAt, confirmed) // the stale read confirms nothing
-	kv.StaleReads(2)
+	kv.ServeStaleReads(2)
 	_, err = declare(ctx, r, workspace("w", 3), 2) // nor is a change based on it
 	is.NoErr(err)
 }
@@ -271,7 +271,7 @@
 		_, err := declare(ctx, first, workspace("w", rate), int64(i))
 		is.NoErr(err)
 	}
-	kv.StaleReads(1)
+	kv.ServeStaleReads(1)
 	second := &repository.Repository{Store: kv, Writer: "b"}
 	revision, err := declare(ctx, second, workspace("w", 1), configuration.AnyVersion)
 	is.NoErr(err)
--- a/internal/command/control/control_test.go
+++ b/internal/command/control/control_test.go
@@ -193,7 +193,7 @@
 	is.True(strings.Contains(errors, "nothing was changed"))
 
 	d.kv.SetOutage(false)
-	d.kv.LoseAnswers(3) // of parts and of the head; the instance finds out what became of them
+	d.kv.LoseResponses(3) // of parts and of the head; the instance finds out what became of them
 	code, _, _ = d.run(example, "apply", "-f", "-")
 	is.Equal(code, 0)
 
--- a/internal/command/control/outcome.go
+++ b/internal/command/control/outcome.go
@@ -44,8 +44,8 @@
 
 func exitCodeOf(err error) subcommands.ExitStatus {
 	var usage usageError
-	var refused *client.Refused
-	var unreachable *client.Unreachable
+	var refused *client.RefusedError
+	var unreachable *client.NoResponseError
 	switch {
 	case errors.As(err, &usage):
 		return exitUsage
--- a/internal/command/control/watch.go
+++ b/internal/command/control/watch.go
@@ -103,7 +103,7 @@
 
 // goOn pauses after an error that may pass, and tells whether it is one.
 func (v *watchVerb) goOn(ctx context.Context, err error) bool {
-	var unreachable *client.Unreachable
+	var unreachable *client.NoResponseError
 	if !errors.As(err, &unreachable) {
 		return false
 	}
--- a/internal/command/daemon/serve.go
+++ b/internal/command/daemon/serve.go
@@ -76,7 +76,7 @@
 	logDone := make(chan error, 1)
 	go func() { logDone <- ring.Run(logCtx) }()
 	store := &platform.Store{Client: newHTTPClient()}
-	store.Set(settings.Platform.StoreAddress, settings.Platform.StoreTimeout)
+	store.SetEndpoint(settings.Platform.StoreAddress, settings.Platform.StoreTimeout)
 	instance := &node.Node{
 		Settings:         settings,
 		Store:            store,
@@ -88,7 +88,7 @@
 		DroppedLogEvents: ring.TakeDropped,
 		ReloadSettings:   func() (node.Settings, error) { return node.LoadSettings(c.file) },
 		ApplySettings: func(changed node.Settings) {
-			store.Set(changed.Platform.StoreAddress, changed.Platform.StoreTimeout)
+			store.SetEndpoint(changed.Platform.StoreAddress, changed.Platform.StoreTimeout)
 		},
 	}
 	err = instance.Run(ctx)
--- a/internal/command/standin/demo.go
+++ b/internal/command/standin/demo.go
@@ -84,7 +84,7 @@
 
 func (t *tour) call(ctx context.Context, instance int, key, path, body string, headers ...string) (came answer, err error) {
 	defer func() { err = errors.WithMessage(err, path) }()
-	process := t.Deployment.InstanceOf[instance%len(t.Deployment.InstanceOf)]
+	process := t.Deployment.InstanceProcesses[instance%len(t.Deployment.InstanceProcesses)]
 	url := "http://" + process.Announced("CallerAddress") + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -130,7 +130,7 @@
 
 // ranAt asks the engines' own records which of them ran a request.
 func (t *tour) ranAt(ctx context.Context, id string) string {
-	for _, process := range t.Deployment.EngineOf {
+	for _, process := range t.Deployment.EngineProcesses {
 		var record engine.Record
 		if t.Deployment.Record(ctx, process, &record) != nil {
 			continue
@@ -150,7 +150,7 @@
 const (
 	pathCompletions = "/v1/completions"
 	pathChat        = "/v1/chat/completions"
-	pathBooking     = "/services/" + deployment.ServiceOne + "/orders"
+	pathBooking     = "/services/" + deployment.BookingService + "/orders"
 )
 
 func (t *tour) completion(ctx context.Context) error {
@@ -202,7 +202,7 @@
 		}
 	}
 	var record service.Record
-	if err := t.Deployment.Record(ctx, t.Deployment.ServiceOf[0], &record); err != nil {
+	if err := t.Deployment.Record(ctx, t.Deployment.ServiceProcesses[0], &record); err != nil {
 		return err
 	}
 	fmt.Printf("  the service's own record: %d call(s) ran\n", len(record.Calls))
@@ -218,7 +218,7 @@
 		return err
 	}
 	begun := time.Now()
-	for instance := range t.Deployment.InstanceOf {
+	for instance := range t.Deployment.InstanceProcesses {
 		if err := t.awaitRefusal(ctx, instance, begun); err != nil {
 			return err
 		}
--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -63,12 +63,12 @@
 }
 
 // prepare clears what an earlier deployment left, unless that still runs.
-func (s *sizes) prepare() (*deployment.Deployment, deployment.Ledger, error) {
+func (s *sizes) prepare() (*deployment.Deployment, deployment.ProcessFile, error) {
 	directory, err := filepath.Abs(s.directory)
 	if err != nil {
-		return nil, deployment.Ledger{}, err
+		return nil, deployment.ProcessFile{}, err
 	}
-	ledger := deployment.Ledger{Directory: directory}
+	ledger := deployment.ProcessFile{Directory: directory}
 	running, err := ledger.Running()
 	if err != nil {
 		return nil, ledger, err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return deployment.Ledger{Directory: directory}.Down(ctx)
+	return deployment.ProcessFile{Directory: directory}.Down(ctx)
 }
 
 // -----------------------------------------------------------------------------------------------
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -45,7 +45,7 @@
 	}
 	scope, exposition, scopeCloser := metrics.New("lacewingd")
 	d.scope = scope
-	d.directory = &peer.Directory{Links: link.Links{Credentials: clientCredentials}}
+	d.directory = &peer.Client{Links: link.Links{Credentials: clientCredentials}}
 	d.assembleConfiguration()
 	policy := d.policy()
 	d.assemblePlacement(policy)
@@ -95,12 +95,12 @@
 func (d *Daemon) assemblePlacement(policy deployment.Policy) {
 	members := peerClient{daemon: d, local: handler{daemon: d}}
 	d.holding = &holding.Runner{
-		Settings: policy.Holder,
-		Peers:    members,
-		Engine:   func(address string) holding.Engine { return d.engines.clientFor(address, d.engineLimits()) },
-		Source:   d.weightSource,
-		Fresh:    d.tracker.Fresh,
-		Log:      d.Log,
+		Settings:       policy.Holder,
+		Peers:          members,
+		Engine:         func(address string) holding.Engine { return d.engines.clientFor(address, d.engineLimits()) },
+		Source:         d.weightSource,
+		CheckFreshness: d.tracker.Fresh,
+		Log:            d.Log,
 	}
 	d.holding.Prepare()
 	d.brokering = &brokering.Runner{Settings: policy.Broker}
@@ -110,28 +110,28 @@
 func (d *Daemon) assemblePipeline(policy deployment.Policy) {
 	d.burn = &burn.Recorder{}
 	d.pipeline = &pipeline.Pipeline{
-		Self:     d.identity(),
-		Current:  d.repository.Current,
-		Tracker:  d.tracker,
-		Ledger:   d.ledger,
-		Claims:   d.claims,
-		Fleet:    peerClient{daemon: d, local: handler{daemon: d}},
-		Engine:   func(address string) pipeline.Engine { return d.engines.clientFor(address, d.engineLimits()) },
-		Services: &service.Client{},
-		Leaving:  d.leaving.isLeaving,
-		Pins:     &pipeline.Pins{},
-		Running:  &pipeline.Running{},
-		Burn:     d.burn,
-		Advice: &pipeline.Advice{
+		Self:            d.identity(),
+		Current:         d.repository.Current,
+		Tracker:         d.tracker,
+		Ledger:          d.ledger,
+		Claims:          d.claims,
+		Fleet:           peerClient{daemon: d, local: handler{daemon: d}},
+		Engine:          func(address string) pipeline.Engine { return d.engines.clientFor(address, d.engineLimits()) },
+		Services:        &service.Client{},
+		IsLeaving:       d.leaving.isLeaving,
+		Pins:            &pipeline.Pins{},
+		RunningRequests: &pipeline.RunningRequests{},
+		Burn:            d.burn,
+		State: &pipeline.SharedState{
 			Router:   &route.Router{Settings: policy.Route},
 			Suspects: &suspect.Tracker{Settings: policy.Suspect},
 			Retries:  retry.New(policy.RetryRatio, policy.MaxSavedRetries),
 			Shares:   &share.Tracker{},
 		},
-		Patience: d.Settings.Limits.Patience,
-		Crashed:  d.requestHeartbeatsToAll,
-		Log:      d.Log,
-		Scope:    d.scope,
+		DispatchTimeout: d.Settings.Limits.Patience,
+		OnUpstreamCrash: d.requestHeartbeatsToAll,
+		Log:             d.Log,
+		Scope:           d.scope,
 	}
 }
 
--- a/internal/entry/daemon/configuration.go
+++ b/internal/entry/daemon/configuration.go
@@ -87,17 +87,17 @@
 // that the head is in force here, and the other members rely on this instance acting on no older one.
 func (d *Daemon) install(ctx context.Context, previous, current repository.Snapshot) {
 	d.ledger.Install(ledgerHead(d.self, current))
-	d.pipeline.Running.EndWithdrawn(current.Configuration)
+	d.pipeline.RunningRequests.CancelWithdrawn(current.Configuration)
 	d.pipeline.Pins.Install(current.Head)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
-	d.holding.SetTenure(ctx, d.tenure(previous, current))
+	d.holding.SetAssignment(ctx, d.tenure(previous, current))
 	d.detector.handle(membership.HeadInstalled{Head: current.Head})
 	d.departures.record(previous.Head, current.Head)
 	d.leaving.dropNonMembers(current.Head)
 	d.settlement.install(current.Head)
-	d.directory.Keep(addresses(current.Head))
+	d.directory.CloseExcept(addresses(current.Head))
 	// The read or swap that returned the head confirms it. Without this call, each change of the configuration would
 	// cause refusals until the next read.
 	d.tracker.RecordRead(current.ConfirmedAt, current.Head.Revision)
@@ -119,8 +119,8 @@
 // tenure returns the upstreams that the head assigns to this instance. An upstream counts as continued if this
 // instance certainly held it in the epoch directly before: the previous head assigned it too, and no epoch between
 // the two heads was missed.
-func (d *Daemon) tenure(previous, current repository.Snapshot) holding.Tenure {
-	tenure := holding.Tenure{Epoch: current.Head.Epoch, Members: current.Head.Members, Continued: map[string]bool{}}
+func (d *Daemon) tenure(previous, current repository.Snapshot) holding.Assignment {
+	tenure := holding.Assignment{Epoch: current.Head.Epoch, Members: current.Head.Members, Continued: map[string]bool{}}
 	noEpochMissed := current.Head.Epoch <= previous.Head.Revision+1
 	for _, upstream := range current.Configuration.Upstreams() {
 		if !d.holds(current.Head, upstream) {
@@ -185,13 +185,13 @@
 			reported = inForce
 			d.holding.SetInForce(ctx, inForce)
 			for _, m := range d.departures.takeInForce(inForce) {
-				d.holding.SetGone(ctx, m.Name, m.Incarnation)
+				d.holding.SetInstanceStopped(ctx, m.Name, m.Incarnation)
 			}
 		}
 		d.settlement.record(d.identity(), d.settlement.oldestToReport(d.ledger.OldestRevision()))
 		d.ledger.MarkSettled(d.settlement.settledRevision())
 		if d.staleDuration() > d.Settings.Limits.StaleStream {
-			d.pipeline.Running.EndAll()
+			d.pipeline.RunningRequests.CancelAll()
 		}
 	}
 	return nil
--- a/internal/entry/daemon/gauges.go
+++ b/internal/entry/daemon/gauges.go
@@ -20,7 +20,7 @@
 		d.scope.Gauge("revision").Update(float64(current.Revision))
 		d.scope.Gauge("revision_in_force_everywhere").Update(float64(d.tracker.InForce()))
 		d.scope.Gauge("members").Update(float64(len(current.Members)))
-		d.scope.Gauge("running").Update(float64(d.pipeline.Running.Count()))
+		d.scope.Gauge("running").Update(float64(d.pipeline.RunningRequests.Count()))
 		d.scope.Gauge("store_calls").Update(float64(d.store.Calls.Load()))
 	}
 	return nil
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -128,15 +128,15 @@
 
 // applyHeartbeat applies the parts of a heartbeat that are valid whether it is a request or a reply. A confirmation
 // of the revision is not among them: that needs the time at which this instance sent its own heartbeat.
-func (d *Daemon) applyHeartbeat(sampledAt time.Time, heartbeat peer.Beat) {
-	d.tracker.MergeReportBitmap(heartbeat.Revision, heartbeat.Told)
+func (d *Daemon) applyHeartbeat(sampledAt time.Time, heartbeat peer.Heartbeat) {
+	d.tracker.MergeReportBitmap(heartbeat.Revision, heartbeat.InForceMembers)
 	d.detector.handle(membership.HeartbeatAnswered{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation})
 	d.settlement.record(rate.Identity{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation}, heartbeat.OldestRevision)
 	if _, member := d.repository.Current().Head.Member(heartbeat.Instance); member {
 		d.leaving.set(heartbeat.Instance, heartbeat.Leaving)
 	}
 	now := time.Now()
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range heartbeat.Upstreams {
 			a.Router.UpdateSummary(now, routeSummary(summary, sampledAt))
 		}
@@ -148,7 +148,7 @@
 func (d *Daemon) updateOwnSummaries(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, summary := range summaries {
 			a.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
@@ -169,9 +169,9 @@
 }
 
 // newHeartbeat returns the current state of this instance for its peers.
-func (d *Daemon) newHeartbeat(ctx context.Context) peer.Beat {
+func (d *Daemon) newHeartbeat(ctx context.Context) peer.Heartbeat {
 	revision, age := d.tracker.Confirmed()
-	heartbeat := peer.Beat{
+	heartbeat := peer.Heartbeat{
 		Instance:       d.self.Name,
 		Incarnation:    d.self.Incarnation,
 		Revision:       revision,
@@ -183,9 +183,9 @@
 		OldestRevision: d.settlement.oldestToReport(d.ledger.OldestRevision()),
 	}
 	if reportedRevision, bitmap := d.tracker.ReportBitmap(); reportedRevision == revision {
-		heartbeat.Told = bitmap
+		heartbeat.InForceMembers = bitmap
 	}
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		heartbeat.Suspects = a.Suspects.LocalCounts(time.Now())
 	})
 	return heartbeat
--- a/internal/entry/daemon/leaving.go
+++ b/internal/entry/daemon/leaving.go
@@ -98,7 +98,7 @@
 	}
 	names := d.leaving.all()
 	d.Log.Info().Strs("Names", names).Msg("LeavingChanged")
-	d.pipeline.Advice.With(func(a *pipeline.Advice) {
+	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetLeaving(names)
 	})
 	leaving := holding.Leaving{}
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -45,9 +45,9 @@
 	return c.daemon.directory.Release(ctx, member.Address, request)
 }
 
-// AskTokens requests a loan of tokens from a member.
-func (c peerClient) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
-	return c.daemon.directory.AskTokens(ctx, member.Address, request)
+// BorrowTokens requests a loan of tokens from a member.
+func (c peerClient) BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
+	return c.daemon.directory.BorrowTokens(ctx, member.Address, request)
 }
 
 // Pins returns the pins of a member on an upstream.
--- a/internal/entry/daemon/peer_handler.go
+++ b/internal/entry/daemon/peer_handler.go
@@ -20,8 +20,8 @@
 
 var _ peer.Handler = handler{}
 
-// Beat applies a heartbeat and returns the reply.
-func (h handler) Beat(heartbeat peer.Beat) peer.Beat {
+// Heartbeat applies a heartbeat and returns the reply.
+func (h handler) Heartbeat(heartbeat peer.Heartbeat) peer.Heartbeat {
 	d := h.daemon
 	sender := rate.Identity{Name: heartbeat.Instance, Incarnation: heartbeat.Incarnation}
 	d.ledger.ApplyReturns(sender, heartbeat.Returns)
@@ -34,7 +34,7 @@
 
 // LendTokens lends tokens of this instance's share.
 func (h handler) LendTokens(request peer.TokenRequest) rate.Loan {
-	if request.Spare {
+	if request.SpareOnly {
 		return h.daemon.ledger.LendSpare(request.Workspace, request.Tokens, request.Borrower)
 	}
 	return h.daemon.ledger.Lend(request.Workspace, request.Tokens, request.Borrower)
@@ -53,8 +53,8 @@
 // Pins returns this instance's pins on an upstream.
 func (h handler) Pins(upstream string, epoch int64) peer.PinList {
 	d := h.daemon
-	pins, known := d.pipeline.Pins.On(upstream, epoch)
-	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, Noted: known, Pins: pins}
+	pins, known := d.pipeline.Pins.ForUpstream(upstream, epoch)
+	return peer.PinList{Instance: d.self.Name, Incarnation: d.self.Incarnation, EpochInstalled: known, Pins: pins}
 }
 
 // PermitLoad requests a permit from the load broker of this instance. While heads change, another instance may also
--- a/internal/entry/daemon/rebalancing.go
+++ b/internal/entry/daemon/rebalancing.go
@@ -13,7 +13,7 @@
 
 func (d *Daemon) runRebalancing(ctx context.Context) error {
 	for pause.For(ctx, rebalanceInterval) {
-		d.pipeline.TopUp(ctx)
+		d.pipeline.RebalanceTokens(ctx)
 	}
 	return nil
 }
--- a/internal/entry/daemon/stop.go
+++ b/internal/entry/daemon/stop.go
@@ -34,12 +34,12 @@
 		return nil
 	}
 	d.stopping.Store(true)
-	d.Log.Info().Int("Running", d.pipeline.Running.Count()).Msg("StopBegins")
+	d.Log.Info().Int("Running", d.pipeline.RunningRequests.Count()).Msg("StopBegins")
 	var stopErr error
 	select {
 	case err := <-d.drained:
 		if err != nil {
-			d.Log.Warn().Int("Running", d.pipeline.Running.Count()).Err(err).Msg("RequestsCut")
+			d.Log.Warn().Int("Running", d.pipeline.RunningRequests.Count()).Err(err).Msg("RequestsCut")
 			stopErr = errRequestsCut
 		}
 	case <-tasksCtx.Done():
--- a/internal/entry/holding/held_upstream.go
+++ b/internal/entry/holding/held_upstream.go
@@ -117,7 +117,7 @@
 
 func (r *Runner) grant(u *heldUpstream, grant holder.Grant) {
 	key := waiterKey{instance: grant.Pin.Instance, request: grant.Pin.RequestID}
-	if r.Fresh() != nil {
+	if r.CheckFreshness() != nil {
 		r.answer(u, key, notHolder)
 		r.feed(u, holder.Released{Pin: grant.Pin.ID})
 		return
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -93,7 +93,7 @@
 func (r *Runner) runAskPins(u *heldUpstream, member head.Member, epoch int64) {
 	for {
 		list, err := r.Peers.Pins(u.context, member, u.name(), epoch)
-		if err == nil && list.Noted && list.Incarnation == member.Incarnation {
+		if err == nil && list.EpochInstalled && list.Incarnation == member.Incarnation {
 			r.tell(u, holder.PinsReported{Instance: member.Name, Epoch: epoch, Pins: list.Pins})
 			return
 		}
@@ -189,7 +189,7 @@
 // Loads.
 
 func (r *Runner) runFence(u *heldUpstream, action holder.OrderFence) {
-	if r.Fresh() != nil {
+	if r.CheckFreshness() != nil {
 		return
 	}
 	err := u.engine.SetRole(u.context, roleServing, action.Fence)
@@ -254,14 +254,14 @@
 // freshness at the last moment: by then another may be the holder.
 func (r *Runner) load(ctx context.Context, u *heldUpstream, action holder.OrderLoad) (evicted bool, err error) {
 	if !action.Evict.IsZero() {
-		if err := r.Fresh(); err != nil {
+		if err := r.CheckFreshness(); err != nil {
 			return false, err
 		}
 		if err := u.engine.Unload(ctx, r.order(action.Evict, action.Fence)); err != nil {
 			return errors.Is(err, engine.ErrOutcomeUnknown), err
 		}
 	}
-	if err := r.Fresh(); err != nil {
+	if err := r.CheckFreshness(); err != nil {
 		return !action.Evict.IsZero(), err
 	}
 	return !action.Evict.IsZero(), u.engine.Load(ctx, r.order(action.Load, action.Fence))
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -37,9 +37,9 @@
 	Cancel(ctx context.Context, id string) error
 }
 
-// Tenure is what a new head says about this instance: which upstreams it holds, under which epoch and
+// Assignment is what a new head says about this instance: which upstreams it holds, under which epoch and
 // among which members. Continued names the upstreams that it certainly held in the epoch before.
-type Tenure struct {
+type Assignment struct {
 	Epoch     int64
 	Members   []head.Member
 	Upstreams []resource.Upstream
@@ -57,14 +57,14 @@
 	Engine func(address string) Engine
 	// Source gives where the weight store keeps an adapter version.
 	Source func(ref model.Reference) string
-	// Fresh fails when this instance's knowledge may not be used any more.
-	Fresh func() error
-	Log   zerolog.Logger
+	// CheckFreshness fails when this instance's knowledge may not be used any more.
+	CheckFreshness func() error
+	Log            zerolog.Logger
 
 	inbox *inbox.Inbox[message]
 	held  map[string]*heldUpstream
 	// tenure and leaving are the newest ones told.
-	tenure  Tenure
+	tenure  Assignment
 	leaving Leaving
 	done    context.Context
 }
@@ -89,7 +89,7 @@
 		request peer.PlaceRequest
 	}
 	tenureMessage struct {
-		tenure Tenure
+		tenure Assignment
 		taken  chan struct{}
 	}
 	leavingMessage struct{ leaving Leaving }
@@ -167,10 +167,10 @@
 	r.inbox.Send(ctx, releaseMessage{upstream: upstream, event: event})
 }
 
-// SetTenure tells what a newly installed head says, and waits until it is taken in: from then on nothing
+// SetAssignment tells what a newly installed head says, and waits until it is taken in: from then on nothing
 // is granted or ordered for upstreams that this instance does not hold any more. Only after that may the
 // instance tell others that it has the head in force.
-func (r *Runner) SetTenure(ctx context.Context, tenure Tenure) {
+func (r *Runner) SetAssignment(ctx context.Context, tenure Assignment) {
 	taken := make(chan struct{})
 	if r.inbox.Send(ctx, tenureMessage{tenure: tenure, taken: taken}) {
 		inbox.Await(ctx, r.inbox, taken)
@@ -187,8 +187,8 @@
 	r.inbox.Send(ctx, inForceMessage{revision: revision})
 }
 
-// SetGone tells that an incarnation of an instance certainly does nothing any more.
-func (r *Runner) SetGone(ctx context.Context, instance, incarnation string) {
+// SetInstanceStopped tells that an incarnation of an instance certainly does nothing any more.
+func (r *Runner) SetInstanceStopped(ctx context.Context, instance, incarnation string) {
 	r.inbox.Send(ctx, goneMessage{instance: instance, incarnation: incarnation})
 }
 
@@ -258,7 +258,7 @@
 }
 
 // setTenure takes a new head in: upstreams no longer held are given up, new ones taken.
-func (r *Runner) setTenure(tenure Tenure) {
+func (r *Runner) setTenure(tenure Assignment) {
 	r.tenure = tenure
 	held := map[string]bool{}
 	names := make([]string, len(tenure.Members))
--- a/internal/entry/holding/runner_test.go
+++ b/internal/entry/holding/runner_test.go
@@ -90,7 +90,7 @@
 func (s *scene) Pins(_ context.Context, member head.Member, _ string, _ int64) (peer.PinList, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	list := peer.PinList{Instance: member.Name, Incarnation: member.Incarnation, Noted: true}
+	list := peer.PinList{Instance: member.Name, Incarnation: member.Incarnation, EpochInstalled: true}
 	for _, pin := range s.pins {
 		if pin.Instance == member.Name {
 			list.Pins = append(list.Pins, pin)
@@ -111,16 +111,16 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		r := &holding.Runner{
-			Settings: holder.DefaultSettings(),
-			Peers:    s,
-			Engine:   func(string) holding.Engine { return s },
-			Source:   model.Reference.String,
-			Fresh:    s.fresh,
-			Log:      zerolog.Nop(),
+			Settings:       holder.DefaultSettings(),
+			Peers:          s,
+			Engine:         func(string) holding.Engine { return s },
+			Source:         model.Reference.String,
+			CheckFreshness: s.fresh,
+			Log:            zerolog.Nop(),
 		}
 		r.Prepare()
 		go func() { _ = r.Run(ctx) }()
-		r.SetTenure(ctx, holding.Tenure{
+		r.SetAssignment(ctx, holding.Assignment{
 			Epoch:     1,
 			Members:   []head.Member{self, other},
 			Upstreams: []resource.Upstream{upstream},
@@ -196,7 +196,7 @@
 		place(ctx, is, r, "r1", other, bids)
 		refuse(ctx, is, r, "r2", self, sites) // the only slot is pinned
 		is.Equal(s.count("unload bids"), 0)
-		r.SetGone(ctx, other.Name, other.Incarnation)
+		r.SetInstanceStopped(ctx, other.Name, other.Incarnation)
 		place(ctx, is, r, "r3", self, sites)
 		is.Equal(s.record[1:], []string{"cancel r1", "unload bids", "load sites"})
 	})
--- a/internal/entry/inifile/inifile.go
+++ b/internal/entry/inifile/inifile.go
@@ -24,8 +24,8 @@
 // Format is all settings of S, in the order of the help text. Contradictions, if set, finds settings that
 // are well formed but do not go together.
 type Format[S any] struct {
-	Fields         []Field[S]
-	Contradictions func(file string, settings S) Problems
+	Fields   []Field[S]
+	Validate func(file string, settings S) Problems
 }
 
 // Load reads and checks a settings file. The error is a Problems with everything that is wrong.
@@ -48,8 +48,8 @@
 	problems := f.unknownNames(file, parsed)
 	settings, wrong := f.readFields(file, parsed)
 	problems = append(problems, wrong...)
-	if f.Contradictions != nil {
-		problems = append(problems, f.Contradictions(file, settings)...)
+	if f.Validate != nil {
+		problems = append(problems, f.Validate(file, settings)...)
 	}
 	if len(problems) > 0 {
 		return empty, problems
--- a/internal/entry/inifile/values.go
+++ b/internal/entry/inifile/values.go
@@ -11,8 +11,8 @@
 
 // values.go has the kinds of values: each gives a Field's Set, which checks a value and stores it.
 
-// Word takes any text.
-func Word[S any](target func(*S) *string) func(*S, string) error {
+// String takes any text.
+func String[S any](target func(*S) *string) func(*S, string) error {
 	return func(s *S, value string) error {
 		*target(s) = value
 		return nil
@@ -45,8 +45,8 @@
 	}
 }
 
-// Whole takes a whole number between two bounds.
-func Whole[S any](low, high int64, target func(*S) *int64) func(*S, string) error {
+// Int takes a whole number between two bounds.
+func Int[S any](low, high int64, target func(*S) *int64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Number takes a number between two bounds.
-func Number[S any](low, high float64, target func(*S) *float64) func(*S, string) error {
+// Float takes a number between two bounds.
+func Float[S any](low, high float64, target func(*S) *float64) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseFloat(value, 64)
 		if err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Switch takes true or false.
-func Switch[S any](target func(*S) *bool) func(*S, string) error {
+// Bool takes true or false.
+func Bool[S any](target func(*S) *bool) func(*S, string) error {
 	return func(s *S, value string) error {
 		parsed, err := strconv.ParseBool(value)
 		if err != nil {
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		now := time.Now()
-		n.advice.With(func(a *serve.Advice) {
+		n.advice.WithLock(func(a *serve.SharedState) {
 			a.Suspects.RecordCrash(now, fingerprints)
 			a.Pool.RecordCrash(now, id)
 		})
--- a/internal/entry/node/declarations_test.go
+++ b/internal/entry/node/declarations_test.go
@@ -30,18 +30,18 @@
 	return encoded(traffic.Configuration{
 		Version: int64(version),
 		Routes: []traffic.Route{{
-			Name: "r", Host: "a.example", Prefix: prefix, Repetition: traffic.Idempotent, Timeout: 2 * time.Second,
-			Targets: []traffic.Target{{Service: "app", Weight: 1}}, Attempts: 1, Public: true,
+			Name: "r", Host: "a.example", Prefix: prefix, Execution: traffic.Idempotent, Timeout: 2 * time.Second,
+			Targets: []traffic.Target{{Service: "app", Weight: 1}}, MaxAttempts: 1, Public: true,
 		}},
 		Services: map[string]traffic.Service{
 			"app": {Name: "app"},
-			"llm": {Name: "llm", Engine: &traffic.Engine{BatchPlaces: 8, AdapterPlaces: 2, Models: []traffic.Model{{Name: "m"}}}},
+			"llm": {Name: "llm", Engine: &traffic.Engine{BatchSlots: 8, AdapterSlots: 2, Models: []traffic.Model{{Name: "m"}}}},
 		},
 	})
 }
 
 func upstreamEntry(service, address string) string {
-	return encoded(traffic.Upstream{Service: service, Address: address, DataCentre: "here", Places: 6, Born: 1})
+	return encoded(traffic.Upstream{Service: service, Address: address, DataCentre: "here", BatchSlots: 6, StartedMillis: 1})
 }
 
 func encoded(value any) string {
@@ -55,7 +55,7 @@
 type decoder struct{}
 
 // Decode returns the declaration of an item.
-func (decoder) Decode(key string, value []byte) (traffic.Fact, error) {
+func (decoder) Decode(key string, value []byte) (traffic.Declaration, error) {
 	if key == keyConfiguration {
 		var configuration traffic.Configuration
 		err := json.Unmarshal(value, &configuration)
@@ -90,10 +90,12 @@
 	}, nil
 }
 
-func (dialect) Header(c call.Call, _ call.Send) http.Header { return c.Header.Clone() }
+func (dialect) RequestHeader(c call.Call, _ call.Attempt) http.Header { return c.Header.Clone() }
 
-func (dialect) Reply(response *http.Response) call.Reply {
-	return call.Reply{ID: response.Header.Get(headerID), Signed: response.Header.Get(headerSigned) != ""}
+func (dialect) ParseResponse(response *http.Response) call.ResponseInfo {
+	return call.ResponseInfo{ID: response.Header.Get(headerID), Signed: response.Header.Get(headerSigned) != ""}
 }
 
-func (dialect) Refusal(header http.Header, id string, _ time.Duration) { header.Set(headerID, id) }
+func (dialect) SetRefusalHeader(header http.Header, id string, _ time.Duration) {
+	header.Set(headerID, id)
+}
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -60,7 +60,7 @@
 	if service.Engine != nil {
 		h.planner.Engine = *service.Engine
 	}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		h.planner.LoadEstimate, h.planner.ReloadEstimate = a.Pool.LoadTimes(upstream.Service)
 	})
 	return h
@@ -97,7 +97,7 @@
 func (h *heldUpstream) next() residence.Step {
 	now := time.Now()
 	var inUse []traffic.Adapter
-	h.node.advice.With(func(a *serve.Advice) { inUse = a.Pool.InUse(now, h.upstream.ID) })
+	h.node.advice.WithLock(func(a *serve.SharedState) { inUse = a.Pool.InUse(now, h.upstream.ID) })
 	var versions map[traffic.Adapter]int64
 	versions, h.declarations = h.node.view.newestSince(h.declarations)
 	h.mutex.Lock()
@@ -142,7 +142,7 @@
 	h.notifyWaiters()
 	h.mutex.Unlock()
 	if outcome == residence.OtherUpstream {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
+		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
 	}
 	h.updateOwnPool()
 }
@@ -152,7 +152,7 @@
 	now := time.Now()
 	residency, known := h.residency(now)
 	if known {
-		h.node.advice.With(func(a *serve.Advice) { a.Pool.RecordResidency(now, residency) })
+		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordResidency(now, residency) })
 	}
 }
 
@@ -167,7 +167,7 @@
 		Err(err).Msg("Report")
 	h.setUnreachable(unreachable)
 	h.mutex.Lock()
-	if err != nil || report.Born != 0 && h.upstream.Born != 0 && report.Born != h.upstream.Born {
+	if err != nil || report.Born != 0 && h.upstream.StartedMillis != 0 && report.Born != h.upstream.StartedMillis {
 		h.planner.ReportFailed(time.Now()) // no response, or the response of another upstream
 		h.mutex.Unlock()
 		h.updateOwnPool()
@@ -212,8 +212,8 @@
 
 // prepare waits until the adapter is loaded, then until the prompt may start its prefill. If the upstream is cold, its
 // limit for cold upstreams must admit the request too.
-func (h *heldUpstream) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.Prepared) {
-	deadline := time.Now().Add(min(request.Patience, request.OnTime))
+func (h *heldUpstream) prepare(ctx context.Context, request mesh.PrepareRequest) (prepared mesh.PrepareResult) {
+	deadline := time.Now().Add(min(request.MaxWait, request.OnTime))
 	prepared = mesh.Loaded{}
 	if !h.plain {
 		prepared = h.loadAdapter(ctx, request, deadline)
@@ -234,13 +234,13 @@
 
 // admitCold counts a request against the load that the upstream can take while it is cold.
 func (h *heldUpstream) admitCold() (wait time.Duration, admitted bool) {
-	h.node.advice.With(func(a *serve.Advice) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
+	h.node.advice.WithLock(func(a *serve.SharedState) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
 	return wait, admitted
 }
 
 // loadAdapter waits until the adapter is loaded. A request that cannot get it before its deadline is refused
 // immediately: it may find capacity elsewhere, or its caller can retry later.
-func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
+func (h *heldUpstream) loadAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.PrepareResult {
 	h.mutex.Lock()
 	now := time.Now()
 	if version, has := h.planner.Reserve(now, request.Adapter, request.Version); has {
@@ -268,7 +268,7 @@
 	return prepared
 }
 
-func (h *heldUpstream) awaitAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.Prepared {
+func (h *heldUpstream) awaitAdapter(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) mesh.PrepareResult {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -166,7 +166,7 @@
 
 // isOpen reports whether an upstream takes new requests.
 func (n *Node) isOpen(upstream traffic.Upstream) (open bool) {
-	n.advice.With(func(a *serve.Advice) { open = a.Pool.AcceptsRequests(upstream) })
+	n.advice.WithLock(func(a *serve.SharedState) { open = a.Pool.AcceptsRequests(upstream) })
 	return open
 }
 
@@ -215,7 +215,7 @@
 		}
 	}
 	held := n.heldUpstreams.ids()
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		list = a.Pool.Declared(func(upstream *traffic.Upstream) bool {
 			_, configured := table.Configuration.Services[upstream.Service]
 			return configured && (held[upstream.ID] || !heldByOther[holders[upstream.ID]])
@@ -230,7 +230,7 @@
 	for id := range n.heldUpstreams.ids() {
 		var upstream traffic.Upstream
 		declared := false
-		n.advice.With(func(a *serve.Advice) { upstream, declared = a.Pool.Upstream(id) })
+		n.advice.WithLock(func(a *serve.SharedState) { upstream, declared = a.Pool.Upstream(id) })
 		configured := false
 		if table != nil {
 			_, configured = table.Configuration.Services[upstream.Service]
@@ -309,7 +309,7 @@
 // startHolding runs a loop for an upstream that this instance holds.
 func (n *Node) startHolding(ctx context.Context, upstream traffic.Upstream, holder roster.Holder) {
 	previous := n.heldUpstreams.get(upstream.ID)
-	if previous != nil && previous.fence == holder.Fence && previous.upstream.Born == upstream.Born {
+	if previous != nil && previous.fence == holder.Fence && previous.upstream.StartedMillis == upstream.StartedMillis {
 		return
 	}
 	n.stopHolding(upstream.ID)
--- a/internal/entry/node/holder_requests.go
+++ b/internal/entry/node/holder_requests.go
@@ -15,9 +15,9 @@
 const prepareTimeout = 3 * time.Second
 
 // Prepare has an adapter loaded by the holder of the upstream, which may be this instance.
-func (n *Node) Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared {
-	request.Patience = min(request.Patience, prepareTimeout)
-	ctx, cancel := context.WithTimeout(ctx, request.Patience)
+func (n *Node) Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.PrepareResult {
+	request.MaxWait = min(request.MaxWait, prepareTimeout)
+	ctx, cancel := context.WithTimeout(ctx, request.MaxWait)
 	defer cancel()
 	if held := n.heldUpstreams.get(request.Upstream); held != nil {
 		return held.prepare(ctx, request)
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, holderQueryTimeout)
 	defer cancel()
-	held, err := n.peers.Ask(ctx, instance.Address, n.loadReport(instance.Name))
+	held, err := n.peers.Query(ctx, instance.Address, n.loadReport(instance.Name))
 	if err != nil {
 		n.Log.Debug().Err(err).Str("Upstream", upstream).Str("Holder", instance.Name).Msg("HolderQueryFailed")
 		return
--- a/internal/entry/node/link_end.go
+++ b/internal/entry/node/link_end.go
@@ -132,14 +132,14 @@
 // message returns the records that the other end of a link lacks.
 func (n *Node) message(end *linkEnd) mesh.Message {
 	n.overlay.mutex.Lock()
-	records := n.overlay.table.Due(time.Now(), &end.link, end.peer)
+	records := n.overlay.table.TakeDue(time.Now(), &end.link, end.peer)
 	stamp := end.link.Stamp(time.Since(end.created))
 	n.overlay.mutex.Unlock()
 	n.view.mutex.Lock()
 	defer n.view.mutex.Unlock()
 	message := mesh.Message{Stamp: stamp, Records: records, ConfirmedAge: n.ConfirmedAge()}
 	message.Revision = n.view.replica.Revision()
-	message.News = n.view.urgentRevision
+	message.UrgentRevision = n.view.urgentRevision
 	return message
 }
 
@@ -147,7 +147,7 @@
 func (n *Node) receive(ctx context.Context, end *linkEnd, message mesh.Message) {
 	now := time.Now()
 	n.overlay.mutex.Lock()
-	n.overlay.table.Heard(end.peer, now)
+	n.overlay.table.MarkAlive(end.peer, now)
 	changed := n.overlay.table.Merge(now, &end.link, message.Records)
 	transit, known := end.link.Receive(now.Sub(end.created), message.Stamp)
 	n.overlay.mutex.Unlock()
@@ -172,11 +172,11 @@
 func (n *Node) catchUpIfBehind(ctx context.Context, end *linkEnd, message mesh.Message, confirmed time.Time) {
 	n.view.mutex.Lock()
 	revision := n.view.replica.Revision()
-	if message.News <= revision && !confirmed.IsZero() {
+	if message.UrgentRevision <= revision && !confirmed.IsZero() {
 		n.confirm(confirmed) // valid whatever non-urgent changes are missing
 	}
 	n.view.mutex.Unlock()
-	due := message.News > revision || message.Revision > revision && n.overlay.isFetchDue(time.Now())
+	due := message.UrgentRevision > revision || message.Revision > revision && n.overlay.isFetchDue(time.Now())
 	if due && n.overlay.beginCatchUp() {
 		fetch := catchUp{node: n, peer: end.peer, address: end.address, after: revision, confirmed: confirmed}
 		go fetch.run(ctx)
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -184,14 +184,14 @@
 		addresses[entry.instance.Address] = true
 	}
 	n.overlay.mutex.Unlock()
-	n.peers.Keep(addresses)
+	n.peers.CloseExcept(addresses)
 }
 
 // silentMembers lists the silent members that this relay has to contact. The caller holds the lock.
 func (o *overlay) silentMembers(now time.Time, self string, members []roster.Instance, topology gossip.Topology) (list []roster.Instance) {
 	for _, instance := range members {
-		silent := now.Sub(o.table.LastHeard(instance.Name)) > probeSilentAfter && now.Sub(o.members[instance.Name].firstSeen) > probeSilentAfter
-		if instance.Name != self && silent && !topology.IsRelay(instance.Name) && topology.Sought(self, instance.Name) {
+		silent := now.Sub(o.table.LastAlive(instance.Name)) > probeSilentAfter && now.Sub(o.members[instance.Name].firstSeen) > probeSilentAfter
+		if instance.Name != self && silent && !topology.IsRelay(instance.Name) && topology.ShouldProbe(self, instance.Name) {
 			list = append(list, instance)
 		}
 	}
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -38,7 +38,7 @@
 // Decoder maps the items of the store to what they declare.
 type Decoder interface {
 	// Decode returns the fact that an item declares, or nil if the key declares nothing.
-	Decode(key string, value []byte) (traffic.Fact, error)
+	Decode(key string, value []byte) (traffic.Declaration, error)
 	// UpstreamID returns the upstream that a key belongs to.
 	UpstreamID(key string) (id string, ok bool)
 	// EvacuatedDataCentre returns the data centre that a key evacuates while the key exists, whatever its value.
@@ -75,7 +75,7 @@
 	startedAt       time.Time
 	self            roster.Instance
 	view            storeView
-	advice          *serve.Advice
+	advice          *serve.SharedState
 	peers           *mesh.Peers
 	overlay         overlay
 	refreshed       refresh
@@ -167,7 +167,7 @@
 	n.overlay.initialise(n.self.Name)
 	n.assembleAdvice()
 	n.handler = &serve.Handler{
-		Dialect: n.Dialect, Fleet: n, Forward: n.forward, Advice: n.advice, Log: n.Log, Scope: scope,
+		Dialect: n.Dialect, Fleet: n, Forward: n.forward, State: n.advice, Log: n.Log, Scope: scope,
 	}
 	n.callers = &http.Server{
 		Handler:           n.handler,
@@ -186,7 +186,7 @@
 func (n *Node) assembleAdvice() {
 	settings := pool.DefaultSettings()
 	settings.DataCentre = n.self.DataCentre
-	n.advice = &serve.Advice{
+	n.advice = &serve.SharedState{
 		Pool:     &pool.Pool{Settings: settings},
 		Ledger:   &quota.Ledger{Self: n.self.Name},
 		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
@@ -275,10 +275,10 @@
 	start := time.Now()
 	n.stopping.Store(true)
 	n.Log.Info().Msg("Stopping")
-	n.handler.Leave()
+	n.handler.StartDraining()
 	n.revokeLease()
 	pause.For(tasksCtx, readinessDelay-time.Since(start))
-	n.handler.Close()
+	n.handler.RefuseRequests()
 	shutdownCtx, cancel := context.WithDeadline(context.Background(), start.Add(n.current.Load().Callers.StopWithin))
 	defer cancel()
 	err := n.callers.Shutdown(shutdownCtx)
--- a/internal/entry/node/order_permission_test.go
+++ b/internal/entry/node/order_permission_test.go
@@ -52,7 +52,7 @@
 		self: roster.Instance{Name: "self", Incarnation: "first"},
 	}
 	n.current.Store(&Settings{Upstreams: UpstreamSettings{FencesChecked: false, ReturnAfter: 3 * time.Second}})
-	n.advice = &serve.Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+	n.advice = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 	n.overlay.initialise(n.self.Name)
 	n.lease.suspended = func() time.Duration { return *suspended }
 	n.view.table.Store(traffic.NewTable(traffic.Configuration{}))
@@ -106,7 +106,7 @@
 		h := claimUpstream(t, n, "u")
 		*suspended = 5 * time.Second
 		is.True(!h.mayOrder(time.Now()))
-		prepared := h.prepare(t.Context(), mesh.PrepareRequest{Upstream: "u", Patience: time.Second})
+		prepared := h.prepare(t.Context(), mesh.PrepareRequest{Upstream: "u", MaxWait: time.Second})
 		is.Equal(prepared, mesh.NotHolder{}) // the request is sent elsewhere immediately
 	})
 }
--- a/internal/entry/node/overlay.go
+++ b/internal/entry/node/overlay.go
@@ -118,12 +118,12 @@
 		o.members[instance.Name] = member{instance: instance, firstSeen: known.firstSeen, lastSeen: now}
 	}
 	for name, entry := range o.members {
-		if now.Sub(entry.lastSeen) > memberRetention && now.Sub(o.table.LastHeard(name)) > memberRetention {
+		if now.Sub(entry.lastSeen) > memberRetention && now.Sub(o.table.LastAlive(name)) > memberRetention {
 			delete(o.members, name)
 			o.memberList = nil
 		}
 	}
-	o.table.Forget(now.Add(-memberRetention))
+	o.table.Expire(now.Add(-memberRetention))
 }
 
 // addLinkOpener adds an instance that opened a link. The information of the roster takes precedence.
@@ -179,7 +179,7 @@
 func (o *overlay) recordContact(name string, at time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.table.Heard(name, at)
+	o.table.MarkAlive(name, at)
 }
 
 // isAlive reports whether a message of an instance was received recently.
@@ -191,7 +191,7 @@
 
 // isAliveLocked is isAlive for callers that hold the lock.
 func (o *overlay) isAliveLocked(now time.Time, name string) bool {
-	at := o.table.LastHeard(name)
+	at := o.table.LastAlive(name)
 	if at.IsZero() {
 		return false
 	}
--- a/internal/entry/node/periodic.go
+++ b/internal/entry/node/periodic.go
@@ -69,7 +69,7 @@
 	v.mutex.Unlock()
 	n.setSharedLimits(len(names))
 	silentAfter := missedHeartbeats * n.overlay.currentStateInterval()
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		a.Ledger.PeerTimeout = silentAfter
 		a.Ledger.SetPeers(now, names)
 	})
@@ -84,8 +84,8 @@
 // closeStaleUpstreamConnections closes the connections to upstreams that are gone.
 func (n *Node) closeStaleUpstreamConnections() {
 	var names map[string]bool
-	n.advice.With(func(a *serve.Advice) { names, n.upstreamChanges = a.Pool.NamesSince(n.upstreamChanges) })
+	n.advice.WithLock(func(a *serve.SharedState) { names, n.upstreamChanges = a.Pool.NamesSince(n.upstreamChanges) })
 	if names != nil {
-		n.forward.Keep(names)
+		n.forward.CloseIdleExcept(names)
 	}
 }
--- a/internal/entry/node/settings.go
+++ b/internal/entry/node/settings.go
@@ -73,12 +73,12 @@
 		{
 			Section: "Instance", Name: "Name", Required: true,
 			Help: "name of the instance, the same after a restart",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Instance.Name }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Instance.Name }),
 		},
 		{
 			Section: "Instance", Name: "DataCentre", Required: true,
 			Help: "data centre of the instance",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Instance.DataCentre }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Instance.DataCentre }),
 		},
 		{
 			Section: "Instance", Name: "CallerAddress", Required: true,
@@ -114,7 +114,7 @@
 		{
 			Section: "Callers", Name: "HeaderBytes", Default: "16384",
 			Help: "largest header of a request",
-			Set:  inifile.Whole(1024, 1<<20, func(s *Settings) *int64 { return &s.Callers.HeaderBytes }),
+			Set:  inifile.Int(1024, 1<<20, func(s *Settings) *int64 { return &s.Callers.HeaderBytes }),
 		},
 		{
 			Section: "Callers", Name: "HeaderTimeout", Default: "3s",
@@ -143,7 +143,7 @@
 		{
 			Section: "Upstreams", Name: "FencesChecked", Default: "false",
 			Help: "whether upstreams refuse orders with an outdated fence",
-			Set:  inifile.Switch(func(s *Settings) *bool { return &s.Upstreams.FencesChecked }),
+			Set:  inifile.Bool(func(s *Settings) *bool { return &s.Upstreams.FencesChecked }),
 		},
 		{
 			Section: "Upstreams", Name: "ReturnAfter", Default: "3s",
@@ -154,12 +154,12 @@
 		{
 			Section: "Retries", Name: "Ratio", Default: "0.1",
 			Help: "sends beyond the first, over all instances, as a ratio of the requests",
-			Set:  inifile.Number(0, 10, func(s *Settings) *float64 { return &s.Retries.Ratio }),
+			Set:  inifile.Float(0, 10, func(s *Settings) *float64 { return &s.Retries.Ratio }),
 		},
 		{
 			Section: "Retries", Name: "Slack", Default: "10",
 			Help: "additional sends beyond the first, over all instances, in each window",
-			Set:  inifile.Number(0, 1e6, func(s *Settings) *float64 { return &s.Retries.Slack }),
+			Set:  inifile.Float(0, 1e6, func(s *Settings) *float64 { return &s.Retries.Slack }),
 		},
 		{
 			Section: "Log", Name: "Level", Default: "info",
@@ -169,7 +169,7 @@
 		{
 			Section: "Log", Name: "Budget", Default: "300",
 			Help: "log events a second; failures may use twice as many",
-			Set:  inifile.Whole(1, 1e6, func(s *Settings) *int64 { return &s.Log.Budget }),
+			Set:  inifile.Int(1, 1e6, func(s *Settings) *int64 { return &s.Log.Budget }),
 		},
 	}}
 }
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -21,7 +21,7 @@
 	slack := n.current.Load().Retries.Slack
 	interval := n.overlay.currentStateInterval()
 	loadsFor := time.Duration(loadValidHeartbeats * float64(interval))
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		a.Retries.SetMax(slack / parts)
 		a.Pool.Settings.Instances = int(math.Ceil(parts))
 		a.Pool.Settings.HeartbeatInterval = interval
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -84,7 +84,7 @@
 	}
 	n.refreshed.spentAt = now
 	var spent quota.Totals
-	n.advice.With(func(a *serve.Advice) { spent = a.Ledger.OwnTotals() })
+	n.advice.WithLock(func(a *serve.SharedState) { spent = a.Ledger.OwnTotals() })
 	recent := spent.ChangedSince(n.refreshed.spent)
 	n.refreshed.spent = spent
 	if delivery != spentWithState && len(recent) > 0 {
@@ -113,7 +113,7 @@
 		StoreUnreachable: n.storeUnreachable.Load(),
 	}
 	holders := n.view.liveHolders()
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		state.Spent = a.Ledger.OwnTotals()
 		state.Suspects = a.Suspects.LocalCounts(now)
 		state.Evidence = a.Pool.Evidence()
@@ -124,10 +124,10 @@
 
 // heldReport returns the state of the held upstreams that is sent to all others.
 func (n *Node) heldReport(now time.Time, residencies []pool.Residency) mesh.HeldReport {
-	held := mesh.HeldReport{Residencies: residencies, Held: make(map[string]pool.Load)}
-	n.advice.With(func(a *serve.Advice) {
+	held := mesh.HeldReport{Residencies: residencies, Loads: make(map[string]pool.Load)}
+	n.advice.WithLock(func(a *serve.SharedState) {
 		for _, residency := range residencies {
-			held.Held[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
+			held.Loads[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
 		}
 	})
 	return held
@@ -170,7 +170,7 @@
 	}
 	n.overlay.setStoreUnreachable(now, record.Instance, state.StoreUnreachable)
 	outdated := !n.overlay.recordSpentVersion(record)
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		if !outdated {
 			a.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
 		}
@@ -189,7 +189,7 @@
 	if err != nil || !n.overlay.recordSpentVersion(record) {
 		return err
 	}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		a.Ledger.MergePartialTotals(now, record.Instance, state.Incarnation, state.Spent)
 	})
 	return nil
@@ -204,11 +204,11 @@
 	if !direct {
 		at = now.Add(-assumedRelayDelay)
 	}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		for _, residency := range held.Residencies {
 			a.Pool.RecordResidency(now, residency)
 		}
-		for id, load := range held.Held {
+		for id, load := range held.Loads {
 			a.Pool.RecordHolderTotal(at, id, load)
 		}
 	})
--- a/internal/entry/node/state_exchange_test.go
+++ b/internal/entry/node/state_exchange_test.go
@@ -24,19 +24,19 @@
 		n.overlay.setMembers(time.Now(), n.view.roster.Instances())
 		n.refreshState(time.Now(), false)
 		link := &gossip.Link{}
-		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 2)
+		is.Equal(len(n.overlay.table.TakeDue(time.Now(), link, "")), 2)
 		time.Sleep(heartbeatInterval)
 		n.refreshState(time.Now(), false)
-		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // no part is due yet
+		is.Equal(len(n.overlay.table.TakeDue(time.Now(), link, "")), 0) // no part is due yet
 		h.planner.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{
 			{Name: "m", Version: 1, Adapters: []traffic.LoadedAdapter{{Name: "a", Version: 1}}},
 		}})
 		n.refreshState(time.Now(), false)
-		is.Equal(len(n.overlay.table.Due(time.Now(), link, "")), 0) // at most once a second
+		is.Equal(len(n.overlay.table.TakeDue(time.Now(), link, "")), 0) // at most once a second
 		time.Sleep(heldInterval - heartbeatInterval)
 		n.refreshState(time.Now(), false)
 		var parts []gossip.Part
-		for _, record := range n.overlay.table.Due(time.Now(), link, "") {
+		for _, record := range n.overlay.table.TakeDue(time.Now(), link, "") {
 			if record.Content != nil {
 				parts = append(parts, record.Part)
 			}
--- a/internal/entry/node/store_view.go
+++ b/internal/entry/node/store_view.go
@@ -60,8 +60,8 @@
 // Table returns the configuration in force, or nil if none has been received.
 func (n *Node) Table() *traffic.Table { return n.view.table.Load() }
 
-// Newest returns the newest declared version of an adapter.
-func (n *Node) Newest(adapter traffic.Adapter) (version int64, required bool) {
+// NewestVersion returns the newest declared version of an adapter.
+func (n *Node) NewestVersion(adapter traffic.Adapter) (version int64, required bool) {
 	v := &n.view
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -188,7 +188,7 @@
 	for _, workspace := range configuration.Workspaces {
 		limits[workspace.Name] = quota.Limit{Rate: workspace.Rate, Burst: workspace.Burst}
 	}
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		a.Pool.Configure(configuration.Services)
 		a.Ledger.SetLimits(time.Now(), limits)
 	})
--- a/internal/entry/node/unreachable_upstream_test.go
+++ b/internal/entry/node/unreachable_upstream_test.go
@@ -31,7 +31,7 @@
 func heldUpstreamAt(address string) *heldUpstream {
 	n := &Node{Log: zerolog.Nop(), Orders: noResponseOrders{}, heldUpstreams: newHeldUpstreams()}
 	n.current.Store(&Settings{Upstreams: UpstreamSettings{FencesChecked: true}})
-	n.advice = &serve.Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+	n.advice = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 	upstream := traffic.Upstream{ID: "u", Service: "s", Address: address}
 	n.advice.Pool.Declare(time.Now(), upstream)
 	return &heldUpstream{node: n, upstream: upstream, fence: 1, wake: make(chan struct{}, 1), changed: make(chan struct{})}
@@ -60,9 +60,9 @@
 			h := heldUpstreamAt(c.address)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			responses := make(chan mesh.Prepared, 1)
+			responses := make(chan mesh.PrepareResult, 1)
 			request := mesh.PrepareRequest{
-				Upstream: "u", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Patience: time.Second, OnTime: time.Second,
+				Upstream: "u", Adapter: traffic.Adapter{Model: "m", Name: "a"}, MaxWait: time.Second, OnTime: time.Second,
 			}
 			go func() { responses <- h.prepare(ctx, request) }()
 			time.Sleep(50 * time.Millisecond)
--- a/internal/entry/node/upstream_entries.go
+++ b/internal/entry/node/upstream_entries.go
@@ -16,7 +16,7 @@
 
 // applyEvacuation begins or ends the evacuation of a data centre.
 func (n *Node) applyEvacuation(dataCentre string, evacuated bool, revision int64) {
-	n.advice.With(func(a *serve.Advice) { a.Pool.SetEvacuated(time.Now(), dataCentre, evacuated) })
+	n.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetEvacuated(time.Now(), dataCentre, evacuated) })
 	n.Log.Info().Str("DataCentre", dataCentre).Bool("Evacuated", evacuated).Int64("Revision", revision).
 		Msg("DataCentreEvacuated")
 }
@@ -50,23 +50,23 @@
 	}
 	var previous traffic.Upstream
 	known := false
-	n.advice.With(func(a *serve.Advice) {
+	n.advice.WithLock(func(a *serve.SharedState) {
 		previous, known = a.Pool.Upstream(id)
 		a.Pool.Declare(time.Now(), upstream)
 	})
-	urgent = !known || previous.Draining != upstream.Draining || previous.Born != upstream.Born ||
+	urgent = !known || previous.Draining != upstream.Draining || previous.StartedMillis != upstream.StartedMillis ||
 		previous.Address != upstream.Address || previous.Service != upstream.Service ||
-		(previous.ColdFor > 0) != (upstream.ColdFor > 0)
+		(previous.ColdRemaining > 0) != (upstream.ColdRemaining > 0)
 	if urgent {
 		n.Log.Info().Str("Upstream", id).Str("Service", upstream.Service).Str("Address", upstream.Address).
-			Bool("Draining", upstream.Draining).Int64("ColdMillis", upstream.ColdFor.Milliseconds()).
+			Bool("Draining", upstream.Draining).Int64("ColdMillis", upstream.ColdRemaining.Milliseconds()).
 			Int64("Revision", item.Revision).Msg("UpstreamDeclared")
 	}
 	return urgent
 }
 
 func (n *Node) removeUpstream(id, why string, revision int64) {
-	n.advice.With(func(a *serve.Advice) { a.Pool.Remove(id) })
+	n.advice.WithLock(func(a *serve.SharedState) { a.Pool.Remove(id) })
 	n.Log.Info().Str("Upstream", id).Str("Why", why).Int64("Revision", revision).Msg("UpstreamGone")
 }
 
--- a/internal/entry/node/urgent_changes_test.go
+++ b/internal/entry/node/urgent_changes_test.go
@@ -14,7 +14,7 @@
 // upstreamDecoder decodes entries of upstreams in the form of the domain type.
 type upstreamDecoder struct{}
 
-func (upstreamDecoder) Decode(_ string, value []byte) (traffic.Fact, error) {
+func (upstreamDecoder) Decode(_ string, value []byte) (traffic.Declaration, error) {
 	var upstream traffic.Upstream
 	err := json.Unmarshal(value, &upstream)
 	return upstream, err
@@ -27,13 +27,13 @@
 // is removed must be sent immediately, because requests are sent to it.
 func TestOnlyNewsIsPassedOnAtOnce(t *testing.T) {
 	const links = 12
-	plain := traffic.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Born: 1}
+	plain := traffic.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", StartedMillis: 1}
 	loaded := plain
 	loaded.Models = []traffic.LoadedModel{{Name: "m", Version: 1}}
 	draining := loaded
 	draining.Draining = true
 	restarted := loaded
-	restarted.Born = 2
+	restarted.StartedMillis = 2
 	for _, c := range []struct {
 		name     string
 		previous *traffic.Upstream
@@ -81,7 +81,7 @@
 	n := nodeWithPeers(t, 3, nil)
 	n.Decoder = upstreamDecoder{}
 	n.view.replica.Merge(replica.Batch{Snapshot: true, Through: 1})
-	upstream := traffic.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Born: 1}
+	upstream := traffic.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", StartedMillis: 1}
 	n.merge(upstreamChange(t, 2, &upstream), time.Now(), sourceStore)
 	is.Equal(len(n.CatchUp(1).Items), 1)
 	upstream.Models = []traffic.LoadedModel{{Name: "m", Version: 1}}
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	defer func() { p.finished(run, err) }()
-	ctx, leave := p.Running.enter(ctx, identity)
+	ctx, leave := p.RunningRequests.enter(ctx, identity)
 	defer leave()
 	reservation, err := p.reserve(ctx, identity.Workspace, float64(request.MostTokens()))
 	if err != nil {
@@ -92,7 +92,7 @@
 		cost:        float64(request.PromptTokens + request.MaxTokens),
 		fingerprint: suspect.Fingerprint(request.Fingerprint(identity.Workspace)),
 		began:       now,
-		deadline:    now.Add(p.Patience),
+		deadline:    now.Add(p.DispatchTimeout),
 	}
 	if workspace, found := current.Workspace(identity.Workspace); found {
 		run.weight = p.weight(now, workspace)
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Retries.CountFirstTry()
 	})
 	return run, p.judge(run)
@@ -109,7 +109,7 @@
 
 // weight is the workspace's weight now: raised while it gets less for its weight than others do.
 func (p *Pipeline) weight(now time.Time, workspace resource.Workspace) (weight float64) {
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		weight = a.Shares.Weight(now, workspace.Meta.Name, workspace.Weight)
 	})
 	return weight
@@ -137,7 +137,7 @@
 // judge refuses a request that has crashed upstreams, or has it run apart from other suspects or alone.
 func (p *Pipeline) judge(run *completionRun) error {
 	verdict, retryAfter := suspect.Free, time.Duration(0)
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		verdict, retryAfter = a.Suspects.Judge(time.Now(), run.fingerprint)
 	})
 	run.alone = verdict == suspect.Alone
--- a/internal/entry/pipeline/completion_end.go
+++ b/internal/entry/pipeline/completion_end.go
@@ -16,12 +16,12 @@
 func ended(ctx context.Context, run refusal.Run) error {
 	cause := context.Cause(ctx)
 	switch {
-	case errors.Is(cause, ErrWithdrawn):
+	case errors.Is(cause, ErrKeyWithdrawn):
 		return withdrawn().WithRun(run)
-	case errors.Is(cause, ErrStale):
+	case errors.Is(cause, ErrKeyUnconfirmed):
 		return refusal.New(refusal.NotFresh, "this instance cannot confirm the key any more").
 			WithRun(run).WithRetryAfter(time.Second)
-	case errors.Is(cause, ErrTooLong):
+	case errors.Is(cause, ErrReservationExpired):
 		return refusal.New(refusal.Deadline, "the request ran for too long").WithRun(run)
 	}
 	return refusal.New(refusal.Cancelled, "the caller went away").WithRun(run)
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -194,7 +194,7 @@
 // have to stay within a tenth of the requests.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	inBubble(t, 2, func(f *fixture) {
-		f.pipeline.Advice.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
+		f.pipeline.State.Retries = retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
 		f.complete = func(context.Context, engine.Sink) engine.Outcome { return engine.Unknown{StopConfirmed: true} }
 		for range 100 {
 			refused(t, f.ask("bids", 1), refusal.UpstreamFailed, refusal.Unknown)
@@ -346,7 +346,7 @@
 		time.Sleep(10 * time.Second)
 		is := is.New(t)
 		is.Equal(len(f.given()), 0)
-		pins, _ := f.pipeline.Pins.On(f.dispatched()[0], 0)
+		pins, _ := f.pipeline.Pins.ForUpstream(f.dispatched()[0], 0)
 		is.Equal(len(pins), 1)
 		cut.Store(false)
 		time.Sleep(time.Second)
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -70,7 +70,7 @@
 
 // mayRetry asks the budget of retries, so that a failing fleet is not sent its whole load twice.
 func (p *Pipeline) mayRetry() (allowed bool) {
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		allowed = a.Retries.Allow()
 	})
 	if allowed {
@@ -82,7 +82,7 @@
 // learn tells the route how the upstream did, and the suspects whether the request survived it.
 func (p *Pipeline) learn(run *completionRun, found *place, outcome engine.Outcome, released holder.Released) {
 	now := time.Now()
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Router.RecordOutcome(now, route.Outcome{
 			Upstream: found.upstream.Meta.Name,
 			Tokens:   released.Tokens,
@@ -106,8 +106,8 @@
 // tellCrash has the other instances told of a crash at once. Told with the next heartbeat only, a caller
 // that sends its request again to another instance crashes one engine more there.
 func (p *Pipeline) tellCrash(outcome engine.Outcome) {
-	if isCrash(outcome) && p.Crashed != nil {
-		p.Crashed()
+	if isCrash(outcome) && p.OnUpstreamCrash != nil {
+		p.OnUpstreamCrash()
 	}
 }
 
--- a/internal/entry/pipeline/fixture_test.go
+++ b/internal/entry/pipeline/fixture_test.go
@@ -103,15 +103,15 @@
 	f.pipeline = &pipeline.Pipeline{
 		Self: self, Current: f.repository.Current, Tracker: f.tracker, Ledger: f.ledger, Claims: claims,
 		Fleet: f, Engine: func(address string) pipeline.Engine { return engineAt{f, upstream[address]} },
-		Services: f, Leaving: func(address string) bool { return f.leaving[address] },
-		Crashed: func() { f.told.Add(1) }, Pins: &pipeline.Pins{}, Running: &pipeline.Running{}, Burn: &burn.Recorder{},
-		Advice: &pipeline.Advice{
+		Services: f, IsLeaving: func(address string) bool { return f.leaving[address] },
+		OnUpstreamCrash: func() { f.told.Add(1) }, Pins: &pipeline.Pins{}, RunningRequests: &pipeline.RunningRequests{}, Burn: &burn.Recorder{},
+		State: &pipeline.SharedState{
 			Router:   &route.Router{Settings: route.DefaultSettings()},
 			Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 			Retries:  retry.New(1, 10),
 			Shares:   &share.Tracker{},
 		},
-		Patience: longPatience, Log: zerolog.Nop(), Scope: tally.NoopScope,
+		DispatchTimeout: longPatience, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}
 	f.declare(members)
 	go func() { _ = claims.Run(ctx) }()
@@ -209,9 +209,9 @@
 		ledgerHead.Limits = append(ledgerHead.Limits, limit)
 	}
 	f.ledger.Install(ledgerHead)
-	f.pipeline.Running.EndWithdrawn(current.Configuration)
+	f.pipeline.RunningRequests.CancelWithdrawn(current.Configuration)
 	f.pipeline.Pins.Install(current.Head)
-	f.pipeline.Advice.With(func(a *pipeline.Advice) {
+	f.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		a.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
 	f.tracker.Install(trackerHead)
@@ -222,7 +222,7 @@
 func (f *fixture) confirm() {
 	now := time.Now()
 	f.tracker.RecordRead(now, f.repository.Current().Head.Revision)
-	f.pipeline.Advice.With(func(a *pipeline.Advice) {
+	f.pipeline.State.WithLock(func(a *pipeline.SharedState) {
 		for _, name := range upstream {
 			a.Router.UpdateSummary(now, route.Summary{Upstream: name, Epoch: 1, FreePlaces: 4, Healthy: true, At: now})
 		}
@@ -272,7 +272,7 @@
 	return nil
 }
 
-func (f *fixture) AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
+func (f *fixture) BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
 	return f.lend(ctx, member, request)
 }
 
--- a/internal/entry/pipeline/pins.go
+++ b/internal/entry/pipeline/pins.go
@@ -51,8 +51,8 @@
 	delete(p.pins, id)
 }
 
-// On lists the pins on an upstream, and tells whether a head of at least that epoch is installed.
-func (p *Pins) On(upstream string, epoch int64) (pins []holder.Pin, noted bool) {
+// ForUpstream lists the pins on an upstream, and tells whether a head of at least that epoch is installed.
+func (p *Pins) ForUpstream(upstream string, epoch int64) (pins []holder.Pin, noted bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range p.pins {
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -38,7 +38,7 @@
 type Fleet interface {
 	Place(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error)
 	Release(ctx context.Context, member head.Member, request peer.ReleaseRequest) error
-	AskTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error)
+	BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error)
 }
 
 // Engine runs completions on one upstream. Cancel answers nil once the engine has confirmed that it does
@@ -53,8 +53,8 @@
 	Do(ctx context.Context, address string, call service.Call) service.Outcome
 }
 
-// Objectives counts what went well and badly for the burn report.
-type Objectives interface {
+// ObjectiveRecorder counts what went well and badly for the burn report.
+type ObjectiveRecorder interface {
 	Record(workspace string, objective burn.Objective, good bool)
 }
 
@@ -68,25 +68,25 @@
 	Fleet    Fleet
 	Engine   func(address string) Engine
 	Services Services
-	// Leaving tells whether the machine at an address is said to be leaving.
-	Leaving func(address string) bool
-	Pins    *Pins
-	Running *Running
-	Burn    Objectives
-	Advice  *Advice
-	// Patience is the longest a request may wait before it is dispatched.
-	Patience time.Duration
-	// Crashed, when set, is told that a request was in flight when an upstream was lost, so that the other
+	// IsLeaving tells whether the machine at an address is said to be leaving.
+	IsLeaving       func(address string) bool
+	Pins            *Pins
+	RunningRequests *RunningRequests
+	Burn            ObjectiveRecorder
+	State           *SharedState
+	// DispatchTimeout is the longest a request may wait before it is dispatched.
+	DispatchTimeout time.Duration
+	// OnUpstreamCrash, when set, is told that a request was in flight when an upstream was lost, so that the other
 	// instances hear of it before its caller sends it to one of them.
-	Crashed func()
-	Log     zerolog.Logger
-	Scope   tally.Scope
+	OnUpstreamCrash func()
+	Log             zerolog.Logger
+	Scope           tally.Scope
 }
 
-// Advice is what this instance has learnt about upstreams and requests: where to send the next one,
+// SharedState is what this instance has learnt about upstreams and requests: where to send the next one,
 // which requests crash upstreams, and how many retries are left. Its parts are not safe for several
 // goroutines, so all of them are used under one lock; each use takes microseconds.
-type Advice struct {
+type SharedState struct {
 	Router   *route.Router
 	Suspects *suspect.Tracker
 	Retries  *retry.Budget
@@ -95,8 +95,8 @@
 	mutex sync.Mutex
 }
 
-// With gives the parts to one function at a time.
-func (a *Advice) With(use func(a *Advice)) {
+// WithLock gives the parts to one function at a time.
+func (a *SharedState) WithLock(use func(a *SharedState)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	use(a)
--- a/internal/entry/pipeline/placing.go
+++ b/internal/entry/pipeline/placing.go
@@ -95,7 +95,7 @@
 
 func (p *Pipeline) choose(run *completionRun) (upstream resource.Upstream, err error) {
 	var choice route.Choice
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		choice, err = a.Router.Choose(time.Now(), route.Query{
 			Model:     run.model,
 			BaseModel: run.baseModel,
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -58,7 +58,7 @@
 // withoutLeaving leaves out the addresses that are leaving. A call sent to one of them may be cut when it
 // goes, and one that may not be repeated then has an outcome that nobody knows.
 func (p *Pipeline) withoutLeaving(target resource.Service) (resource.Service, error) {
-	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.Leaving)
+	target.Addresses = slices.DeleteFunc(slices.Clone(target.Addresses), p.IsLeaving)
 	if len(target.Addresses) == 0 {
 		return target, refusal.New(refusal.ServiceUnavailable, "all addresses of the service are leaving").
 			WithRetryAfter(time.Second)
@@ -78,9 +78,9 @@
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
 ) (answer service.Response, err error) {
-	ctx, leave := p.Running.enter(ctx, identity)
+	ctx, leave := p.RunningRequests.enter(ctx, identity)
 	defer leave()
-	p.Advice.With(func(a *Advice) {
+	p.State.WithLock(func(a *SharedState) {
 		a.Retries.CountFirstTry()
 	})
 	unanswered := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
--- a/internal/entry/pipeline/service_call_test.go
+++ b/internal/entry/pipeline/service_call_test.go
@@ -82,7 +82,7 @@
 // and once.
 func TestClaimWhoseAnswerIsLost(t *testing.T) {
 	for _, lose := range []func(kv *store.Memory){
-		func(kv *store.Memory) { kv.LoseAnswers(1) },
+		func(kv *store.Memory) { kv.LoseResponses(1) },
 		func(kv *store.Memory) { kv.LoseRequests(1) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/pipeline/tokens.go
+++ b/internal/entry/pipeline/tokens.go
@@ -75,9 +75,9 @@
 		Int64("RetryAfterMillis", short.RetryAfter.Milliseconds()).Msg("TokensShort")
 }
 
-// TopUp balances the buckets of the workspaces in use, apart from any request. The daemon calls it about
+// RebalanceTokens balances the buckets of the workspaces in use, apart from any request. The daemon calls it about
 // four times a second.
-func (p *Pipeline) TopUp(ctx context.Context) {
+func (p *Pipeline) RebalanceTokens(ctx context.Context) {
 	for _, ask := range p.Ledger.PlanRebalancing() {
 		p.ask(ctx, ask)
 	}
@@ -92,11 +92,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	loan, err := p.Fleet.AskTokens(ctx, member, peer.TokenRequest{
+	loan, err := p.Fleet.BorrowTokens(ctx, member, peer.TokenRequest{
 		Workspace: ask.Workspace,
 		Tokens:    ask.Tokens,
 		Borrower:  p.Self,
-		Spare:     ask.SpareOnly,
+		SpareOnly: ask.SpareOnly,
 	})
 	p.Scope.Counter("token_asks").Inc(1)
 	if err != nil {
--- a/internal/entry/settings/settings_fields.go
+++ b/internal/entry/settings/settings_fields.go
@@ -19,12 +19,12 @@
 		{
 			Section: "Instance", Name: "Name", Required: true,
 			Help: "name of the instance, the same after a restart",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Instance.Name }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Instance.Name }),
 		},
 		{
 			Section: "Instance", Name: "DataCentre", Required: true,
 			Help: "data centre the instance is in",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Instance.DataCentre }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Instance.DataCentre }),
 		},
 		{
 			Section: "Instance", Name: "CallerAddress", Required: true,
@@ -65,17 +65,17 @@
 		{
 			Section: "Peers", Name: "Certificate",
 			Help: "file with this instance's certificate (PEM)",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Peers.Certificate }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Peers.Certificate }),
 		},
 		{
 			Section: "Peers", Name: "Key",
 			Help: "file with this instance's private key (PEM)",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Peers.Key }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Peers.Key }),
 		},
 		{
 			Section: "Peers", Name: "Authority",
 			Help: "file with the certificates that sign the instances' (PEM)",
-			Set:  inifile.Word(func(s *Settings) *string { return &s.Peers.Authority }),
+			Set:  inifile.String(func(s *Settings) *string { return &s.Peers.Authority }),
 		},
 		{
 			Section: "Freshness", Name: "Bound", Default: "3s",
@@ -86,7 +86,7 @@
 		{
 			Section: "Limits", Name: "BodyBytes", Default: "1048576",
 			Help: "largest body of a request",
-			Set:  inifile.Whole(1024, 64<<20, func(s *Settings) *int64 { return &s.Limits.BodyBytes }),
+			Set:  inifile.Int(1024, 64<<20, func(s *Settings) *int64 { return &s.Limits.BodyBytes }),
 		},
 		{
 			Section: "Limits", Name: "Patience", Default: "15s",
--- a/internal/entry/settings/settings_load.go
+++ b/internal/entry/settings/settings_load.go
@@ -11,7 +11,7 @@
 )
 
 func format() inifile.Format[Settings] {
-	return inifile.Format[Settings]{Fields: fields(), Contradictions: contradictions}
+	return inifile.Format[Settings]{Fields: fields(), Validate: contradictions}
 }
 
 // Load reads and checks a settings file. The error is a Problems with everything that is wrong.
--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -86,7 +86,7 @@
 
 func (f *fleet) carry(from, to *member, near, far *gossip.Link) {
 	from.messages++
-	for _, record := range to.table.Merge(f.now, far, from.table.Due(f.now, near, to.instance.Name)) {
+	for _, record := range to.table.Merge(f.now, far, from.table.TakeDue(f.now, near, to.instance.Name)) {
 		to.received[record.Instance]++
 	}
 }
@@ -173,7 +173,7 @@
 				continue
 			}
 			is.True(one.received[other.instance.Name] >= 2)
-			is.True(f.now.Sub(one.table.LastHeard(other.instance.Name)) <= time.Second)
+			is.True(f.now.Sub(one.table.LastAlive(other.instance.Name)) <= time.Second)
 		}
 	}
 }
@@ -188,10 +188,10 @@
 	restarted := gossip.Table{Self: "b", Version: 500}
 	restarted.SetOwn(gossip.PartGeneral, []byte("after"), false)
 	toRestarted := &gossip.Link{Attached: true}
-	fromKnown := known.Due(now, toRestarted, "")
+	fromKnown := known.TakeDue(now, toRestarted, "")
 	is.Equal(len(restarted.Merge(now, &gossip.Link{}, fromKnown)), 0)
 	restarted.SetOwn(gossip.PartGeneral, []byte("after"), false)
-	changed := known.Merge(now, &gossip.Link{}, restarted.Due(now, &gossip.Link{}, "a"))
+	changed := known.Merge(now, &gossip.Link{}, restarted.TakeDue(now, &gossip.Link{}, "a"))
 	is.Equal(len(changed), 1)
 	is.Equal(string(changed[0].Content), "after")
 }
--- a/internal/fleet/gossip/relays.go
+++ b/internal/fleet/gossip/relays.go
@@ -82,11 +82,11 @@
 	return relays[:1]
 }
 
-// Sought tells whether a relay is the one that looks for an instance of which nothing is heard.
+// ShouldProbe tells whether a relay is the one that looks for an instance of which nothing is heard.
 //
 // Made for an instance that restarts while the store turns it away: it knows nobody, so that nobody would hear of it
 // and it would serve nobody, until the store takes it again.
-func (t Topology) Sought(self, lost string) bool {
+func (t Topology) ShouldProbe(self, lost string) bool {
 	if !t.relays[self] {
 		return false
 	}
--- a/internal/fleet/gossip/table.go
+++ b/internal/fleet/gossip/table.go
@@ -100,15 +100,15 @@
 	own.urgent = urgent
 }
 
-// Heard takes note that an instance was alive at a moment.
-func (t *Table) Heard(name string, at time.Time) {
+// MarkAlive takes note that an instance was alive at a moment.
+func (t *Table) MarkAlive(name string, at time.Time) {
 	if one := t.life(name); at.After(one.heard) {
 		one.heard = at
 	}
 }
 
-// LastHeard is when an instance was last known to be alive, zero if never.
-func (t *Table) LastHeard(name string) time.Time {
+// LastAlive is when an instance was last known to be alive, zero if never.
+func (t *Table) LastAlive(name string) time.Time {
 	if one := t.lives[name]; one != nil {
 		return one.heard
 	}
@@ -124,8 +124,8 @@
 	}
 }
 
-// Forget drops the instances that were last alive before a moment.
-func (t *Table) Forget(before time.Time) {
+// Expire drops the instances that were last alive before a moment.
+func (t *Table) Expire(before time.Time) {
 	for name, one := range t.lives {
 		if name != t.Self && one.heard.Before(before) {
 			delete(t.lives, name)
@@ -136,12 +136,12 @@
 	}
 }
 
-// Due gives what the other end of a link lacks, and takes it that it will get it.
-func (t *Table) Due(now time.Time, link *Link, peer string) (records []Record) {
+// TakeDue gives what the other end of a link lacks, and takes it that it will get it.
+func (t *Table) TakeDue(now time.Time, link *Link, peer string) (records []Record) {
 	if link.passed == nil {
 		link.passed = make(map[key]passed)
 	}
-	t.Heard(t.Self, now)
+	t.MarkAlive(t.Self, now)
 	for of, one := range t.entries {
 		if of.instance == peer || one.version == 0 || !link.Attached && !t.isAttached(now, of.instance, one.life) {
 			continue
@@ -176,7 +176,7 @@
 		of := key{instance: record.Instance, part: record.Part}
 		one := t.entry(of)
 		heard := now.Add(-record.Age)
-		t.Heard(record.Instance, heard)
+		t.MarkAlive(record.Instance, heard)
 		if link.Attached {
 			one.life.attached = now
 		}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -45,7 +45,7 @@
 func NewServer(secured credentials.TransportCredentials) *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(secured),
-		grpc.ConnectionTimeout(socket.HandshakeWithin),
+		grpc.ConnectionTimeout(socket.HandshakeTimeout),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAtMostEvery, PermitWithoutStream: true}),
 		grpc.StaticStreamWindowSize(windowBytes),
 		grpc.StaticConnWindowSize(windowBytes),
@@ -67,8 +67,8 @@
 	silent int
 }
 
-// To gives the connection to a peer. It is made when the first call needs it.
-func (l *Links) To(address string) (client grpc.ClientConnInterface, err error) {
+// Connection gives the connection to a peer. It is made when the first call needs it.
+func (l *Links) Connection(address string) (client grpc.ClientConnInterface, err error) {
 	defer func() { err = errors.WithMessage(err, "link: connect") }()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// Heard takes note of how a heartbeat ended, and replaces a connection on which they time out one after the other.
-func (l *Links) Heard(address string, err error) {
+// RecordHeartbeat takes note of how a heartbeat ended, and replaces a connection on which they time out one after the other.
+func (l *Links) RecordHeartbeat(address string, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.connections[address]
@@ -138,8 +138,8 @@
 	}
 }
 
-// Keep closes the connections to all addresses but the given ones.
-func (l *Links) Keep(addresses map[string]bool) {
+// CloseExcept closes the connections to all addresses but the given ones.
+func (l *Links) CloseExcept(addresses map[string]bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for address, known := range l.connections {
@@ -151,4 +151,4 @@
 }
 
 // Close closes all connections.
-func (l *Links) Close() { l.Keep(nil) }
+func (l *Links) Close() { l.CloseExcept(nil) }
--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -25,7 +25,7 @@
 		Address:            m.Address,
 		Attached:           m.Attached,
 		Revision:           m.Revision,
-		NewsRevision:       m.News,
+		NewsRevision:       m.UrgentRevision,
 		ConfirmedAgeMicros: m.ConfirmedAge.Microseconds(),
 		SentMicros:         m.Stamp.Sent.Microseconds(),
 		EchoMicros:         m.Stamp.Echo.Microseconds(),
@@ -46,12 +46,12 @@
 
 func messageFromWire(wire *meshpb.GossipMessage) Message {
 	m := Message{
-		Instance:     wire.GetInstance(),
-		Address:      wire.GetAddress(),
-		Attached:     wire.GetAttached(),
-		Revision:     wire.GetRevision(),
-		News:         wire.GetNewsRevision(),
-		ConfirmedAge: micros(wire.GetConfirmedAgeMicros()),
+		Instance:       wire.GetInstance(),
+		Address:        wire.GetAddress(),
+		Attached:       wire.GetAttached(),
+		Revision:       wire.GetRevision(),
+		UrgentRevision: wire.GetNewsRevision(),
+		ConfirmedAge:   micros(wire.GetConfirmedAgeMicros()),
 		Stamp: gossip.Stamp{
 			Sent:    micros(wire.GetSentMicros()),
 			Echo:    micros(wire.GetEchoMicros()),
@@ -192,7 +192,7 @@
 }
 
 func heldToWire(r HeldReport) *meshpb.HeldReport {
-	wire := &meshpb.HeldReport{Held: loadsToWire(r.Held)}
+	wire := &meshpb.HeldReport{Held: loadsToWire(r.Loads)}
 	for _, residency := range r.Residencies {
 		wire.Residencies = append(wire.Residencies, residencyToWire(residency))
 	}
@@ -200,7 +200,7 @@
 }
 
 func heldFromWire(wire *meshpb.HeldReport) HeldReport {
-	return HeldReport{Held: loadsFromWire(wire.GetHeld()), Residencies: residenciesFromWire(wire.GetResidencies())}
+	return HeldReport{Loads: loadsFromWire(wire.GetHeld()), Residencies: residenciesFromWire(wire.GetResidencies())}
 }
 
 func residenciesFromWire(wire []*meshpb.Residency) (list []pool.Residency) {
@@ -329,7 +329,7 @@
 		Upstream:       r.Upstream,
 		Adapter:        adapterToWire(r.Adapter),
 		Version:        r.Version,
-		PatienceMillis: r.Patience.Milliseconds(),
+		PatienceMillis: r.MaxWait.Milliseconds(),
 		Priority:       int32(r.Priority),
 		OnTimeMillis:   r.OnTime.Milliseconds(),
 		Tokens:         int64(r.Tokens),
@@ -341,14 +341,14 @@
 		Upstream: wire.GetUpstream(),
 		Adapter:  adapterFromWire(wire.GetAdapter()),
 		Version:  wire.GetVersion(),
-		Patience: millis(wire.GetPatienceMillis()),
+		MaxWait:  millis(wire.GetPatienceMillis()),
 		OnTime:   millis(wire.GetOnTimeMillis()),
 		Priority: int(wire.GetPriority()),
 		Tokens:   int(wire.GetTokens()),
 	}
 }
 
-func preparedToWire(prepared Prepared) *meshpb.PrepareReply {
+func preparedToWire(prepared PrepareResult) *meshpb.PrepareReply {
 	switch p := prepared.(type) {
 	case Loaded:
 		return &meshpb.PrepareReply{Verdict: meshpb.PrepareVerdict_PREPARE_VERDICT_LOADED, Version: p.Version}
@@ -362,7 +362,7 @@
 	}
 }
 
-func preparedFromWire(wire *meshpb.PrepareReply) Prepared {
+func preparedFromWire(wire *meshpb.PrepareReply) PrepareResult {
 	switch wire.GetVerdict() {
 	case meshpb.PrepareVerdict_PREPARE_VERDICT_LOADED:
 		return Loaded{Version: wire.GetVersion()}
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -66,13 +66,13 @@
 // Report sends a holder what is in flight at its upstreams, and gives what others have there. A connection on which
 // reports time out one after the other is replaced.
 func (p *Peers) Report(ctx context.Context, address string, report LoadReport) (HeldReport, error) {
-	answer, err := p.Ask(ctx, address, report)
-	p.Heard(address, err)
+	answer, err := p.Query(ctx, address, report)
+	p.RecordHeartbeat(address, err)
 	return answer, err
 }
 
-// Ask is a Report with little time for the answer. One that comes late says nothing of the connection.
-func (p *Peers) Ask(ctx context.Context, address string, report LoadReport) (_ HeldReport, err error) {
+// Query is a Report with little time for the answer. One that comes late says nothing of the connection.
+func (p *Peers) Query(ctx context.Context, address string, report LoadReport) (_ HeldReport, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: report") }()
 	client, err := p.client(address)
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // Prepare asks the holder at address for an adapter and waits for it.
-func (p *Peers) Prepare(ctx context.Context, address string, request PrepareRequest) (_ Prepared, err error) {
+func (p *Peers) Prepare(ctx context.Context, address string, request PrepareRequest) (_ PrepareResult, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: prepare") }()
 	client, err := p.client(address)
 	if err != nil {
@@ -117,7 +117,7 @@
 // ---------------------------------------------------------------------------------------------
 
 func (p *Peers) client(address string) (meshpb.MeshClient, error) {
-	connection, err := p.To(address)
+	connection, err := p.Connection(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -31,7 +31,7 @@
 	asked    mesh.PrepareRequest
 	after    int64
 	batch    replica.Batch
-	prepared mesh.Prepared
+	prepared mesh.PrepareResult
 }
 
 func (e *echo) Gossip(_ context.Context, stream mesh.Stream) error {
@@ -57,7 +57,7 @@
 	return e.batch
 }
 
-func (e *echo) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
+func (e *echo) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.PrepareResult {
 	e.asked = request
 	return e.prepared
 }
@@ -85,7 +85,7 @@
 	stream, err := peers.Gossip(ctx, address)
 	is.NoErr(err)
 	messages := []mesh.Message{
-		{Instance: "i", Address: "10.0.0.1:1", Attached: true, Revision: 7, News: 5, ConfirmedAge: 250 * time.Millisecond, Stamp: gossip.Stamp{Sent: 3 * time.Second, Echo: 2 * time.Second, EchoAge: time.Millisecond}},
+		{Instance: "i", Address: "10.0.0.1:1", Attached: true, Revision: 7, UrgentRevision: 5, ConfirmedAge: 250 * time.Millisecond, Stamp: gossip.Stamp{Sent: 3 * time.Second, Echo: 2 * time.Second, EchoAge: time.Millisecond}},
 		{Revision: 8, ConfirmedAge: -time.Microsecond, Records: []gossip.Record{
 			{Instance: "j", Version: 5, Age: time.Second, Urgent: true, Content: []byte("x")}, {Instance: "k", Version: 2, Part: gossip.PartHeld},
 		}},
@@ -128,7 +128,7 @@
 		"u": {Running: 3, PromptTokens: 4000, MemoryTokens: 9000, InUse: []traffic.Adapter{a}},
 	}}
 	peer.held = mesh.HeldReport{
-		Held: map[string]pool.Load{"u": {Running: 5, PromptTokens: 100, MemoryTokens: 700}},
+		Loads: map[string]pool.Load{"u": {Running: 5, PromptTokens: 100, MemoryTokens: 700}},
 		Residencies: []pool.Residency{{
 			Upstream: "u", Fence: 4, Version: 17, FreeSlots: 2, SlotWait: 300 * time.Millisecond, Unreachable: true,
 			Loaded: []pool.Resident{{Adapter: a, Version: 2, InTransit: true}},
@@ -173,7 +173,7 @@
 func TestPrepare(t *testing.T) {
 	tests := []struct {
 		name     string
-		prepared mesh.Prepared
+		prepared mesh.PrepareResult
 	}{
 		{"loaded", mesh.Loaded{Version: 5}},
 		{"not the holder", mesh.NotHolder{}},
@@ -186,7 +186,7 @@
 			peer.prepared = test.prepared
 			request := mesh.PrepareRequest{
 				Upstream: "u", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Version: 2,
-				Patience: time.Second, OnTime: 300 * time.Millisecond, Priority: 1,
+				MaxWait: time.Second, OnTime: 300 * time.Millisecond, Priority: 1,
 			}
 			prepared, err := peers.Prepare(context.Background(), address, request)
 			is.NoErr(err)
@@ -219,11 +219,11 @@
 	defer peers.Close()
 	for range 6 {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-		_, err := peers.Ask(ctx, listener.Addr().String(), mesh.LoadReport{})
+		_, err := peers.Query(ctx, listener.Addr().String(), mesh.LoadReport{})
 		is.True(err != nil)
 		cancel()
 	}
-	_, err = peers.Ask(context.Background(), listener.Addr().String(), mesh.LoadReport{})
+	_, err = peers.Query(context.Background(), listener.Addr().String(), mesh.LoadReport{})
 	is.NoErr(err)
 	is.Equal(counting.accepted.Load(), int64(1))
 }
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -26,10 +26,10 @@
 	// negative if not known.
 	Revision     int64
 	ConfirmedAge time.Duration
-	// News is the revision of the last change that the sender knows and that all have to know at once.
-	News    int64
-	Stamp   gossip.Stamp
-	Records []gossip.Record
+	// UrgentRevision is the revision of the last change that the sender knows and that all have to know at once.
+	UrgentRevision int64
+	Stamp          gossip.Stamp
+	Records        []gossip.Record
 }
 
 // State is what each instance lets all others know of itself.
@@ -55,7 +55,7 @@
 // HeldReport is what is in flight at the upstreams that the sender holds, and what is loaded there. As a part of the
 // sender's state it counts all instances, in answer to a report all but the receiver.
 type HeldReport struct {
-	Held        map[string]pool.Load
+	Loads       map[string]pool.Load
 	Residencies []pool.Residency
 }
 
@@ -71,8 +71,8 @@
 	Upstream string
 	Adapter  traffic.Adapter
 	// Version that has to be there at least; 0 for any.
-	Version  int64
-	Patience time.Duration
+	Version int64
+	MaxWait time.Duration
 	// OnTime is how long the request can wait and still be on time.
 	OnTime   time.Duration
 	Priority int
@@ -80,8 +80,8 @@
 	Tokens int
 }
 
-// Prepared is the answer to a PrepareRequest: Loaded, NotHolder or Busy.
-type Prepared interface{ isPrepared() }
+// PrepareResult is the answer to a PrepareRequest: Loaded, NotHolder or Busy.
+type PrepareResult interface{ isPrepared() }
 
 // Loaded says that the adapter is there, and that the prompt may be sent.
 type Loaded struct{ Version int64 }
@@ -102,5 +102,5 @@
 	Gossip(ctx context.Context, stream Stream) error
 	Report(report LoadReport) HeldReport
 	CatchUp(after int64) replica.Batch
-	Prepare(ctx context.Context, request PrepareRequest) Prepared
+	Prepare(ctx context.Context, request PrepareRequest) PrepareResult
 }
--- a/internal/fleet/peer/codec.go
+++ b/internal/fleet/peer/codec.go
@@ -14,7 +14,7 @@
 
 // codec.go maps domain values to wire messages and back, a pair of functions for each.
 
-func beatToWire(b Beat) *fleetpb.Beat {
+func beatToWire(b Heartbeat) *fleetpb.Beat {
 	wire := &fleetpb.Beat{
 		Instance:           b.Instance,
 		Incarnation:        b.Incarnation,
@@ -28,7 +28,7 @@
 	if b.ConfirmedAge < 0 {
 		wire.ConfirmedAgeMicros = -1 // shorter than a microsecond would otherwise turn into 0: "just now"
 	}
-	wire.Told = b.Told
+	wire.Told = b.InForceMembers
 	for _, summary := range b.Upstreams {
 		wire.Upstreams = append(wire.Upstreams, summaryToWire(summary))
 	}
@@ -50,8 +50,8 @@
 	return wire
 }
 
-func beatFromWire(wire *fleetpb.Beat) Beat {
-	b := Beat{
+func beatFromWire(wire *fleetpb.Beat) Heartbeat {
+	b := Heartbeat{
 		Instance:       wire.GetInstance(),
 		Incarnation:    wire.GetIncarnation(),
 		Revision:       wire.GetRevision(),
@@ -61,7 +61,7 @@
 		Stopping:       wire.GetStopping(),
 		OldestRevision: wire.GetOldestRevision(),
 	}
-	b.Told = wire.GetTold()
+	b.InForceMembers = wire.GetTold()
 	for _, summary := range wire.GetUpstreams() {
 		b.Upstreams = append(b.Upstreams, summaryFromWire(summary))
 	}
@@ -236,7 +236,7 @@
 }
 
 func pinsToWire(list PinList) *fleetpb.PinsReply {
-	wire := &fleetpb.PinsReply{Instance: list.Instance, Incarnation: list.Incarnation, Yielded: list.Noted}
+	wire := &fleetpb.PinsReply{Instance: list.Instance, Incarnation: list.Incarnation, Yielded: list.EpochInstalled}
 	for _, pin := range list.Pins {
 		wire.Pins = append(wire.Pins, &fleetpb.Pin{
 			Pin:         pin.ID,
@@ -252,7 +252,7 @@
 }
 
 func pinsFromWire(wire *fleetpb.PinsReply) PinList {
-	list := PinList{Instance: wire.GetInstance(), Incarnation: wire.GetIncarnation(), Noted: wire.GetYielded()}
+	list := PinList{Instance: wire.GetInstance(), Incarnation: wire.GetIncarnation(), EpochInstalled: wire.GetYielded()}
 	for _, pin := range wire.GetPins() {
 		list.Pins = append(list.Pins, holder.Pin{
 			ID:          pin.GetPin(),
--- a/internal/fleet/peer/credentials_test.go
+++ b/internal/fleet/peer/credentials_test.go
@@ -143,11 +143,11 @@
 			is := is.New(t)
 			handler := &recorder{}
 			address := serve(t, handler, c.server)
-			directory := &peer.Directory{Links: link.Links{Credentials: c.client}}
+			directory := &peer.Client{Links: link.Links{Credentials: c.client}}
 			defer directory.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := directory.Ping(ctx, address, peer.Beat{Instance: "i1"})
+			_, err := directory.Ping(ctx, address, peer.Heartbeat{Instance: "i1"})
 			is.Equal(err == nil, c.answered)
 			is.Equal(handler.asked != nil, c.answered)
 		})
--- a/internal/fleet/peer/directory.go
+++ b/internal/fleet/peer/directory.go
@@ -15,11 +15,11 @@
 
 // directory.go makes the calls to peers.
 
-// Directory makes calls to peers by address. Set Links.Credentials before the first call.
-type Directory struct{ link.Links }
+// Client makes calls to peers by address. Set Links.Credentials before the first call.
+type Client struct{ link.Links }
 
-func (d *Directory) client(address string) (fleetpb.FleetClient, error) {
-	connection, err := d.To(address)
+func (d *Client) client(address string) (fleetpb.FleetClient, error) {
+	connection, err := d.Connection(address)
 	if err != nil {
 		return nil, err
 	}
@@ -29,22 +29,22 @@
 // ---------------------------------------------------------------------------------------------
 
 // Ping sends a heartbeat and returns what the peer knows.
-func (d *Directory) Ping(ctx context.Context, address string, beat Beat) (_ Beat, err error) {
+func (d *Client) Ping(ctx context.Context, address string, beat Heartbeat) (_ Heartbeat, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: ping") }()
 	client, err := d.client(address)
 	if err != nil {
-		return Beat{}, err
+		return Heartbeat{}, err
 	}
 	wire, err := client.Ping(ctx, beatToWire(beat))
 	if err != nil {
-		return Beat{}, err
+		return Heartbeat{}, err
 	}
 	return beatFromWire(wire), nil
 }
 
-// AskTokens asks a peer for a loan. After an error tokens may have been deducted there; the lender
+// BorrowTokens asks a peer for a loan. After an error tokens may have been deducted there; the lender
 // takes them back once they can't be spent any more.
-func (d *Directory) AskTokens(ctx context.Context, address string, request TokenRequest) (_ rate.Loan, err error) {
+func (d *Client) BorrowTokens(ctx context.Context, address string, request TokenRequest) (_ rate.Loan, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: ask for tokens") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -55,7 +55,7 @@
 		Tokens:      request.Tokens,
 		Instance:    request.Borrower.Name,
 		Incarnation: request.Borrower.Incarnation,
-		Spare:       request.Spare,
+		Spare:       request.SpareOnly,
 	})
 	if err != nil {
 		return rate.Loan{}, err
@@ -70,7 +70,7 @@
 
 // Place asks the holder at address to place a request, and waits in its queue. After an error a pin
 // may have been granted there; release it by the request's identity.
-func (d *Directory) Place(ctx context.Context, address string, request PlaceRequest) (_ Placement, err error) {
+func (d *Client) Place(ctx context.Context, address string, request PlaceRequest) (_ Placement, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: place") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // Release ends a pin.
-func (d *Directory) Release(ctx context.Context, address string, request ReleaseRequest) (err error) {
+func (d *Client) Release(ctx context.Context, address string, request ReleaseRequest) (err error) {
 	defer func() { err = errors.WithMessage(err, "peer: release") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // Pins asks a member for its pins on an upstream.
-func (d *Directory) Pins(ctx context.Context, address, upstream string, epoch int64) (_ PinList, err error) {
+func (d *Client) Pins(ctx context.Context, address, upstream string, epoch int64) (_ PinList, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: pins") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // PermitLoad asks the load broker at address for leave to load, and waits for its answer.
-func (d *Directory) PermitLoad(ctx context.Context, address string, asked broker.PermitRequested) (_ LoadPermit, err error) {
+func (d *Client) PermitLoad(ctx context.Context, address string, asked broker.PermitRequested) (_ LoadPermit, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: permit a load") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -128,7 +128,7 @@
 }
 
 // EndLoad tells the load broker that a load has ended, or that its permit is given back unused.
-func (d *Directory) EndLoad(ctx context.Context, address string, load broker.Load, unused bool) (err error) {
+func (d *Client) EndLoad(ctx context.Context, address string, load broker.Load, unused bool) (err error) {
 	defer func() { err = errors.WithMessage(err, "peer: end a load") }()
 	client, err := d.client(address)
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // BurnCounts asks a peer for its counts behind the burn report.
-func (d *Directory) BurnCounts(ctx context.Context, address string) (_ []burn.Count, err error) {
+func (d *Client) BurnCounts(ctx context.Context, address string) (_ []burn.Count, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: burn counts") }()
 	client, err := d.client(address)
 	if err != nil {
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -14,9 +14,9 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Beat is a heartbeat, and equally the answer to one: what an instance knows. ConfirmedAge is how
+// Heartbeat is a heartbeat, and equally the answer to one: what an instance knows. ConfirmedAge is how
 // long ago a read of the store showed Revision as the newest, negative when unknown.
-type Beat struct {
+type Heartbeat struct {
 	Instance     string
 	Incarnation  string
 	Revision     int64
@@ -29,8 +29,8 @@
 	Returns      []rate.LoanReturn
 	// OldestRevision is the oldest head under which a reservation or loan still open was made.
 	OldestRevision int64
-	// Told has a bit for each member of the head of Revision: who is known to have it in force.
-	Told []byte
+	// InForceMembers has a bit for each member of the head of Revision: who is known to have it in force.
+	InForceMembers []byte
 }
 
 // TokenRequest asks a peer for tokens of a workspace's share; the answer is a rate.Loan. Spare asks only
@@ -39,7 +39,7 @@
 	Workspace string
 	Tokens    float64
 	Borrower  rate.Identity
-	Spare     bool
+	SpareOnly bool
 }
 
 // PlaceRequest asks the holder of Upstream to place a request; Request.Deadline travels as the time
@@ -81,10 +81,10 @@
 // PinList is what a member tells a new holder: all its pins on the upstream. Noted is false while the
 // member has not installed the epoch; its list may then still grow.
 type PinList struct {
-	Instance    string
-	Incarnation string
-	Noted       bool
-	Pins        []holder.Pin
+	Instance       string
+	Incarnation    string
+	EpochInstalled bool
+	Pins           []holder.Pin
 }
 
 // LoadPermit answers a broker.Asked. Replaced means that a newer ask for the same load took this one's
@@ -99,7 +99,7 @@
 // Handler serves what peers ask. Calls with a context may wait; the context ends when the asker has
 // gone.
 type Handler interface {
-	Beat(beat Beat) Beat
+	Heartbeat(beat Heartbeat) Heartbeat
 	LendTokens(request TokenRequest) rate.Loan
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -27,7 +27,7 @@
 // recorder is a peer that notes what it was asked and answers what it was told to.
 type recorder struct {
 	asked     any
-	beat      peer.Beat
+	beat      peer.Heartbeat
 	loan      rate.Loan
 	placement peer.Placement
 	pins      peer.PinList
@@ -41,7 +41,7 @@
 	epoch    int64
 }
 
-func (r *recorder) Beat(beat peer.Beat) peer.Beat {
+func (r *recorder) Heartbeat(beat peer.Heartbeat) peer.Heartbeat {
 	r.asked = beat
 	return r.beat
 }
@@ -147,14 +147,14 @@
 	returned = rapid.Custom(func(t *rapid.T) rate.LoanReturn {
 		return rate.LoanReturn{Workspace: name.Draw(t, "workspace"), Loan: name.Draw(t, "loan"), Remaining: amount.Draw(t, "remaining"), Unspent: amount.Draw(t, "unspent")}
 	})
-	beat = rapid.Custom(func(t *rapid.T) peer.Beat {
-		return peer.Beat{
+	beat = rapid.Custom(func(t *rapid.T) peer.Heartbeat {
+		return peer.Heartbeat{
 			Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"), Revision: number.Draw(t, "revision"),
 			ConfirmedAge: time.Duration(rapid.Int64Range(-1, 1<<40).Draw(t, "age")) * time.Microsecond,
 			InForceSince: time.UnixMicro(number.Draw(t, "since")), Upstreams: list(t, summary), Suspects: list(t, suspected),
 			Leaving: list(t, name), Stopping: rapid.Bool().Draw(t, "stopping"), Returns: list(t, returned),
 			OldestRevision: number.Draw(t, "oldest"),
-			Told:           list(t, rapid.Byte()),
+			InForceMembers: list(t, rapid.Byte()),
 		}
 	})
 	pin = rapid.Custom(func(t *rapid.T) holder.Pin {
@@ -196,7 +196,7 @@
 	handler := &recorder{}
 	now := serve(t, handler, insecure.NewCredentials())
 	later := serve(t, handler, insecure.NewCredentials(), grpc.UnaryInterceptor(fromTheFuture))
-	directory := &peer.Directory{Links: link.Links{Credentials: insecure.NewCredentials()}}
+	directory := &peer.Client{Links: link.Links{Credentials: insecure.NewCredentials()}}
 	t.Cleanup(directory.Close)
 	rapid.Check(t, func(t *rapid.T) {
 		exchange(t, directory, handler, rapid.SampledFrom([]string{now, later}).Draw(t, "address"))
@@ -204,7 +204,7 @@
 }
 
 // exchange makes every call once.
-func exchange(t *rapid.T, directory *peer.Directory, handler *recorder, address string) {
+func exchange(t *rapid.T, directory *peer.Client, handler *recorder, address string) {
 	ctx := context.Background()
 	same := func(call string, err error, sent, wanted, got any) {
 		if err != nil {
@@ -222,9 +222,9 @@
 	gotBeat, err := directory.Ping(ctx, address, sentBeat)
 	same("Ping", err, sentBeat, handler.beat, gotBeat)
 
-	tokens := peer.TokenRequest{Workspace: name.Draw(t, "workspace"), Tokens: amount.Draw(t, "tokens"), Borrower: identity.Draw(t, "borrower"), Spare: rapid.Bool().Draw(t, "spare")}
+	tokens := peer.TokenRequest{Workspace: name.Draw(t, "workspace"), Tokens: amount.Draw(t, "tokens"), Borrower: identity.Draw(t, "borrower"), SpareOnly: rapid.Bool().Draw(t, "spare")}
 	handler.loan = rate.Loan{ID: name.Draw(t, "loan"), Lender: identity.Draw(t, "lender"), Tokens: amount.Draw(t, "lent"), LenderLevel: amount.Draw(t, "left")}
-	loan, err := directory.AskTokens(ctx, address, tokens)
+	loan, err := directory.BorrowTokens(ctx, address, tokens)
 	same("AskTokens", err, tokens, handler.loan, loan)
 
 	hours := time.Duration(rapid.IntRange(1, 100).Draw(t, "hours")) * time.Hour
@@ -248,7 +248,7 @@
 	pins := pinsAsked{upstream: name.Draw(t, "upstream"), epoch: number.Draw(t, "epoch")}
 	handler.pins = peer.PinList{
 		Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"),
-		Noted: rapid.Bool().Draw(t, "noted"), Pins: list(t, pin),
+		EpochInstalled: rapid.Bool().Draw(t, "noted"), Pins: list(t, pin),
 	}
 	told, err := directory.Pins(ctx, address, pins.upstream, pins.epoch)
 	same("Pins", err, pins, handler.pins, told)
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -25,7 +25,7 @@
 }
 
 func (s service) Ping(_ context.Context, wire *fleetpb.Beat) (*fleetpb.Beat, error) {
-	return beatToWire(s.handler.Beat(beatFromWire(wire))), nil
+	return beatToWire(s.handler.Heartbeat(beatFromWire(wire))), nil
 }
 
 func (s service) Transfer(_ context.Context, wire *fleetpb.TransferRequest) (*fleetpb.TransferReply, error) {
@@ -33,7 +33,7 @@
 		Workspace: wire.GetWorkspace(),
 		Tokens:    wire.GetTokens(),
 		Borrower:  rate.Identity{Name: wire.GetInstance(), Incarnation: wire.GetIncarnation()},
-		Spare:     wire.GetSpare(),
+		SpareOnly: wire.GetSpare(),
 	})
 	return &fleetpb.TransferReply{
 		Tokens:      loan.Tokens,
--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -26,19 +26,19 @@
 	Key string
 	// Received is when the request's headers were read; Patience is how long the caller waits from then,
 	// 0 if it does not say.
-	Received time.Time
-	Patience time.Duration
-	Work     Work
-	// LastEvent is the id of the last event the caller has of an earlier stream; empty if none.
-	LastEvent string
+	Received      time.Time
+	CallerTimeout time.Duration
+	Generation    Generation
+	// LastEventID is the id of the last event the caller has of an earlier stream; empty if none.
+	LastEventID string
 }
 
-// Work is the size of a generation.
-type Work struct {
+// Generation is the size of a generation.
+type Generation struct {
 	// Adapter is empty for requests that no model answers.
 	Adapter traffic.Adapter
-	// PromptTokens and OutputTokens (the most that are wanted) are stated if Stated.
-	Stated       bool
+	// PromptTokens and OutputTokens (the most that are wanted) are stated if TokensStated.
+	TokensStated bool
 	PromptTokens int
 	OutputTokens int
 	// Prompt lists the parts of the prompt in order; requests share parts.
@@ -56,29 +56,29 @@
 	if !workspace.ByTokens {
 		return 1
 	}
-	if !c.Work.Stated {
-		return workspace.PlainCost
+	if !c.Generation.TokensStated {
+		return workspace.DefaultCost
 	}
-	return float64(c.Work.PromptTokens + c.Work.OutputTokens)
+	return float64(c.Generation.PromptTokens + c.Generation.OutputTokens)
 }
 
-// Send is what one send to an upstream states besides the call.
-type Send struct {
+// Attempt is what one send to an upstream states besides the call.
+type Attempt struct {
 	// Upstream is the only one that may run it.
 	Upstream string
 	// Workspace is empty on routes that need no key.
 	Workspace string
-	// Left is the time the upstream has.
-	Left     time.Duration
-	Priority int
+	// Remaining is the time the upstream has.
+	Remaining time.Duration
+	Priority  int
 	// Version of the adapter, if the upstream has to check it; 0 if not.
 	Version int64
-	// LastEvent is the id after which a stream goes on.
-	LastEvent string
+	// LastEventID is the id after which a stream goes on.
+	LastEventID string
 }
 
-// Reply is what an upstream's answer states in its headers.
-type Reply struct {
+// ResponseInfo is what an upstream's answer states in its headers.
+type ResponseInfo struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// NotRun: the upstream promises that the request did not run.
@@ -94,19 +94,19 @@
 // UpstreamLoad is what an upstream states of its own load.
 type UpstreamLoad struct {
 	// Running and Waiting are requests, Places how many run at once.
-	Running int
-	Waiting int
-	Places  int
+	Running    int
+	Waiting    int
+	BatchSlots int
 }
 
 // Dialect maps between HTTP messages and calls.
 type Dialect interface {
 	// Decode reads all but the body. It keeps no reference to the request's headers.
 	Decode(request *http.Request) (Call, error)
-	// Header is what a send states, added to the call's own headers.
-	Header(c Call, send Send) http.Header
-	// Reply reads an upstream's answer.
-	Reply(response *http.Response) Reply
-	// Refusal writes the headers of an instance's own answer.
-	Refusal(header http.Header, id string, retryAfter time.Duration)
+	// RequestHeader is what a send states, added to the call's own headers.
+	RequestHeader(c Call, send Attempt) http.Header
+	// ParseResponse reads an upstream's answer.
+	ParseResponse(response *http.Response) ResponseInfo
+	// SetRefusalHeader writes the headers of an instance's own answer.
+	SetRefusalHeader(header http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	// ErrUnreached: no connection was made, so the call cannot have run.
-	ErrUnreached = errors.New("forward: upstream not reached")
-	// ErrBroken: the connection or the answer broke, and the call may have run.
-	ErrBroken = errors.New("forward: answer broken")
+	// ErrNotConnected: no connection was made, so the call cannot have run.
+	ErrNotConnected = errors.New("forward: upstream not reached")
+	// ErrBrokenResponse: the connection or the answer broke, and the call may have run.
+	ErrBrokenResponse = errors.New("forward: answer broken")
 )
 
 const (
@@ -44,26 +44,26 @@
 	transports map[string]*http.Transport
 }
 
-// Answer is an upstream's answer with its body still to be read.
-type Answer struct {
+// Response is an upstream's answer with its body still to be read.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 	// Length of the body, negative if it is not stated.
 	Length int64
-	Reply  call.Reply
+	Info   call.ResponseInfo
 }
 
 // Do sends a call. A fresh send uses a new connection: on a kept one the call could cross the upstream's
 // close, or meet a late second answer to an earlier call, and its outcome would not be known.
 func (c *Client) Do(
-	ctx context.Context, upstream traffic.Upstream, calling call.Call, send call.Send, fresh bool,
-) (answer *Answer, err error) {
+	ctx context.Context, upstream traffic.Upstream, calling call.Call, send call.Attempt, fresh bool,
+) (answer *Response, err error) {
 	request := &http.Request{
 		Method:        calling.Method,
 		URL:           &url.URL{Scheme: "http", Host: upstream.Address, Opaque: calling.Target},
 		Host:          calling.Host,
-		Header:        c.Dialect.Header(calling, send),
+		Header:        c.Dialect.RequestHeader(calling, send),
 		ContentLength: int64(len(calling.Body)),
 		Close:         fresh,
 		Proto:         "HTTP/1.1",
@@ -80,35 +80,35 @@
 	if err != nil {
 		return nil, classify(err)
 	}
-	answer = &Answer{
+	answer = &Response{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Body:   response.Body,
 		Length: response.ContentLength,
-		Reply:  c.Dialect.Reply(response),
+		Info:   c.Dialect.ParseResponse(response),
 	}
 	return answer, c.check(calling, answer)
 }
 
 // check rejects an answer that is not this call's own: a late second answer to an earlier call stands
 // where this call's answer is due, and its caller would get another caller's answer.
-func (c *Client) check(calling call.Call, answer *Answer) error {
+func (c *Client) check(calling call.Call, answer *Response) error {
 	switch {
-	case answer.Reply.ID != calling.ID && answer.Reply.ID != "":
+	case answer.Info.ID != calling.ID && answer.Info.ID != "":
 		answer.Body.Close()
-		return errors.WithMessagef(ErrBroken, "answer belongs to request %s", answer.Reply.ID)
+		return errors.WithMessagef(ErrBrokenResponse, "answer belongs to request %s", answer.Info.ID)
 	case answer.Header.Get("Content-Encoding") != "":
 		answer.Body.Close()
-		return errors.WithMessage(ErrBroken, "body is encoded though no encoding was asked for")
-	case answer.Status < 300 && !answer.Reply.Signed:
+		return errors.WithMessage(ErrBrokenResponse, "body is encoded though no encoding was asked for")
+	case answer.Status < 300 && !answer.Info.Signed:
 		answer.Body.Close()
-		return errors.WithMessage(ErrBroken, "success without the upstream's signature")
+		return errors.WithMessage(ErrBrokenResponse, "success without the upstream's signature")
 	}
 	return nil
 }
 
-// Keep drops the connections to all upstreams but the given ones.
-func (c *Client) Keep(ids map[string]bool) {
+// CloseIdleExcept drops the connections to all upstreams but the given ones.
+func (c *Client) CloseIdleExcept(ids map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for id, transport := range c.transports {
@@ -153,7 +153,7 @@
 func classify(err error) error {
 	var dial dialError
 	if errors.As(err, &dial) {
-		return errors.WithMessage(ErrUnreached, err.Error())
+		return errors.WithMessage(ErrNotConnected, err.Error())
 	}
-	return errors.WithMessage(ErrBroken, err.Error())
+	return errors.WithMessage(ErrBrokenResponse, err.Error())
 }
--- a/internal/gateway/serve/busy_test.go
+++ b/internal/gateway/serve/busy_test.go
@@ -24,11 +24,11 @@
 	least time.Duration
 }
 
-func (f *busyFleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
-func (f *busyFleet) QueryHolder(context.Context, string)  {}
-func (f *busyFleet) NotifyHolder(string)                  {}
+func (f *busyFleet) NewestVersion(traffic.Adapter) (int64, bool) { return 0, false }
+func (f *busyFleet) QueryHolder(context.Context, string)         {}
+func (f *busyFleet) NotifyHolder(string)                         {}
 
-func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.Prepared {
+func (f *busyFleet) Prepare(_ context.Context, request mesh.PrepareRequest) mesh.PrepareResult {
 	f.asked[request.Upstream] = true
 	return mesh.Busy{RetryAfter: f.least + 100*time.Millisecond*time.Duration(len(f.asked)-1)}
 }
@@ -47,16 +47,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			advice := &Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Retries: &retry.Budgets{}}
-			advice.Pool.Configure(map[string]traffic.Service{"s": {Name: "s", Engine: &traffic.Engine{AdapterPlaces: 5}}})
+			advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Retries: &retry.Budgets{}}
+			advice.Pool.Configure(map[string]traffic.Service{"s": {Name: "s", Engine: &traffic.Engine{AdapterSlots: 5}}})
 			for i := range 12 {
-				advice.Pool.Declare(time.Now(), traffic.Upstream{ID: fmt.Sprint("u", i), Service: "s", Places: 8})
+				advice.Pool.Declare(time.Now(), traffic.Upstream{ID: fmt.Sprint("u", i), Service: "s", BatchSlots: 8})
 			}
 			fleet := &busyFleet{asked: make(map[string]bool), least: c.least}
-			h := &Handler{Fleet: fleet, Advice: advice, Log: zerolog.Nop()}
+			h := &Handler{Fleet: fleet, State: advice, Log: zerolog.Nop()}
 			j := &job{
 				handler: h, began: time.Now(), deadline: time.Now().Add(10 * time.Minute), service: "s",
-				call: call.Call{Work: call.Work{Adapter: traffic.Adapter{Model: "m", Name: "a"}, PromptTokens: 1000}},
+				call: call.Call{Generation: call.Generation{Adapter: traffic.Adapter{Model: "m", Name: "a"}, PromptTokens: 1000}},
 			}
 			err := j.run(t.Context())
 			is.Equal(len(fleet.asked), 12)
--- a/internal/gateway/serve/dialect_test.go
+++ b/internal/gateway/serve/dialect_test.go
@@ -57,34 +57,34 @@
 		if err != nil {
 			return c, err
 		}
-		c.Patience = time.Duration(ms) * time.Millisecond
+		c.CallerTimeout = time.Duration(ms) * time.Millisecond
 	}
 	prompt, output, stated := strings.Cut(request.Header.Get(headerTokens), ",")
 	if !stated {
 		return c, nil
 	}
-	c.Work.Stated = true
-	if c.Work.PromptTokens, err = strconv.Atoi(prompt); err != nil {
+	c.Generation.TokensStated = true
+	if c.Generation.PromptTokens, err = strconv.Atoi(prompt); err != nil {
 		return c, err
 	}
-	c.Work.OutputTokens, err = strconv.Atoi(output)
+	c.Generation.OutputTokens, err = strconv.Atoi(output)
 	return c, err
 }
 
-// Header gives the headers of a send.
-func (dialect) Header(c call.Call, send call.Send) http.Header {
+// RequestHeader gives the headers of a send.
+func (dialect) RequestHeader(c call.Call, send call.Attempt) http.Header {
 	header := c.Header.Clone()
 	header.Set(headerUpstream, send.Upstream)
 	header.Set(headerWorkspace, send.Workspace)
-	header.Set(headerLeft, strconv.FormatInt(send.Left.Milliseconds(), 10))
-	header.Set(headerLastEvent, send.LastEvent)
+	header.Set(headerLeft, strconv.FormatInt(send.Remaining.Milliseconds(), 10))
+	header.Set(headerLastEvent, send.LastEventID)
 	return header
 }
 
-// Reply reads an upstream's answer.
-func (dialect) Reply(response *http.Response) call.Reply {
+// ParseResponse reads an upstream's answer.
+func (dialect) ParseResponse(response *http.Response) call.ResponseInfo {
 	misdirected := response.StatusCode == http.StatusMisdirectedRequest
-	return call.Reply{
+	return call.ResponseInfo{
 		ID:          response.Header.Get(headerID),
 		NotRun:      misdirected || response.Header.Get(headerNotRun) != "",
 		Misdirected: misdirected,
@@ -92,8 +92,8 @@
 	}
 }
 
-// Refusal writes the headers of an instance's own answer.
-func (dialect) Refusal(header http.Header, id string, retryAfter time.Duration) {
+// SetRefusalHeader writes the headers of an instance's own answer.
+func (dialect) SetRefusalHeader(header http.Header, id string, retryAfter time.Duration) {
 	header.Set(headerID, id)
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -47,7 +47,7 @@
 // run brings the request to its end. The error is a refusal, or what broke an answer that was begun.
 func (j *job) run(ctx context.Context) error {
 	h := j.handler
-	h.Advice.With(func(a *Advice) { a.Retries.For(j.service).CountFirstTry() })
+	h.State.WithLock(func(a *SharedState) { a.Retries.For(j.service).CountFirstTry() })
 	var last error
 	for j.sends < mostTries && len(j.tried) < mostTried {
 		if ctx.Err() != nil {
@@ -108,12 +108,12 @@
 
 // mayRunAgain tells whether the request may be sent again although it may have run.
 func (j *job) mayRunAgain() bool {
-	return j.route.MayRepeat() && j.runs < j.route.Attempts
+	return j.route.IsRepeatable() && j.runs < j.route.MaxAttempts
 }
 
 // mayResend takes a retry from the budget.
 func (j *job) mayResend() (allowed bool) {
-	j.handler.Advice.With(func(a *Advice) { allowed = a.Retries.For(j.service).Allow() })
+	j.handler.State.WithLock(func(a *SharedState) { allowed = a.Retries.For(j.service).Allow() })
 	return allowed
 }
 
@@ -124,7 +124,7 @@
 	j.sends++
 	now := time.Now()
 	var sending *pool.Attempt
-	h.Advice.With(func(a *Advice) { sending = a.Pool.Begin(now, choice, query) })
+	h.State.WithLock(func(a *SharedState) { sending = a.Pool.Begin(now, choice, query) })
 	h.Fleet.NotifyHolder(choice.Upstream.ID)
 	defer h.Fleet.NotifyHolder(choice.Upstream.ID)
 	exchanging, cancel := context.WithCancelCause(ctx)
@@ -165,7 +165,7 @@
 	if ended == resultBroken && ctx.Err() == nil && !errors.Is(err, errSilent) {
 		j.handler.Fleet.ReportBrokenResponse(upstream, j.fingerprint)
 	}
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		now := time.Now()
 		a.Pool.Finish(now, sending, end)
 		if ended == resultMissing {
@@ -181,35 +181,35 @@
 func (j *job) exchange(
 	ctx context.Context, cancel context.CancelCauseFunc, choice pool.Choice, query pool.Query, sending *pool.Attempt,
 ) (result, error) {
-	send := call.Send{
-		Upstream:  choice.Upstream.ID,
-		Workspace: j.workspace.Name,
-		Left:      time.Until(j.deadline),
-		Priority:  j.priority,
-		Version:   query.Version,
-		LastEvent: j.call.LastEvent,
+	send := call.Attempt{
+		Upstream:    choice.Upstream.ID,
+		Workspace:   j.workspace.Name,
+		Remaining:   time.Until(j.deadline),
+		Priority:    j.priority,
+		Version:     query.Version,
+		LastEventID: j.call.LastEventID,
 	}
 	if j.lastEvent != "" {
-		send.LastEvent = j.lastEvent
+		send.LastEventID = j.lastEvent
 	}
 	silent := time.AfterFunc(j.patience(choice), func() { cancel(errSilent) })
 	defer silent.Stop()
-	answer, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.MayRepeat())
+	answer, err := j.handler.Forward.Do(ctx, choice.Upstream, j.call, send, !j.route.IsRepeatable())
 	if err != nil {
-		if errors.Is(err, forward.ErrUnreached) {
+		if errors.Is(err, forward.ErrNotConnected) {
 			return resultUnreached, err
 		}
 		return resultBroken, err
 	}
 	defer answer.Body.Close()
 	switch {
-	case answer.Reply.Misdirected:
+	case answer.Info.Misdirected:
 		return resultMissing, errors.New("upstream lacks the model or version, or another has its address")
-	case answer.Reply.NotRun:
-		load := answer.Reply.Load
-		j.handler.Advice.With(func(*Advice) { sending.RecordStatedLoad(load.Running + load.Waiting) })
+	case answer.Info.NotRun:
+		load := answer.Info.Load
+		j.handler.State.WithLock(func(*SharedState) { sending.RecordStatedLoad(load.Running + load.Waiting) })
 		return resultNotRun, errors.Errorf("upstream refused with status %d, %d running and %d waiting of %d places",
-			answer.Status, load.Running, load.Waiting, load.Places)
+			answer.Status, load.Running, load.Waiting, load.BatchSlots)
 	}
 	relay := relay{job: j, answer: answer, sending: sending, silent: silent}
 	return relay.run()
@@ -230,11 +230,11 @@
 // cutting it would lose an answer that may still come.
 func (j *job) patience(choice pool.Choice) time.Duration {
 	left := time.Until(j.deadline)
-	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts {
+	if !j.route.IsRepeatable() || j.runs+1 >= j.route.MaxAttempts {
 		return left + time.Second
 	}
 	least := silentAtLeast
-	if j.route.Repetition != traffic.Streaming {
+	if j.route.Execution != traffic.Streaming {
 		least = silentService
 	}
 	return max(least, silentFactor*choice.Expected)
@@ -261,7 +261,7 @@
 	}
 	if errors.Is(why, pool.ErrFull) {
 		var retryAfter time.Duration
-		j.handler.Advice.With(func(a *Advice) { retryAfter = a.Pool.RetryWhenFull(time.Now(), query) })
+		j.handler.State.WithLock(func(a *SharedState) { retryAfter = a.Pool.RetryWhenFull(time.Now(), query) })
 		j.step("full").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).
 			Int64("RetryAfterMillis", retryAfter.Milliseconds()).Msg("Decision")
 		return refusal.New(refusal.Busy, "the upstreams are full").WithRetryAfter(retryAfter)
--- a/internal/gateway/serve/first_event_test.go
+++ b/internal/gateway/serve/first_event_test.go
@@ -25,13 +25,13 @@
 func TestFirstEventIsToldWhereTurnsAreTaken(t *testing.T) {
 	for _, inTurn := range []bool{true, false} {
 		is := is.New(t)
-		advice := &Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
-		upstream := traffic.Upstream{ID: "u", Service: "s", Born: 1}
+		advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+		upstream := traffic.Upstream{ID: "u", Service: "s", StartedMillis: 1}
 		advice.Pool.Declare(time.Now(), upstream)
 		fleet := &touched{}
-		j := &job{handler: &Handler{Fleet: fleet, Advice: advice}, began: time.Now(), upstream: "u", inTurn: inTurn}
+		j := &job{handler: &Handler{Fleet: fleet, State: advice}, began: time.Now(), upstream: "u", inTurn: inTurn}
 		sending := advice.Pool.Begin(time.Now(), pool.Choice{Upstream: upstream}, pool.Query{Service: "s"})
-		r := &relay{job: j, answer: &forward.Answer{}, sending: sending}
+		r := &relay{job: j, answer: &forward.Response{}, sending: sending}
 		r.answered()
 		r.answered() // the events after it are no news
 		want := 0
--- a/internal/gateway/serve/job.go
+++ b/internal/gateway/serve/job.go
@@ -70,7 +70,7 @@
 	}
 	refused := refusal.From(err)
 	j.status = refused.Status()
-	j.handler.Dialect.Refusal(j.writer.Header(), j.call.ID, refused.ExactRetryAfter())
+	j.handler.Dialect.SetRefusalHeader(j.writer.Header(), j.call.ID, refused.ExactRetryAfter())
 	j.writer.Header().Set(refusal.HeaderRun, string(refused.Run()))
 	j.writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	text := refused.Error() + "\n"
@@ -121,7 +121,7 @@
 	if j.firstByte.Sub(j.began) > j.route.Objective {
 		return false
 	}
-	return j.route.LongestPause <= 0 || j.longestPause <= j.route.LongestPause
+	return j.route.MaxPause <= 0 || j.longestPause <= j.route.MaxPause
 }
 
 // latencies are the bounds of the histograms: from an answer on the same machine to the longest timeouts.
--- a/internal/gateway/serve/pause_test.go
+++ b/internal/gateway/serve/pause_test.go
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				route := traffic.Route{Objective: time.Second, LongestPause: 600 * time.Millisecond}
+				route := traffic.Route{Objective: time.Second, MaxPause: 600 * time.Millisecond}
 				j := &job{route: route, began: time.Now()}
 				time.Sleep(c.first)
 				j.firstByte = time.Now()
--- a/internal/gateway/serve/placing.go
+++ b/internal/gateway/serve/placing.go
@@ -38,12 +38,12 @@
 
 // choose picks an upstream, among some if any are given.
 func (j *job) choose(among []string) (choice pool.Choice, query pool.Query, err error) {
-	newest, required := j.handler.Fleet.Newest(j.call.Work.Adapter)
+	newest, required := j.handler.Fleet.NewestVersion(j.call.Generation.Adapter)
 	query = pool.Query{
 		Service:    j.service,
-		Adapter:    j.call.Work.Adapter,
-		Tokens:     j.call.Work.PromptTokens,
-		Output:     j.call.Work.OutputTokens,
+		Adapter:    j.call.Generation.Adapter,
+		Tokens:     j.call.Generation.PromptTokens,
+		Output:     j.call.Generation.OutputTokens,
 		Exclude:    j.tried,
 		Candidates: among,
 		Alone:      j.alone,
@@ -54,7 +54,7 @@
 	if required {
 		query.Version = newest
 	}
-	j.handler.Advice.With(func(a *Advice) { choice, err = a.Pool.Choose(time.Now(), query) })
+	j.handler.State.WithLock(func(a *SharedState) { choice, err = a.Pool.Choose(time.Now(), query) })
 	return choice, query, err
 }
 
@@ -67,7 +67,7 @@
 	}
 	var retryAfter time.Duration
 	refused := false
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		retryAfter, refused = a.Pool.Refuse(time.Now(), query, choice, patience)
 	})
 	if !refused {
@@ -81,7 +81,7 @@
 
 // ready has the adapter loaded at the chosen upstream, and waits for the prompt's turn where prompts take turns.
 func (j *job) ready(ctx context.Context, choice *pool.Choice, query pool.Query) bool {
-	j.handler.Advice.With(func(a *Advice) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
+	j.handler.State.WithLock(func(a *SharedState) { j.inTurn = query.Adapter.Model != "" && a.Pool.PromptsTakeTurns(query.Service) })
 	tokens := 0
 	if j.inTurn {
 		tokens = query.Tokens
@@ -97,7 +97,7 @@
 		Upstream: choice.Upstream.ID,
 		Adapter:  query.Adapter,
 		Version:  query.Version,
-		Patience: j.patienceFor(*choice),
+		MaxWait:  j.patienceFor(*choice),
 		OnTime:   j.onTimeFor(*choice),
 		Priority: j.priority,
 		Tokens:   tokens,
@@ -114,7 +114,7 @@
 		return false
 	}
 	takes := false
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		if ok && query.Adapter.Model != "" {
 			a.Pool.RecordLoadedAdapter(choice.Upstream.ID, query.Adapter, loaded.Version)
 		}
@@ -130,7 +130,7 @@
 	if j.inTurn {
 		tokens = 0
 	}
-	j.handler.Advice.With(func(a *Advice) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
+	j.handler.State.WithLock(func(a *SharedState) { waiting = a.Pool.Prepare(choice.Upstream.ID, tokens) })
 	if tokens > 0 {
 		j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 	}
@@ -139,7 +139,7 @@
 
 // endPreparing ends what beginPreparing began.
 func (j *job) endPreparing(choice pool.Choice, waiting pool.Preparation) {
-	j.handler.Advice.With(func(*Advice) { waiting.Done() })
+	j.handler.State.WithLock(func(*SharedState) { waiting.Done() })
 	j.handler.Fleet.NotifyHolder(choice.Upstream.ID)
 }
 
@@ -151,7 +151,7 @@
 	if j.soonest == 0 || busy.RetryAfter < j.soonest {
 		j.soonest = busy.RetryAfter
 	}
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		switch {
 		case choice.Cold:
 			a.Pool.RecordColdRefusal(time.Now(), choice.Upstream.ID, busy.RetryAfter)
--- a/internal/gateway/serve/ready_test.go
+++ b/internal/gateway/serve/ready_test.go
@@ -21,7 +21,7 @@
 
 func (f holderless) NotifyHolder(string) {}
 
-func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
+func (f holderless) Prepare(context.Context, mesh.PrepareRequest) mesh.PrepareResult {
 	f.meanwhile()
 	return mesh.NotHolder{}
 }
@@ -42,8 +42,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			advice := &Advice{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
-			upstream := traffic.Upstream{ID: "u", Service: "s", Born: 1}
+			advice := &SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+			upstream := traffic.Upstream{ID: "u", Service: "s", StartedMillis: 1}
 			advice.Pool.Declare(time.Now(), upstream)
 			query := pool.Query{Service: "s", Adapter: traffic.Adapter{Model: "m", Name: "a"}, Tokens: 1000}
 			choice := pool.Choice{Upstream: upstream, Loaded: c.loaded}
@@ -57,7 +57,7 @@
 					advice.Pool.Declare(time.Now(), upstream)
 				}
 			}
-			h := &Handler{Fleet: holderless{meanwhile: leave}, Advice: advice, Log: zerolog.Nop()}
+			h := &Handler{Fleet: holderless{meanwhile: leave}, State: advice, Log: zerolog.Nop()}
 			j := &job{handler: h, began: time.Now(), deadline: time.Now().Add(time.Second)}
 			is.Equal(j.ready(t.Context(), &choice, query), c.ready)
 		})
--- a/internal/gateway/serve/refusals_test.go
+++ b/internal/gateway/serve/refusals_test.go
@@ -26,7 +26,7 @@
 	is.Equal(response.Header.Get("X-Run"), "not-run")
 	is.True(response.Header.Get("Retry-After") != "")
 	is.True(time.Since(began) < time.Second)
-	is.Equal(w.handler.Advice.Ledger.OwnTotals()["own"], 0.0)
+	is.Equal(w.handler.State.Ledger.OwnTotals()["own"], 0.0)
 }
 
 // Each refusal has a status of its own, which tells the caller what to do about it.
@@ -212,8 +212,8 @@
 	for w.runs() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	w.handler.Leave()
-	w.handler.Close()
+	w.handler.StartDraining()
+	w.handler.RefuseRequests()
 	response, _, err := w.call("/once/", "second")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -32,7 +32,7 @@
 
 type relay struct {
 	job     *job
-	answer  *forward.Answer
+	answer  *forward.Response
 	sending *pool.Attempt
 	silent  *time.Timer
 	// wroteAt is when the last events of the stream went out.
@@ -45,7 +45,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.answer.Body, chunkBytes)) // so that the connection can be kept
 		return resultFailed, errors.Errorf("upstream answered status %d", r.answer.Status)
 	}
-	if r.job.route.Repetition == traffic.Streaming && r.answer.Status < http.StatusMultipleChoices {
+	if r.job.route.Execution == traffic.Streaming && r.answer.Status < http.StatusMultipleChoices {
 		return r.stream()
 	}
 	return r.whole()
@@ -57,7 +57,7 @@
 	if j.started {
 		return true // in the middle of a stream a failure cannot be passed on
 	}
-	if !j.route.MayRepeat() || j.runs+1 >= j.route.Attempts || time.Until(j.deadline) < leastLeft {
+	if !j.route.IsRepeatable() || j.runs+1 >= j.route.MaxAttempts || time.Until(j.deadline) < leastLeft {
 		return false
 	}
 	j.paid = j.mayResend()
@@ -125,11 +125,11 @@
 
 // paused tells, once a stream has ended, whether it paused for longer than its route allows.
 func (r *relay) paused() {
-	if r.job.route.LongestPause <= 0 {
+	if r.job.route.MaxPause <= 0 {
 		return
 	}
-	late := r.job.longestPause > r.job.route.LongestPause
-	r.job.handler.Advice.With(func(*Advice) { r.sending.RecordPause(late) })
+	late := r.job.longestPause > r.job.route.MaxPause
+	r.job.handler.State.WithLock(func(*SharedState) { r.sending.RecordPause(late) })
 }
 
 // stream passes on events as they arrive. Only whole events go out: the rest of one that broke off comes
@@ -145,7 +145,7 @@
 			whole := wholeEvents(pending)
 			if whole > 0 {
 				r.answered()
-				r.silent.Reset(max(silentBetweenEvents, silentPauses*r.job.route.LongestPause))
+				r.silent.Reset(max(silentBetweenEvents, silentPauses*r.job.route.MaxPause))
 				if err := r.events(pending[:whole]); err != nil {
 					return resultServed, errCallerGone
 				}
@@ -160,7 +160,7 @@
 			return resultServed, nil
 		}
 		if err != nil {
-			return resultBroken, errors.WithMessage(forward.ErrBroken, err.Error())
+			return resultBroken, errors.WithMessage(forward.ErrBrokenResponse, err.Error())
 		}
 	}
 }
@@ -212,7 +212,7 @@
 		r.job.firstByte = now
 	}
 	first := false
-	r.job.handler.Advice.With(func(*Advice) { first = r.sending.RecordAnswer(now) })
+	r.job.handler.State.WithLock(func(*SharedState) { first = r.sending.RecordAnswer(now) })
 	if first && r.job.inTurn {
 		r.job.handler.Fleet.NotifyHolder(r.job.upstream)
 	}
--- a/internal/gateway/serve/sends_test.go
+++ b/internal/gateway/serve/sends_test.go
@@ -100,7 +100,7 @@
 	w := newWorld(t, served)
 	fingerprint := suspect.FingerprintOf("own", "POST a.example/once/", []byte("poison"))
 	for range 3 {
-		w.handler.Advice.Suspects.RecordCrash(time.Now(), []suspect.Fingerprint{fingerprint})
+		w.handler.State.Suspects.RecordCrash(time.Now(), []suspect.Fingerprint{fingerprint})
 	}
 	response, _, err := w.call("/once/", "poison")
 	is.NoErr(err)
@@ -117,7 +117,7 @@
 func TestNoRetryWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, failing, failing)
-	w.handler.Advice.Retries = &retry.Budgets{}
+	w.handler.State.Retries = &retry.Budgets{}
 	response, _, err := w.call("/idem/", "b")
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusInternalServerError)
@@ -130,7 +130,7 @@
 func TestUnreachedUpstreamTakesNoRetry(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, served, served, served)
-	w.handler.Advice.Retries = &retry.Budgets{}
+	w.handler.State.Retries = &retry.Budgets{}
 	w.upstreams[0].server.Close()
 	w.upstreams[1].server.Close()
 	for _, path := range []string{"/idem/", "/once/", "/stream/", "/idem/", "/once/", "/stream/"} {
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -34,11 +34,11 @@
 	ConfirmedAge() time.Duration
 	// MayBeStale reports whether changes of the configuration may be missing that operators expect to be in force.
 	MayBeStale() bool
-	// Newest is the newest declared version of an adapter, 0 if none was declared. Required tells that
+	// NewestVersion is the newest declared version of an adapter, 0 if none was declared. Required tells that
 	// requests must not begin on an older one any more.
-	Newest(adapter traffic.Adapter) (version int64, required bool)
+	NewestVersion(adapter traffic.Adapter) (version int64, required bool)
 	// Prepare has an adapter loaded at an upstream and waits for it.
-	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.Prepared
+	Prepare(ctx context.Context, request mesh.PrepareRequest) mesh.PrepareResult
 	// QueryHolder asks for what is loaded and under way at an upstream, for the next choice.
 	QueryHolder(ctx context.Context, upstream string)
 	// PublishSpent lets the other instances know at once what this one has admitted.
@@ -49,9 +49,9 @@
 	ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
 }
 
-// Advice is what this instance has learnt and decides by. Its parts are not safe for several goroutines,
+// SharedState is what this instance has learnt and decides by. Its parts are not safe for several goroutines,
 // so all of them are used under one lock; each use takes microseconds.
-type Advice struct {
+type SharedState struct {
 	Pool     *pool.Pool
 	Ledger   *quota.Ledger
 	Suspects *suspect.Tracker
@@ -60,8 +60,8 @@
 	mutex sync.Mutex
 }
 
-// With gives the parts to one function at a time.
-func (a *Advice) With(use func(a *Advice)) {
+// WithLock gives the parts to one function at a time.
+func (a *SharedState) WithLock(use func(a *SharedState)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	use(a)
@@ -72,7 +72,7 @@
 	Dialect call.Dialect
 	Fleet   Fleet
 	Forward *forward.Client
-	Advice  *Advice
+	State   *SharedState
 	Log     zerolog.Logger
 	Scope   tally.Scope
 
@@ -80,14 +80,14 @@
 	closed  atomic.Bool
 }
 
-// Leave has callers told with each answer to use another connection from now on.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// StartDraining has callers told with each answer to use another connection from now on.
+func (h *Handler) StartDraining() { h.leaving.Store(true) }
 
-// Close refuses all requests that come from now on; those that are being served go on. It has to be called
+// RefuseRequests refuses all requests that come from now on; those that are being served go on. It has to be called
 // before idle connections are closed. A connection counts as idle until the whole header of its next
 // request was read, so one on which a request is just arriving can be closed under it: passed on to an
 // upstream, that request would run and its answer go nowhere.
-func (h *Handler) Close() { h.closed.Store(true) }
+func (h *Handler) RefuseRequests() { h.closed.Store(true) }
 
 // bodyBytesUnstated bounds a body where the configuration does not.
 const bodyBytesUnstated = 4 << 20
@@ -135,7 +135,7 @@
 	}
 	err = j.run(ctx)
 	if !j.mayHaveRun {
-		h.Advice.With(func(a *Advice) { a.Ledger.Refund(j.workspace.Name, j.cost) })
+		h.State.WithLock(func(a *SharedState) { a.Ledger.Refund(j.workspace.Name, j.cost) })
 	}
 	return err
 }
@@ -181,14 +181,14 @@
 		return j.unknown(refusal.NotFound, "no route matches the host and path")
 	}
 	j.route = route
-	j.service = route.Target()
+	j.service = route.PickService()
 	j.priority = route.Priority
 	j.deadline = j.began.Add(route.Timeout)
-	if j.call.Patience > 0 && j.call.Patience < route.Timeout {
-		j.deadline = j.began.Add(j.call.Patience)
+	if j.call.CallerTimeout > 0 && j.call.CallerTimeout < route.Timeout {
+		j.deadline = j.began.Add(j.call.CallerTimeout)
 	}
 	j.bound(time.Until(j.deadline) + time.Since(j.began))
-	if !j.table.NeedsKey(route) {
+	if !j.table.RequiresKey(route) {
 		return nil
 	}
 	if j.call.Key == "" {
@@ -247,7 +247,7 @@
 	admitted := false
 	shareSpent := false
 	verdict := suspect.Free
-	j.handler.Advice.With(func(a *Advice) {
+	j.handler.State.WithLock(func(a *SharedState) {
 		verdict, retryAfter = a.Suspects.Judge(now, j.fingerprint)
 		if verdict != suspect.Refused {
 			retryAfter, admitted = a.Ledger.Admit(now, j.workspace.Name, j.cost)
--- a/internal/gateway/serve/world_test.go
+++ b/internal/gateway/serve/world_test.go
@@ -45,20 +45,20 @@
 	broken   []string
 }
 
-func (f *fleet) Table() *traffic.Table                { return f.table.Load() }
-func (f *fleet) Newest(traffic.Adapter) (int64, bool) { return 0, false }
-func (f *fleet) QueryHolder(context.Context, string)  {}
-func (f *fleet) ConfirmedAge() time.Duration          { return 0 }
-func (f *fleet) MayBeStale() bool                     { return f.outdated }
-func (f *fleet) PublishSpent()                        {}
-func (f *fleet) NotifyHolder(string)                  {}
+func (f *fleet) Table() *traffic.Table                       { return f.table.Load() }
+func (f *fleet) NewestVersion(traffic.Adapter) (int64, bool) { return 0, false }
+func (f *fleet) QueryHolder(context.Context, string)         {}
+func (f *fleet) ConfirmedAge() time.Duration                 { return 0 }
+func (f *fleet) MayBeStale() bool                            { return f.outdated }
+func (f *fleet) PublishSpent()                               {}
+func (f *fleet) NotifyHolder(string)                         {}
 func (f *fleet) ReportBrokenResponse(u traffic.Upstream, _ suspect.Fingerprint) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.broken = append(f.broken, u.ID)
 }
 
-func (f *fleet) Prepare(context.Context, mesh.PrepareRequest) mesh.Prepared {
+func (f *fleet) Prepare(context.Context, mesh.PrepareRequest) mesh.PrepareResult {
 	return mesh.Loaded{Version: 1}
 }
 
@@ -88,15 +88,15 @@
 		Services: map[string]traffic.Service{"app": {Name: "app"}},
 		Limits:   traffic.CallerLimits{BodyBytes: 1000},
 		Workspaces: []traffic.Workspace{
-			{Name: "own", Keys: []string{key}, Rate: 1000, Burst: 1000, ByTokens: true, PlainCost: 10},
+			{Name: "own", Keys: []string{key}, Rate: 1000, Burst: 1000, ByTokens: true, DefaultCost: 10},
 		},
 	}
 	for name, route := range map[string]traffic.Route{
-		"idem":   {Repetition: traffic.Idempotent, Attempts: 2},
-		"once":   {Repetition: traffic.Once, Attempts: 1},
-		"stream": {Repetition: traffic.Streaming, Attempts: 2, Resumable: true},
-		"single": {Repetition: traffic.Streaming, Attempts: 1},
-		"short":  {Repetition: traffic.Once, Attempts: 1, Timeout: 150 * time.Millisecond},
+		"idem":   {Execution: traffic.Idempotent, MaxAttempts: 2},
+		"once":   {Execution: traffic.AtMostOnce, MaxAttempts: 1},
+		"stream": {Execution: traffic.Streaming, MaxAttempts: 2, Resumable: true},
+		"single": {Execution: traffic.Streaming, MaxAttempts: 1},
+		"short":  {Execution: traffic.AtMostOnce, MaxAttempts: 1, Timeout: 150 * time.Millisecond},
 	} {
 		route.Name = name
 		route.Host = "a.example"
@@ -125,7 +125,7 @@
 		t.Cleanup(u.server.Close)
 		w.upstreams = append(w.upstreams, u)
 		p.Declare(time.Now(), traffic.Upstream{
-			ID: u.id, Service: "app", Address: strings.TrimPrefix(u.server.URL, "http://"), Places: 10,
+			ID: u.id, Service: "app", Address: strings.TrimPrefix(u.server.URL, "http://"), BatchSlots: 10,
 		})
 	}
 	ledger := &quota.Ledger{}
@@ -138,7 +138,7 @@
 		Dialect: dialect{},
 		Fleet:   w.fleet,
 		Forward: &forward.Client{Dialect: dialect{}},
-		Advice: &serve.Advice{
+		State: &serve.SharedState{
 			Pool: p, Ledger: ledger, Retries: retries,
 			Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 		},
--- a/internal/gateway/socket/socket.go
+++ b/internal/gateway/socket/socket.go
@@ -23,10 +23,10 @@
 	probeEvery = time.Second
 )
 
-// HandshakeWithin bounds how long the other end of an accepted connection may take until it has said what it
+// HandshakeTimeout bounds how long the other end of an accepted connection may take until it has said what it
 // is. Between instances that is some milliseconds. A connection that was lost on the way right after it was
 // made says nothing, and a server that stops waits for it.
-const HandshakeWithin = time.Second
+const HandshakeTimeout = time.Second
 
 // Dialer opens connections; connect bounds how long that may take.
 func Dialer(connect time.Duration) *net.Dialer {
--- a/internal/gateway/traffic/table.go
+++ b/internal/gateway/traffic/table.go
@@ -56,13 +56,13 @@
 	return workspace, found
 }
 
-// NeedsKey tells whether requests of the route have to bear a key.
-func (t *Table) NeedsKey(route Route) bool {
+// RequiresKey tells whether requests of the route have to bear a key.
+func (t *Table) RequiresKey(route Route) bool {
 	return len(t.Configuration.Workspaces) > 0 && !route.Public
 }
 
-// Target draws one of the route's services by weight.
-func (r Route) Target() string {
+// PickService draws one of the route's services by weight.
+func (r Route) PickService() string {
 	total := 0
 	for _, target := range r.Targets {
 		total += max(target.Weight, 0)
--- a/internal/gateway/traffic/table_test.go
+++ b/internal/gateway/traffic/table_test.go
@@ -44,9 +44,9 @@
 	is.Equal(workspace.Name, "w")
 	_, found = table.Workspace("")
 	is.True(!found)
-	is.True(table.NeedsKey(traffic.Route{}))
-	is.True(!table.NeedsKey(traffic.Route{Public: true}))
-	is.True(!traffic.NewTable(traffic.Configuration{}).NeedsKey(traffic.Route{}))
+	is.True(table.RequiresKey(traffic.Route{}))
+	is.True(!table.RequiresKey(traffic.Route{Public: true}))
+	is.True(!traffic.NewTable(traffic.Configuration{}).RequiresKey(traffic.Route{}))
 }
 
 func TestTargetsShareByWeight(t *testing.T) {
@@ -54,18 +54,18 @@
 	route := traffic.Route{Targets: []traffic.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	drawn := map[string]int{}
 	for range 10_000 {
-		drawn[route.Target()]++
+		drawn[route.PickService()]++
 	}
 	is.True(drawn["a"] > 8700 && drawn["a"] < 9300)
 	is.Equal(drawn["c"], 0)
-	is.Equal(traffic.Route{}.Target(), "")
-	is.Equal(traffic.Route{Targets: []traffic.Target{{Service: "a"}}}.Target(), "a")
+	is.Equal(traffic.Route{}.PickService(), "")
+	is.Equal(traffic.Route{Targets: []traffic.Target{{Service: "a"}}}.PickService(), "a")
 }
 
 func TestMayRepeat(t *testing.T) {
 	is := is.New(t)
-	is.True(traffic.Route{Repetition: traffic.Idempotent}.MayRepeat())
-	is.True(!traffic.Route{Repetition: traffic.Once, Resumable: true}.MayRepeat())
-	is.True(!traffic.Route{Repetition: traffic.Streaming}.MayRepeat())
-	is.True(traffic.Route{Repetition: traffic.Streaming, Resumable: true}.MayRepeat())
+	is.True(traffic.Route{Execution: traffic.Idempotent}.IsRepeatable())
+	is.True(!traffic.Route{Execution: traffic.AtMostOnce, Resumable: true}.IsRepeatable())
+	is.True(!traffic.Route{Execution: traffic.Streaming}.IsRepeatable())
+	is.True(traffic.Route{Execution: traffic.Streaming, Resumable: true}.IsRepeatable())
 }
--- a/internal/gateway/traffic/traffic.go
+++ b/internal/gateway/traffic/traffic.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Fact is one declaration: a Configuration, an Upstream or an AdapterVersion.
-type Fact interface{ isFact() }
+// Declaration is one declaration: a Configuration, an Upstream or an AdapterVersion.
+type Declaration interface{ isDeclaration() }
 
 // Configuration is all that operators declare. Version only rises.
 type Configuration struct {
@@ -18,19 +18,19 @@
 	Workspaces []Workspace
 }
 
-func (Configuration) isFact() {}
+func (Configuration) isDeclaration() {}
 
-// Repetition says how often a request may run.
-type Repetition string
+// Execution says how often a request may run.
+type Execution string
 
 // The repetitions.
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repetition = "idempotent"
-	// Once requests run at most once.
-	Once Repetition = "once"
+	Idempotent Execution = "idempotent"
+	// AtMostOnce requests run at most once.
+	AtMostOnce Execution = "once"
 	// Streaming requests are answered by events and run at most once, unless they may be resumed.
-	Streaming Repetition = "streaming"
+	Streaming Execution = "streaming"
 )
 
 // Route sends the requests of a host below a path to services.
@@ -39,27 +39,27 @@
 	Host   string
 	Prefix string
 	// Targets share the requests by weight.
-	Targets    []Target
-	Repetition Repetition
+	Targets   []Target
+	Execution Execution
 	// Timeout is the longest a caller may be kept waiting; Objective is the time within which an answer,
 	// or the first event of a stream, is on time.
 	Timeout   time.Duration
 	Objective time.Duration
-	// LongestPause between two events of a stream that is on time.
-	LongestPause time.Duration
+	// MaxPause between two events of a stream that is on time.
+	MaxPause time.Duration
 	// Priority is the rank of the requests, 0 first.
 	Priority int
-	// Attempts is the most upstreams that one request may run at.
-	Attempts int
+	// MaxAttempts is the most upstreams that one request may run at.
+	MaxAttempts int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may go on at another upstream after the last event that arrived.
 	Resumable bool
 }
 
-// MayRepeat tells whether a request of the route may run again after it may have run.
-func (r Route) MayRepeat() bool {
-	return r.Repetition == Idempotent || r.Repetition == Streaming && r.Resumable
+// IsRepeatable tells whether a request of the route may run again after it may have run.
+func (r Route) IsRepeatable() bool {
+	return r.Execution == Idempotent || r.Execution == Streaming && r.Resumable
 }
 
 // Target is a service with its share of a route's requests.
@@ -83,12 +83,12 @@
 
 // Engine says what the model engines of a service have room for.
 type Engine struct {
-	BatchPlaces int
+	BatchSlots int
 	// MemoryTokens is the room for the prompts and answers of running requests.
-	MemoryTokens  int
-	WeightsMB     float64
-	AdapterPlaces int
-	Models        []Model
+	MemoryTokens int
+	WeightsMB    float64
+	AdapterSlots int
+	Models       []Model
 }
 
 // Model is a base model that the engines of a service can load.
@@ -116,8 +116,8 @@
 	Rate  float64
 	Burst float64
 	// ByTokens: units are tokens, and a request that states none costs PlainCost. Else each costs 1.
-	ByTokens  bool
-	PlainCost float64
+	ByTokens    bool
+	DefaultCost float64
 }
 
 // Adapter names an adapter of a base model; an empty Name is the base model itself.
@@ -140,7 +140,7 @@
 	Version int64
 }
 
-func (AdapterVersion) isFact() {}
+func (AdapterVersion) isDeclaration() {}
 
 // Upstream is what an upstream says of itself.
 type Upstream struct {
@@ -148,18 +148,18 @@
 	Service    string
 	Address    string
 	DataCentre string
-	Places     int
+	BatchSlots int
 	// Draining upstreams take no new requests.
 	Draining bool
-	// Born is the Unix millisecond of its start: an upstream with another one has forgotten everything.
-	Born int64
-	// ColdFor is how much longer it stated to be cold when it wrote its entry: slow, and to be sent little.
-	ColdFor time.Duration
+	// StartedMillis is the Unix millisecond of its start: an upstream with another one has forgotten everything.
+	StartedMillis int64
+	// ColdRemaining is how much longer it stated to be cold when it wrote its entry: slow, and to be sent little.
+	ColdRemaining time.Duration
 	// Models is what it had loaded when it last said so.
 	Models []LoadedModel
 }
 
-func (Upstream) isFact() {}
+func (Upstream) isDeclaration() {}
 
 // LoadedModel is a base model in an upstream's memory, with its adapters.
 type LoadedModel struct {
--- a/internal/measure/live/live.go
+++ b/internal/measure/live/live.go
@@ -159,7 +159,7 @@
 
 func takeReading(ctx context.Context, d *deployment.Deployment) (taken reading, err error) {
 	taken.at = time.Now()
-	for _, process := range d.InstanceOf {
+	for _, process := range d.InstanceProcesses {
 		u, err := readUsage(process.Pid())
 		if err != nil {
 			return reading{}, err
--- a/internal/measure/live/load.go
+++ b/internal/measure/live/load.go
@@ -30,7 +30,7 @@
 		if err := d.AwaitKeys(ctx, key); err != nil {
 			return err
 		}
-		caller := &caller{address: d.InstanceOf[0].Announced("CallerAddress"), key: key}
+		caller := &caller{address: d.InstanceProcesses[0].Announced("CallerAddress"), key: key}
 		// The first call waits until the instance has its share of the rate limit, and loads the adapter.
 		if err := d.Retry(ctx, func() error { return caller.callOnce(ctx, 1) }); err != nil {
 			return err
@@ -53,7 +53,7 @@
 }
 
 func (c *caller) load(ctx context.Context, d *deployment.Deployment, tokens int) (loadUsage, error) {
-	pid := d.InstanceOf[0].Pid()
+	pid := d.InstanceProcesses[0].Pid()
 	before, err := readUsage(pid)
 	if err != nil {
 		return loadUsage{}, err
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -36,14 +36,14 @@
 	Timeout time.Duration
 }
 
-// Refused is the error of a call that the instance refused.
-type Refused struct {
+// RefusedError is the error of a call that the instance refused.
+type RefusedError struct {
 	Status int
 	Detail message.FailureDetail
 }
 
 // Error gives the message and every problem, one a line.
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	lines := []string{r.Detail.Message}
 	for _, p := range r.Detail.Problems {
 		line := p.Kind + "/" + p.Name
@@ -55,15 +55,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unreachable is the error of a call without a usable answer: no connection, or a lost answer. Whether
+// NoResponseError is the error of a call without a usable answer: no connection, or a lost answer. Whether
 // a change was made is not known unless Sent is false.
-type Unreachable struct {
+type NoResponseError struct {
 	Sent  bool
 	Cause error
 }
 
 // Error says whether anything can have been changed.
-func (u *Unreachable) Error() string {
+func (u *NoResponseError) Error() string {
 	if u.Sent {
 		return "the answer was lost: " + u.Cause.Error()
 	}
@@ -169,24 +169,24 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, r.method, c.target(r), bytes.NewReader(r.body))
 	if err != nil {
-		return &Unreachable{Cause: err}
+		return &NoResponseError{Cause: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Token)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return &Unreachable{Sent: !dialFailed(err), Cause: err}
+		return &NoResponseError{Sent: !dialFailed(err), Cause: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		return &Unreachable{Sent: true, Cause: err}
+		return &NoResponseError{Sent: true, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
 		return refused(response.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return &Unreachable{Sent: true, Cause: errors.WithMessage(err, "the answer is not understood")}
+		return &NoResponseError{Sent: true, Cause: errors.WithMessage(err, "the answer is not understood")}
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 	var failure message.Failure
 	err := json.Unmarshal(body, &failure)
 	if err != nil || failure.Error.Code == "" {
-		return &Unreachable{Sent: true, Cause: fmt.Errorf("unexpected answer with status %d", status)}
+		return &NoResponseError{Sent: true, Cause: fmt.Errorf("unexpected answer with status %d", status)}
 	}
-	return &Refused{Status: status, Detail: failure.Error}
+	return &RefusedError{Status: status, Detail: failure.Error}
 }
--- a/internal/placement/pool/cold_test.go
+++ b/internal/placement/pool/cold_test.go
@@ -29,7 +29,7 @@
 
 func declareCold(p *pool.Pool, name string, left time.Duration) {
 	declare(p, name, func(u *traffic.Upstream) {
-		u.ColdFor = left
+		u.ColdRemaining = left
 		u.DataCentre = name
 	})
 }
--- a/internal/placement/pool/load_cost.go
+++ b/internal/placement/pool/load_cost.go
@@ -61,7 +61,7 @@
 
 // scarcity is the fraction of an upstream's adapter slots that are in use, by its holder's last report.
 func (p *Pool) scarcity(u *upstream) float64 {
-	slots := p.engines[u.declared.Service].AdapterPlaces
+	slots := p.engines[u.declared.Service].AdapterSlots
 	if slots <= 0 {
 		return 1
 	}
--- a/internal/placement/pool/pool.go
+++ b/internal/placement/pool/pool.go
@@ -161,7 +161,7 @@
 func (p *Pool) Declare(now time.Time, declared traffic.Upstream) {
 	p.prepare()
 	u := p.upstreams[declared.ID]
-	if u == nil || u.declared.Born != declared.Born || u.declared.Address != declared.Address {
+	if u == nil || u.declared.StartedMillis != declared.StartedMillis || u.declared.Address != declared.Address {
 		delete(p.active, u)
 		u = newUpstream(now)
 		p.upstreams[declared.ID] = u
@@ -175,7 +175,7 @@
 		p.services = nil
 	}
 	u.declared = declared
-	u.cold.recordStated(now, declared.ColdFor)
+	u.cold.recordStated(now, declared.ColdRemaining)
 	if u.fence == 0 {
 		u.setResident(residentOf(declared.Models))
 	}
@@ -216,7 +216,7 @@
 // be some seconds old when it is used, if an adapter had to be loaded first.
 func (p *Pool) IsChoiceValid(chosen traffic.Upstream) bool {
 	u := p.upstreams[chosen.ID]
-	return u != nil && p.AcceptsRequests(u.declared) && u.declared.Born == chosen.Born && u.declared.Address == chosen.Address
+	return u != nil && p.AcceptsRequests(u.declared) && u.declared.StartedMillis == chosen.StartedMillis && u.declared.Address == chosen.Address
 }
 
 // Upstream returns the declaration of an upstream.
--- a/internal/placement/pool/pool_test.go
+++ b/internal/placement/pool/pool_test.go
@@ -22,7 +22,7 @@
 	settings.DataCentre = "here"
 	p := &pool.Pool{Settings: settings}
 	p.Configure(map[string]traffic.Service{
-		engines:  {Name: engines, Engine: &traffic.Engine{BatchPlaces: 64, MemoryTokens: 100_000, AdapterPlaces: 5}},
+		engines:  {Name: engines, Engine: &traffic.Engine{BatchSlots: 64, MemoryTokens: 100_000, AdapterSlots: 5}},
 		services: {Name: services, MaxConnections: 100},
 	})
 	for _, name := range names {
@@ -33,10 +33,10 @@
 
 // declare adds an upstream. Names that begin with s are plain services.
 func declare(p *pool.Pool, name string, change func(*traffic.Upstream)) {
-	u := traffic.Upstream{ID: name, Service: engines, Address: "10.0.0.1:1", DataCentre: "here", Places: 64, Born: 1}
+	u := traffic.Upstream{ID: name, Service: engines, Address: "10.0.0.1:1", DataCentre: "here", BatchSlots: 64, StartedMillis: 1}
 	if name[0] == 's' {
 		u.Service = services
-		u.Places = 6
+		u.BatchSlots = 6
 	}
 	change(&u)
 	p.Declare(time.Now(), u)
@@ -213,7 +213,7 @@
 		choice, _ := place(is, p, generation("a"))
 		is.Equal(choice.Upstream.ID, "e2")
 		is.True(!choice.Loaded)
-		declare(p, "e1", func(u *traffic.Upstream) { u.Born = 2 })
+		declare(p, "e1", func(u *traffic.Upstream) { u.StartedMillis = 2 })
 		choice, _ = place(is, p, generation("a"))
 		is.True(!choice.Loaded)
 	})
@@ -230,7 +230,7 @@
 		is.True(p.IsChoiceValid(choice.Upstream))
 		declare(p, "e1", func(u *traffic.Upstream) { u.Draining = true })
 		is.True(!p.IsChoiceValid(choice.Upstream))
-		declare(p, "e1", func(u *traffic.Upstream) { u.Born = 2 })
+		declare(p, "e1", func(u *traffic.Upstream) { u.StartedMillis = 2 })
 		is.True(!p.IsChoiceValid(choice.Upstream))
 		p.Remove("e1")
 		is.True(!p.IsChoiceValid(choice.Upstream))
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -110,7 +110,7 @@
 }
 
 // slots is how many calls an upstream serves concurrently.
-func (u *upstream) slots() int { return max(u.declared.Places, 1) }
+func (u *upstream) slots() int { return max(u.declared.BatchSlots, 1) }
 
 // queued is how many calls have to end before one more gets a slot, per slot of the upstream.
 func (u *upstream) queued(load Load) float64 {
--- a/internal/placement/residence/load_times_test.go
+++ b/internal/placement/residence/load_times_test.go
@@ -18,7 +18,7 @@
 		t.Run(took.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				p := &residence.Planner{Engine: traffic.Engine{AdapterPlaces: 100}}
+				p := &residence.Planner{Engine: traffic.Engine{AdapterSlots: 100}}
 				p.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
 				time.Sleep(time.Second)
 				p.ApplyReport(time.Now(), residence.Report{Models: []traffic.LoadedModel{{Name: model}}})
--- a/internal/placement/residence/orders.go
+++ b/internal/placement/residence/orders.go
@@ -28,7 +28,7 @@
 		if p.loadsInProgress() >= maxConcurrentLoads {
 			return Order{}, false
 		}
-		if p.confirmed && p.adapterCount() < p.Engine.AdapterPlaces && p.fits(adapter) {
+		if p.confirmed && p.adapterCount() < p.Engine.AdapterSlots && p.fits(adapter) {
 			return Order{Adapter: adapter, Version: p.newest[adapter]}, true
 		}
 		if victim, idle := p.victim(now); idle {
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -164,7 +164,7 @@
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Adapter.String() < list[j].Adapter.String() })
-	return list, p.Engine.AdapterPlaces - p.occupiedAdapterSlots(now)
+	return list, p.Engine.AdapterSlots - p.occupiedAdapterSlots(now)
 }
 
 // ---------------------------------------------------------------------------------------------
--- a/internal/placement/residence/planner_test.go
+++ b/internal/placement/residence/planner_test.go
@@ -127,7 +127,7 @@
 }
 
 func newPlanner(adapterSlots int) *residence.Planner {
-	return &residence.Planner{Engine: traffic.Engine{AdapterPlaces: adapterSlots, Models: []traffic.Model{{Name: model}}}}
+	return &residence.Planner{Engine: traffic.Engine{AdapterSlots: adapterSlots, Models: []traffic.Model{{Name: model}}}}
 }
 
 // drive executes the planner's steps for the duration d. For each order, fault returns whether its answer is lost, and
--- a/internal/placement/residence/waiters.go
+++ b/internal/placement/residence/waiters.go
@@ -57,7 +57,7 @@
 			ahead++
 		}
 	}
-	free := p.Engine.AdapterPlaces - p.occupiedAdapterSlots(now)
+	free := p.Engine.AdapterSlots - p.occupiedAdapterSlots(now)
 	if ahead < free {
 		return 0
 	}
@@ -85,7 +85,7 @@
 	if p.grantPace > 0 {
 		return p.grantPace
 	}
-	return defaultTurnover / time.Duration(max(p.Engine.AdapterPlaces, 1))
+	return defaultTurnover / time.Duration(max(p.Engine.AdapterSlots, 1))
 }
 
 // updatePace updates the pace when an adapter slot goes to an adapter that had to wait for it.
--- a/internal/platform/store/client_test.go
+++ b/internal/platform/store/client_test.go
@@ -142,7 +142,7 @@
 // A write that its sender gave up on still arrives, after another write was made.
 func TestMemoryDeliversLateWrites(t *testing.T) {
 	is, ctx, kv := is.New(t), t.Context(), &store.Memory{}
-	kv.LateWrites(1, 2)
+	kv.DelayWrites(1, 2)
 	_, err := kv.CompareAndSwap(ctx, "k", store.Absent, []byte("late"))
 	is.True(errors.Is(err, store.ErrUnknown))
 	_, err = kv.Get(ctx, "k")
--- a/internal/platform/store/memory.go
+++ b/internal/platform/store/memory.go
@@ -51,8 +51,8 @@
 	m.wake()
 }
 
-// LoseAnswers makes the next writes take effect, or fail, with their answers lost: ErrUnknown.
-func (m *Memory) LoseAnswers(count int) {
+// LoseResponses makes the next writes take effect, or fail, with their answers lost: ErrUnknown.
+func (m *Memory) LoseResponses(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lostAnswers = count
@@ -65,16 +65,16 @@
 	m.lostRequests = count
 }
 
-// LateWrites makes the next writes end in ErrUnknown at once and arrive only just before the call
+// DelayWrites makes the next writes end in ErrUnknown at once and arrive only just before the call
 // that comes so many calls after each.
-func (m *Memory) LateWrites(count int, calls int) {
+func (m *Memory) DelayWrites(count int, calls int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lateWrites, m.lateBy = count, int64(calls)
 }
 
-// StaleReads makes the next reads of single keys return the value before the last write.
-func (m *Memory) StaleReads(count int) {
+// ServeStaleReads makes the next reads of single keys return the value before the last write.
+func (m *Memory) ServeStaleReads(count int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.staleReads = count
--- a/internal/proof/integration/answer_test.go
+++ b/internal/proof/integration/answer_test.go
@@ -28,7 +28,7 @@
 		{name: "streams cut in the middle", faults: engine.Faults{CutAfterTokens: 5}},
 		{name: "engine connections silent", faults: engine.Faults{SilentConnections: true}},
 		{name: "connections on the way silent", during: func(w *world) {
-			for number := range w.d.EngineOf {
+			for number := range w.d.EngineProcesses {
 				w.engineProxy(number).silenceOpen()
 			}
 		}},
@@ -37,7 +37,7 @@
 			w := newWorld(t, options{})
 			model := deployment.AdapterA + "@2"
 			w.warm(w.keyA, model)
-			for number := range w.d.EngineOf {
+			for number := range w.d.EngineProcesses {
 				w.engineFaults(number, tt.faults)
 			}
 			var callers sync.WaitGroup
@@ -50,7 +50,7 @@
 					if number%2 == 0 {
 						ask = w.caller(w.keyA).completion
 					}
-					got := ask(number%len(w.d.InstanceOf), model, prompt, 40)
+					got := ask(number%len(w.d.InstanceProcesses), model, prompt, 40)
 					mu.Lock()
 					defer mu.Unlock()
 					if !got.ok() {
@@ -85,7 +85,7 @@
 	w.warm(w.keyA, model)
 	stop := make(chan struct{})
 	var restarters sync.WaitGroup
-	for number := range w.d.EngineOf {
+	for number := range w.d.EngineProcesses {
 		w.engineFaults(number, engine.Faults{CrashOn: "poison"})
 		restarters.Go(func() { w.keepEngineRunning(number, stop) })
 	}
@@ -120,12 +120,12 @@
 		select {
 		case <-stop:
 			return
-		case <-w.d.EngineOf[number].Ended():
-			if err := w.d.EngineOf[number].Start(w.ctx); err != nil {
+		case <-w.d.EngineProcesses[number].Ended():
+			if err := w.d.EngineProcesses[number].Start(w.ctx); err != nil {
 				w.t.Error(err)
 				return
 			}
-			if err := w.d.Control(w.ctx, w.d.EngineOf[number], "faults", engine.Faults{CrashOn: "poison"}); err != nil {
+			if err := w.d.Control(w.ctx, w.d.EngineProcesses[number], "faults", engine.Faults{CrashOn: "poison"}); err != nil {
 				w.t.Error(err)
 				return
 			}
@@ -140,7 +140,7 @@
 		prompt := fmt.Sprintf("innocent %d %d", number, round)
 		begun := time.Now()
 		for {
-			got := using.stream((number+round)%len(w.d.InstanceOf), model, prompt, 30)
+			got := using.stream((number+round)%len(w.d.InstanceProcesses), model, prompt, 30)
 			if got.ok() {
 				if err := checkText(got, model, prompt, 30); err != nil {
 					w.t.Error(err)
--- a/internal/proof/integration/booking_test.go
+++ b/internal/proof/integration/booking_test.go
@@ -94,13 +94,13 @@
 func (w *world) resendEverywhere(t *testing.T, key, body string) {
 	t.Helper()
 	var sends sync.WaitGroup
-	for instance := range w.d.InstanceOf {
-		if !w.d.InstanceOf[instance].Running() {
+	for instance := range w.d.InstanceProcesses {
+		if !w.d.InstanceProcesses[instance].Running() {
 			continue
 		}
 		sends.Go(func() {
 			got := w.caller(w.keyA).withTimeout(15*time.Second).book(instance, key, body)
-			t.Logf("retried at %s: %s", w.d.InstanceOf[instance].Name, got)
+			t.Logf("retried at %s: %s", w.d.InstanceProcesses[instance].Name, got)
 		})
 	}
 	sends.Wait()
@@ -157,23 +157,23 @@
 	}{
 		{
 			name: "killed while the service works", after: 500 * time.Millisecond,
-			fail: w.d.InstanceOf[0].Kill,
-			mend: func() error { return w.d.InstanceOf[0].Start(w.ctx) },
+			fail: w.d.InstanceProcesses[0].Kill,
+			mend: func() error { return w.d.InstanceProcesses[0].Start(w.ctx) },
 		},
 		{
 			name: "killed at once", after: 2 * time.Millisecond,
-			fail: w.d.InstanceOf[0].Kill,
-			mend: func() error { return w.d.InstanceOf[0].Start(w.ctx) },
+			fail: w.d.InstanceProcesses[0].Kill,
+			mend: func() error { return w.d.InstanceProcesses[0].Start(w.ctx) },
 		},
 		{
 			name: "killed a little later", after: 8 * time.Millisecond,
-			fail: w.d.InstanceOf[0].Kill,
-			mend: func() error { return w.d.InstanceOf[0].Start(w.ctx) },
+			fail: w.d.InstanceProcesses[0].Kill,
+			mend: func() error { return w.d.InstanceProcesses[0].Start(w.ctx) },
 		},
 		{
 			name: "frozen and woken", after: 3 * time.Millisecond,
-			fail: w.d.InstanceOf[0].Freeze,
-			mend: w.d.InstanceOf[0].Wake,
+			fail: w.d.InstanceProcesses[0].Freeze,
+			mend: w.d.InstanceProcesses[0].Unfreeze,
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 			w.requireNoError(tt.fail())
 			for _, instance := range []int{1, 2, 1} {
 				got := w.caller(w.keyA).withTimeout(15*time.Second).book(instance, key, "{}")
-				t.Logf("retried at %s: %s", w.d.InstanceOf[instance].Name, got)
+				t.Logf("retried at %s: %s", w.d.InstanceProcesses[instance].Name, got)
 			}
 			time.Sleep(2 * time.Second)
 			w.requireNoError(tt.mend())
--- a/internal/proof/integration/calls_test.go
+++ b/internal/proof/integration/calls_test.go
@@ -104,7 +104,7 @@
 }
 
 func (c *caller) send(instance int, method, path, body string, headers map[string]string) reply {
-	url := "http://" + c.w.d.InstanceOf[instance].Announced("CallerAddress") + path
+	url := "http://" + c.w.d.InstanceProcesses[instance].Announced("CallerAddress") + path
 	request, err := http.NewRequestWithContext(c.w.ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return reply{err: err}
@@ -146,7 +146,7 @@
 // book sends a booking that must run at most once. It fails the test if the booking is refused as malformed, because
 // such a booking tests nothing.
 func (c *caller) book(instance int, idempotencyKey, body string) reply {
-	got := c.send(instance, http.MethodPost, "/services/"+deployment.ServiceOne+"/orders", body,
+	got := c.send(instance, http.MethodPost, "/services/"+deployment.BookingService+"/orders", body,
 		map[string]string{"Idempotency-Key": idempotencyKey})
 	if got.status == http.StatusBadRequest {
 		c.w.t.Errorf("the test's own booking is malformed: %s", got)
@@ -218,10 +218,10 @@
 func (w *world) warm(key string, models ...string) {
 	w.t.Helper()
 	warming := w.caller(key)
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		for _, model := range models {
 			var last reply
-			w.eventually(fmt.Sprintf("%s answers on %s", w.d.InstanceOf[instance].Name, model), settleLimit, func() bool {
+			w.eventually(fmt.Sprintf("%s answers on %s", w.d.InstanceProcesses[instance].Name, model), settleLimit, func() bool {
 				last = warming.completion(instance, model, "warm up", 1)
 				if !last.ok() {
 					w.t.Logf("not warm yet: %s", last)
--- a/internal/proof/integration/configuration_test.go
+++ b/internal/proof/integration/configuration_test.go
@@ -78,7 +78,7 @@
 	for number := range 4 {
 		operators.Go(func() { w.runOperator(number, h, stop) })
 	}
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		operators.Go(func() { w.watchVersions(t, instance, stop) })
 	}
 	w.injectFaults()
@@ -110,9 +110,9 @@
 	w.storeFaults(kv.Faults{StaleReads: true})
 	time.Sleep(2 * time.Second)
 	w.storeFaults(kv.Faults{})
-	w.requireNoError(w.d.InstanceOf[2].Kill())
+	w.requireNoError(w.d.InstanceProcesses[2].Kill())
 	time.Sleep(time.Second)
-	w.requireNoError(w.d.InstanceOf[2].Start(w.ctx))
+	w.requireNoError(w.d.InstanceProcesses[2].Start(w.ctx))
 	time.Sleep(2 * time.Second)
 }
 
@@ -126,14 +126,14 @@
 
 func (w *world) operator(instance int) *client.Client {
 	return &client.Client{
-		Server: "http://" + w.d.InstanceOf[instance].Announced("OperatorAddress"),
+		Server: "http://" + w.d.InstanceProcesses[instance].Announced("OperatorAddress"),
 		Token:  w.d.OperatorToken,
 	}
 }
 
 // runOperator repeatedly reads the resource and changes it, expecting the version read.
 func (w *world) runOperator(number int, h *changeHistory, stop <-chan struct{}) {
-	instance := number % len(w.d.InstanceOf)
+	instance := number % len(w.d.InstanceProcesses)
 	for round := 0; ; round++ {
 		select {
 		case <-stop:
@@ -158,7 +158,7 @@
 		}
 		return changeResult{outcome: "accepted", version: accepted.Resources[0].ResourceVersion}
 	}
-	var refused *client.Refused
+	var refused *client.RefusedError
 	if errors.As(err, &refused) {
 		switch refused.Detail.Code {
 		case message.CodeConflict:
@@ -210,7 +210,7 @@
 			continue
 		}
 		if version < highest {
-			t.Errorf("%s went back from version %d to %d", w.d.InstanceOf[instance].Name, highest, version)
+			t.Errorf("%s went back from version %d to %d", w.d.InstanceProcesses[instance].Name, highest, version)
 			return
 		}
 		highest = version
@@ -222,12 +222,12 @@
 	t.Helper()
 	w.apply(workspaceJSON(998, -1))
 	last := w.versionAt(t, 0)
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		took := w.eventually("the last change is in force", promptLimit, func() bool {
 			version, err := w.version(instance)
 			return err == nil && version == last
 		})
-		t.Logf("%s shows the last change after %.2f s", w.d.InstanceOf[instance].Name, took.Seconds())
+		t.Logf("%s shows the last change after %.2f s", w.d.InstanceProcesses[instance].Name, took.Seconds())
 	}
 }
 
--- a/internal/proof/integration/eviction_test.go
+++ b/internal/proof/integration/eviction_test.go
@@ -65,7 +65,7 @@
 		model := models[chance.IntN(len(models))]
 		prompt := fmt.Sprintf("shift %d %d", number, round)
 		tokens := 10 + chance.IntN(100)
-		got := using.stream(chance.IntN(len(w.d.InstanceOf)), model, prompt, tokens)
+		got := using.stream(chance.IntN(len(w.d.InstanceProcesses)), model, prompt, tokens)
 		seen.add(got.outcome())
 		if !got.ok() {
 			time.Sleep(20 * time.Millisecond)
@@ -78,7 +78,7 @@
 }
 
 func (w *world) eachInstance(disturb func(instance int)) {
-	for instance := range w.d.InstanceOf {
+	for instance := range w.d.InstanceProcesses {
 		time.Sleep(time.Second)
 		disturb(instance)
 	}
@@ -86,15 +86,15 @@
 }
 
 func (w *world) killAndStart(instance int) {
-	w.requireNoError(w.d.InstanceOf[instance].Kill())
+	w.requireNoError(w.d.InstanceProcesses[instance].Kill())
 	time.Sleep(2 * time.Second)
-	w.requireNoError(w.d.InstanceOf[instance].Start(w.ctx))
+	w.requireNoError(w.d.InstanceProcesses[instance].Start(w.ctx))
 }
 
 func (w *world) freezeAndWake(instance int) {
-	w.requireNoError(w.d.InstanceOf[instance].Freeze())
+	w.requireNoError(w.d.InstanceProcesses[instance].Freeze())
 	time.Sleep(6 * time.Second)
-	w.requireNoError(w.d.InstanceOf[instance].Wake())
+	w.requireNoError(w.d.InstanceProcesses[instance].Unfreeze())
 }
 
 // checkEvictions checks in the engines' records that no serving adapter version was evicted, and that evictions
@@ -138,14 +138,14 @@
 		{name: "loads fail", fail: func(w *world, number int) { w.engineFaults(number, engine.Faults{FailLoads: 2}) }},
 		{name: "loads are lied about", fail: func(w *world, number int) { w.engineFaults(number, engine.Faults{LieAboutLoads: 2}) }},
 		{name: "the engine restarts", fail: func(w *world, number int) {
-			w.requireNoError(w.d.EngineOf[number].Kill())
-			w.requireNoError(w.d.EngineOf[number].Start(w.ctx))
+			w.requireNoError(w.d.EngineProcesses[number].Kill())
+			w.requireNoError(w.d.EngineProcesses[number].Start(w.ctx))
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWorld(t, options{})
 			w.warm(w.keyA, "bid-estimates@1")
-			for number := range w.d.EngineOf {
+			for number := range w.d.EngineProcesses {
 				tt.fail(w, number)
 			}
 			for _, model := range []string{"bid-estimates@1", "bid-estimates@2", "site-summaries@1"} {
--- a/internal/proof/integration/key_test.go
+++ b/internal/proof/integration/key_test.go
@@ -33,7 +33,7 @@
 		{name: "unknown key", key: "made-up", model: deployment.AdapterA, status: []int{401}},
 		{name: "no key", key: "", model: deployment.AdapterA, status: []int{401}},
 	} {
-		for instance := range w.d.InstanceOf {
+		for instance := range w.d.InstanceProcesses {
 			prompt := fmt.Sprintf("%s %d", tt.name, instance)
 			got := w.caller(tt.key).completion(instance, tt.model, prompt, 3)
 			if !containsStatus(tt.status, got.status) {
@@ -78,7 +78,7 @@
 		check(request.Headers)
 	}
 	var record service.Record
-	w.requireNoError(w.d.Record(w.ctx, w.d.ServiceOf[0], &record))
+	w.requireNoError(w.d.Record(w.ctx, w.d.ServiceProcesses[0], &record))
 	for _, call := range record.Calls {
 		check(call.Headers)
 	}
@@ -138,16 +138,16 @@
 	using := w.caller(key)
 	begun := time.Now()
 	attempt := 0
-	for instance := range w.d.InstanceOf {
-		w.eventually("refused at "+w.d.InstanceOf[instance].Name, promptLimit, func() bool {
+	for instance := range w.d.InstanceProcesses {
+		w.eventually("refused at "+w.d.InstanceProcesses[instance].Name, promptLimit, func() bool {
 			attempt++
 			return !using.completion(instance, deployment.AdapterA+"@2", fmt.Sprintf("poll %d", attempt), 1).ok()
 		})
-		w.t.Logf("%s refuses %.2f s after the withdrawal", w.d.InstanceOf[instance].Name, time.Since(begun).Seconds())
+		w.t.Logf("%s refuses %.2f s after the withdrawal", w.d.InstanceProcesses[instance].Name, time.Since(begun).Seconds())
 	}
 	for round := range 20 {
 		prompt := fmt.Sprintf("after the withdrawal %d", round)
-		got := using.completion(round%len(w.d.InstanceOf), deployment.AdapterA+"@2", prompt, 1)
+		got := using.completion(round%len(w.d.InstanceProcesses), deployment.AdapterA+"@2", prompt, 1)
 		if got.ok() || len(w.executedWithPrompt(prompt)) > 0 {
 			w.t.Fatalf("ran with a withdrawn key: %s", got)
 		}
@@ -166,7 +166,7 @@
 		name := fmt.Sprintf("key-frozen-%d", round)
 		using.key = w.grant(deployment.WorkspaceA, name)
 		w.requireNoError(w.d.AwaitKeys(w.ctx, using.key))
-		w.requireNoError(w.d.InstanceOf[2].Freeze())
+		w.requireNoError(w.d.InstanceProcesses[2].Freeze())
 		w.withdraw(name)
 		var sent sync.WaitGroup
 		prompt := func(i int) string { return fmt.Sprintf("sent while frozen %d %d", round, i) }
@@ -174,7 +174,7 @@
 			sent.Go(func() { using.completion(2, model, prompt(i), 1) })
 		}
 		time.Sleep(2 * deployment.FreshnessBound)
-		w.requireNoError(w.d.InstanceOf[2].Wake())
+		w.requireNoError(w.d.InstanceProcesses[2].Unfreeze())
 		sent.Wait()
 		for i := range 4 {
 			if len(w.executedWithPrompt(prompt(i))) > 0 {
@@ -200,7 +200,7 @@
 	begun, sent, refused := time.Now(), 0, 0
 	for time.Since(begun) < 4*deployment.FreshnessBound {
 		sent++
-		if got := using.completion(sent%len(w.d.InstanceOf), model, fmt.Sprintf("outage %d", sent), 2); !got.ok() {
+		if got := using.completion(sent%len(w.d.InstanceProcesses), model, fmt.Sprintf("outage %d", sent), 2); !got.ok() {
 			refused++
 			t.Logf("%.1f s into the outage: %s", time.Since(begun).Seconds(), got)
 		}
--- a/internal/proof/integration/rate_test.go
+++ b/internal/proof/integration/rate_test.go
@@ -47,10 +47,10 @@
 		}},
 		{name: "store out and an instance replaced", disturb: func(w *world) {
 			w.storeFaults(kv.Faults{Outage: true})
-			w.requireNoError(w.d.InstanceOf[2].Kill())
+			w.requireNoError(w.d.InstanceProcesses[2].Kill())
 			time.Sleep(4 * time.Second)
 			w.storeFaults(kv.Faults{})
-			w.requireNoError(w.d.InstanceOf[2].Start(w.ctx))
+			w.requireNoError(w.d.InstanceProcesses[2].Start(w.ctx))
 			time.Sleep(4 * time.Second)
 		}},
 	} {
@@ -81,7 +81,7 @@
 			return
 		default:
 		}
-		got := using.completion((number+round)%len(w.d.InstanceOf), measuredModel,
+		got := using.completion((number+round)%len(w.d.InstanceProcesses), measuredModel,
 			fmt.Sprintf("hammer %d %d", number, round), requestedTokens)
 		seen.add(got.outcome())
 		if !got.ok() {
--- a/internal/proof/integration/stop_test.go
+++ b/internal/proof/integration/stop_test.go
@@ -39,7 +39,7 @@
 			var stream sync.WaitGroup
 			stream.Go(func() { got = w.caller(w.keyA).stream(0, model, "long", longTokens) })
 			w.eventually("the stream runs", settleLimit, func() bool { return len(w.executedWithPrompt("long")) == 1 })
-			w.requireNoError(w.d.InstanceOf[0].Stop(w.ctx))
+			w.requireNoError(w.d.InstanceProcesses[0].Stop(w.ctx))
 			stream.Wait()
 			if !got.ok() {
 				t.Fatalf("the stream was cut: %s", got)
@@ -47,7 +47,7 @@
 			if err := checkText(got, model, "long", longTokens); err != nil {
 				t.Error(err)
 			}
-			if code := w.d.InstanceOf[0].ExitCode(); code != 0 {
+			if code := w.d.InstanceProcesses[0].ExitCode(); code != 0 {
 				t.Errorf("exit code %d", code)
 			}
 		})
@@ -67,7 +67,7 @@
 	for number := range 4 {
 		callers.Go(func() { w.sendDuringReplacement(number, stop, seen) })
 	}
-	for _, process := range w.d.InstanceOf {
+	for _, process := range w.d.InstanceProcesses {
 		w.requireNoError(process.Stop(w.ctx))
 		w.requireNoError(process.Start(w.ctx))
 		w.requireNoError(w.d.AwaitKeys(w.ctx, w.keyA))
@@ -94,7 +94,7 @@
 		default:
 		}
 		prompt := fmt.Sprintf("roll %d %d", number, round)
-		got := using.stream((number+round)%len(w.d.InstanceOf), deployment.AdapterA+"@2", prompt, 20)
+		got := using.stream((number+round)%len(w.d.InstanceProcesses), deployment.AdapterA+"@2", prompt, 20)
 		switch {
 		case got.ok():
 			seen.add("answered")
@@ -148,7 +148,7 @@
 			for time.Since(marked) < leavingObservation {
 				sent++
 				model := []string{"bid-estimates@1", "bid-estimates@2", "site-summaries@1"}[sent%3]
-				seen.add(using.completion(sent%len(w.d.InstanceOf), model, fmt.Sprintf("leave %d", sent), 2).outcome())
+				seen.add(using.completion(sent%len(w.d.InstanceProcesses), model, fmt.Sprintf("leave %d", sent), 2).outcome())
 				time.Sleep(30 * time.Millisecond)
 			}
 			if len(w.engineRecords()[0].Requests) == 0 {
@@ -170,7 +170,7 @@
 func (w *world) leavingEngineJSON(number int) string {
 	return fmt.Sprintf(`{"Kind":"Upstream","Name":"%s","Address":"%s","DataCentre":"kingston","BaseModel":"base",`+
 		`"Slots":%d,"Batch":%d,"ChecksFencing":true,"Leaving":true}`,
-		w.d.EngineOf[number].Name, w.engineProxy(number).address(), w.d.EngineSlots, w.d.EngineBatch)
+		w.d.EngineProcesses[number].Name, w.engineProxy(number).address(), w.d.EngineSlots, w.d.EngineBatch)
 }
 
 // lastRequestStart returns when an engine started its last request whose prompt has the prefix, or since if there is none.
--- a/internal/proof/integration/world_test.go
+++ b/internal/proof/integration/world_test.go
@@ -113,7 +113,7 @@
 		// budget sets its own.
 		WeightArguments: append([]string{"-loads=20", "-burst=40"}, o.weightArguments...),
 		CheckFencing:    func(int) bool { return !o.ignoreFencing },
-		Through:         w.routeThroughProxy,
+		ProxyAddress:    w.routeThroughProxy,
 		ExtraSettings:   o.extraSettings,
 	}
 	t.Cleanup(w.stop)
@@ -135,7 +135,7 @@
 	if !w.t.Failed() {
 		return
 	}
-	for _, process := range w.d.InstanceOf {
+	for _, process := range w.d.InstanceProcesses {
 		w.t.Logf("last output of %s:\n%s", process.Name, process.Tail())
 	}
 }
@@ -242,12 +242,12 @@
 // engineFaults injects faults into an engine. serviceFaults and storeFaults do so for the service and the store.
 func (w *world) engineFaults(number int, faults engine.Faults) {
 	w.t.Helper()
-	w.requireNoError(w.d.Control(w.ctx, w.d.EngineOf[number], "faults", faults))
+	w.requireNoError(w.d.Control(w.ctx, w.d.EngineProcesses[number], "faults", faults))
 }
 
 func (w *world) serviceFaults(faults service.Faults) {
 	w.t.Helper()
-	w.requireNoError(w.d.Control(w.ctx, w.d.ServiceOf[0], "faults", faults))
+	w.requireNoError(w.d.Control(w.ctx, w.d.ServiceProcesses[0], "faults", faults))
 }
 
 func (w *world) storeFaults(faults any) {
@@ -258,8 +258,8 @@
 // engineRecords reads the records of the engines from their files, which remain after the engines end.
 func (w *world) engineRecords() []engine.Record {
 	w.t.Helper()
-	records := make([]engine.Record, 0, len(w.d.EngineOf))
-	for _, process := range w.d.EngineOf {
+	records := make([]engine.Record, 0, len(w.d.EngineProcesses))
+	for _, process := range w.d.EngineProcesses {
 		record, err := engine.ReadRecord(w.d.RecordPath(process.Name))
 		w.requireNoError(err)
 		records = append(records, record)
@@ -293,7 +293,7 @@
 func (w *world) executedBookings(key string) []service.Call {
 	w.t.Helper()
 	var record service.Record
-	w.requireNoError(w.d.Record(w.ctx, w.d.ServiceOf[0], &record))
+	w.requireNoError(w.d.Record(w.ctx, w.d.ServiceProcesses[0], &record))
 	var found []service.Call
 	for _, call := range record.Calls {
 		if call.IdempotencyKey == key && call.Ran() {
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -34,17 +34,17 @@
 	EngineArguments []string
 	// CheckFencing tells whether the engine of a number (from 0) checks fencing; nil: all do.
 	CheckFencing func(number int) bool
-	Through      func(client, name, address string) string
+	ProxyAddress func(client, name, address string) string
 	// ExtraSettings is added to the settings file of each instance.
 	ExtraSettings string
 
-	Store     *Process
-	List      *Process
-	Weights   *Process
-	EngineOf  []*Process
-	ServiceOf []*Process
-	// InstanceOf are the entry instances.
-	InstanceOf []*Process
+	Store            *Process
+	List             *Process
+	Weights          *Process
+	EngineProcesses  []*Process
+	ServiceProcesses []*Process
+	// InstanceProcesses are the entry instances.
+	InstanceProcesses []*Process
 
 	OperatorToken string
 	// OnStart, if not nil, is called with each process that was started.
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	if err := d.TellList(ctx); err != nil {
+	if err := d.UpdateList(ctx); err != nil {
 		return err
 	}
 	if d.Instances == 0 || d.Template == "" {
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		d.EngineOf = append(d.EngineOf, started)
+		d.EngineProcesses = append(d.EngineProcesses, started)
 	}
 	for number := range d.Services {
 		name := fmt.Sprintf("service-%d", number+1)
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		d.ServiceOf = append(d.ServiceOf, started)
+		d.ServiceProcesses = append(d.ServiceProcesses, started)
 	}
 	return nil
 }
@@ -179,10 +179,10 @@
 // through is the address of a process as a client is told it.
 func (d *Deployment) through(client string, process *Process, announced string) string {
 	address := process.Announced(announced)
-	if d.Through == nil {
+	if d.ProxyAddress == nil {
 		return address
 	}
-	return d.Through(client, process.Name, address)
+	return d.ProxyAddress(client, process.Name, address)
 }
 
 // -----------------------------------------------------------------------------------------------
@@ -195,21 +195,21 @@
 			systems = append(systems, process)
 		}
 	}
-	systems = append(systems, d.EngineOf...)
-	return append(systems, d.ServiceOf...)
+	systems = append(systems, d.EngineProcesses...)
+	return append(systems, d.ServiceProcesses...)
 }
 
 // KillAll ends every process at once.
 func (d *Deployment) KillAll() {
-	for _, process := range append(d.InstanceOf, d.Systems()...) {
-		_ = process.Wake()
+	for _, process := range append(d.InstanceProcesses, d.Systems()...) {
+		_ = process.Unfreeze()
 		_ = process.Kill()
 	}
 }
 
 // Stop stops the instances as planned and then the outside systems.
 func (d *Deployment) Stop(ctx context.Context) (err error) {
-	for _, process := range append(d.InstanceOf, d.Systems()...) {
+	for _, process := range append(d.InstanceProcesses, d.Systems()...) {
 		if failure := process.Stop(ctx); failure != nil {
 			err = errors.WithMessage(failure, "stop deployment")
 		}
--- a/internal/standin/deployment/deployment_test.go
+++ b/internal/standin/deployment/deployment_test.go
@@ -41,8 +41,8 @@
 	}
 	d := &Deployment{
 		EngineSlots: 4, EngineBatch: 8,
-		EngineOf:  []*Process{announcing("engine-1", "127.0.0.1:1"), announcing("engine-2", "127.0.0.1:2")},
-		ServiceOf: []*Process{announcing("service-1", "127.0.0.1:3"), announcing("service-2", "127.0.0.1:4")},
+		EngineProcesses:  []*Process{announcing("engine-1", "127.0.0.1:1"), announcing("engine-2", "127.0.0.1:2")},
+		ServiceProcesses: []*Process{announcing("service-1", "127.0.0.1:3"), announcing("service-2", "127.0.0.1:4")},
 	}
 	text, err := d.Render(filepath.Join("..", "..", "..", "examples", "cooperatives.json.tmpl"))
 	is.NoErr(err)
@@ -51,7 +51,7 @@
 	accepted, err := (configuration.Configuration{}).Apply(change, 1)
 	is.NoErr(err)
 	is.Equal(len(accepted.Upstreams()), 2)
-	service, found := accepted.Service(ServiceOne)
+	service, found := accepted.Service(BookingService)
 	is.True(found)
 	is.Equal(service.Addresses, []string{"127.0.0.1:3", "127.0.0.1:4"})
 	for _, workspace := range []string{WorkspaceA, WorkspaceB} {
@@ -70,7 +70,7 @@
 // which must not be ended.
 func TestDownEndsOnlyItsOwn(t *testing.T) {
 	is := is.New(t)
-	ledger := Ledger{Directory: t.TempDir()}
+	ledger := ProcessFile{Directory: t.TempDir()}
 	own := exec.Command("sleep", "600")
 	other := exec.Command("sleep", "601")
 	is.NoErr(own.Start())
@@ -87,11 +87,11 @@
 	is.NoErr(err)
 	is.Equal(len(running), 2)
 
-	reused := Started{Name: "other", Pid: other.Process.Pid, CommandLine: "sleep 700"}
+	reused := StartedProcess{Name: "other", Pid: other.Process.Pid, CommandLine: "sleep 700"}
 	is.True(!reused.alive())
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	is.Equal(len(stopAll(ctx, []Started{running[0], reused})), 0)
+	is.Equal(len(stopAll(ctx, []StartedProcess{running[0], reused})), 0)
 	<-ended
 	is.True(running[1].alive())
 }
--- a/internal/standin/deployment/environment.go
+++ b/internal/standin/deployment/environment.go
@@ -19,11 +19,11 @@
 
 // Names in the example configuration that the environment and the demo use.
 const (
-	WorkspaceA = "kingston-crews"
-	WorkspaceB = "attica-grounds"
-	AdapterA   = "bid-estimates"
-	AdapterB   = "feeding-plans"
-	ServiceOne = "bookings"
+	WorkspaceA     = "kingston-crews"
+	WorkspaceB     = "attica-grounds"
+	AdapterA       = "bid-estimates"
+	AdapterB       = "feeding-plans"
+	BookingService = "bookings"
 )
 
 // Environment is what a trial needs to know of a running deployment.
@@ -40,13 +40,13 @@
 	line := func(name string, values ...string) {
 		fmt.Fprintf(&lines, "%s=%s\n", name, quote(strings.Join(values, " ")))
 	}
-	line("Instances", announced(d.InstanceOf, "CallerAddress")...)
-	line("Operators", announced(d.InstanceOf, "OperatorAddress")...)
-	line("Peers", announced(d.InstanceOf, "PeerAddress")...)
-	line("Engines", announced(d.EngineOf, "ControlAddress")...)
-	line("EngineAddresses", announced(d.EngineOf, "Address")...)
-	line("Services", announced(d.ServiceOf, "ControlAddress")...)
-	line("ServiceAddresses", announced(d.ServiceOf, "Address")...)
+	line("Instances", announced(d.InstanceProcesses, "CallerAddress")...)
+	line("Operators", announced(d.InstanceProcesses, "OperatorAddress")...)
+	line("Peers", announced(d.InstanceProcesses, "PeerAddress")...)
+	line("Engines", announced(d.EngineProcesses, "ControlAddress")...)
+	line("EngineAddresses", announced(d.EngineProcesses, "Address")...)
+	line("Services", announced(d.ServiceProcesses, "ControlAddress")...)
+	line("ServiceAddresses", announced(d.ServiceProcesses, "Address")...)
 	line("Store", d.Store.Announced("ControlAddress"))
 	line("StoreAddress", d.Store.Announced("Address"))
 	line("List", d.List.Announced("ControlAddress"))
@@ -60,9 +60,9 @@
 	line("WorkspaceB", WorkspaceB)
 	line("AdapterA", AdapterA)
 	line("AdapterB", AdapterB)
-	line("InstancePids", pids(d.InstanceOf)...)
-	line("EnginePids", pids(d.EngineOf)...)
-	line("ServicePids", pids(d.ServiceOf)...)
+	line("InstancePids", pids(d.InstanceProcesses)...)
+	line("EnginePids", pids(d.EngineProcesses)...)
+	line("ServicePids", pids(d.ServiceProcesses)...)
 	line("StorePid", pids([]*Process{d.Store})...)
 	line("ListPid", pids([]*Process{d.List})...)
 	line("WeightsPid", pids([]*Process{d.Weights})...)
@@ -100,30 +100,30 @@
 
 // -----------------------------------------------------------------------------------------------
 
-// Started is one line of the file of processes. CommandLine is how the process is known again: a
+// StartedProcess is one line of the file of processes. CommandLine is how the process is known again: a
 // process id may belong to another's process by the time that "down" runs.
-type Started struct {
+type StartedProcess struct {
 	Name        string
 	Pid         int
 	CommandLine string
 }
 
-// Ledger notes started processes in a file.
-type Ledger struct {
+// ProcessFile notes started processes in a file.
+type ProcessFile struct {
 	Directory string
 }
 
-func (l Ledger) path() string { return filepath.Join(l.Directory, "processes.jsonl") }
+func (l ProcessFile) path() string { return filepath.Join(l.Directory, "processes.jsonl") }
 
 // Add notes a process.
-func (l Ledger) Add(process *Process) (err error) {
+func (l ProcessFile) Add(process *Process) (err error) {
 	defer func() { err = errors.WithMessage(err, "note process") }()
 	file, err := os.OpenFile(l.path(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = file.Close() }()
-	return json.NewEncoder(file).Encode(Started{
+	return json.NewEncoder(file).Encode(StartedProcess{
 		Name:        process.Name,
 		Pid:         process.Pid(),
 		CommandLine: commandLine(process.Pid()),
@@ -131,7 +131,7 @@
 }
 
 // Running lists the noted processes that are still there and still the same.
-func (l Ledger) Running() (running []Started, err error) {
+func (l ProcessFile) Running() (running []StartedProcess, err error) {
 	defer func() { err = errors.WithMessage(err, "read processes") }()
 	file, err := os.Open(l.path())
 	if os.IsNotExist(err) {
@@ -143,7 +143,7 @@
 	defer func() { _ = file.Close() }()
 	decoder := json.NewDecoder(file)
 	for decoder.More() {
-		var noted Started
+		var noted StartedProcess
 		if err := decoder.Decode(&noted); err != nil {
 			return nil, err
 		}
@@ -155,7 +155,7 @@
 }
 
 // alive tells whether the process id still belongs to the process that was noted.
-func (s Started) alive() bool {
+func (s StartedProcess) alive() bool {
 	return s.Pid > 0 && s.CommandLine != "" && commandLine(s.Pid) == s.CommandLine
 }
 
@@ -169,7 +169,7 @@
 }
 
 // Clear forgets the processes.
-func (l Ledger) Clear() error {
+func (l ProcessFile) Clear() error {
 	err := os.Remove(l.path())
 	if os.IsNotExist(err) {
 		return nil
@@ -177,17 +177,17 @@
 	return err
 }
 
-// StopLimit is how long "down" lets instances finish what they run.
-const StopLimit = 30 * time.Second
+// StopTimeout is how long "down" lets instances finish what they run.
+const StopTimeout = 30 * time.Second
 
 // Down stops the noted processes, instances first so that they can end their requests, and forgets
 // them. What does not stop within the limit is killed and named in the error.
-func (l Ledger) Down(ctx context.Context) (err error) {
+func (l ProcessFile) Down(ctx context.Context) (err error) {
 	running, err := l.Running()
 	if err != nil {
 		return err
 	}
-	var instances, systems []Started
+	var instances, systems []StartedProcess
 	for _, noted := range running {
 		if strings.HasPrefix(noted.Name, "instance-") {
 			instances = append(instances, noted)
@@ -206,8 +206,8 @@
 }
 
 // stopAll asks processes to stop, waits, kills those that did not and returns their names.
-func stopAll(ctx context.Context, processes []Started) (forced []string) {
-	limit, cancel := context.WithTimeout(ctx, StopLimit)
+func stopAll(ctx context.Context, processes []StartedProcess) (forced []string) {
+	limit, cancel := context.WithTimeout(ctx, StopTimeout)
 	defer cancel()
 	for _, process := range processes {
 		process.signal(syscall.SIGCONT)
@@ -222,13 +222,13 @@
 	return forced
 }
 
-func (s Started) signal(signal syscall.Signal) {
+func (s StartedProcess) signal(signal syscall.Signal) {
 	if s.alive() {
 		_ = syscall.Kill(s.Pid, signal)
 	}
 }
 
-func (s Started) awaitEnd(ctx context.Context) bool {
+func (s StartedProcess) awaitEnd(ctx context.Context) bool {
 	for s.alive() {
 		select {
 		case <-ctx.Done():
--- a/internal/standin/deployment/instance.go
+++ b/internal/standin/deployment/instance.go
@@ -61,7 +61,7 @@
 	if err := process.Start(ctx); err != nil {
 		return err
 	}
-	d.InstanceOf = append(d.InstanceOf, process)
+	d.InstanceProcesses = append(d.InstanceProcesses, process)
 	d.started(process)
 	return nil
 }
@@ -108,14 +108,14 @@
 			})
 		}
 	}
-	add("instance", "PeerAddress", d.InstanceOf)
-	add("engine", "Address", d.EngineOf)
-	add("service", "Address", d.ServiceOf)
+	add("instance", "PeerAddress", d.InstanceProcesses)
+	add("engine", "Address", d.EngineProcesses)
+	add("service", "Address", d.ServiceProcesses)
 	return members
 }
 
-// TellList sets the members of the instance list.
-func (d *Deployment) TellList(ctx context.Context) error {
+// UpdateList sets the members of the instance list.
+func (d *Deployment) UpdateList(ctx context.Context) error {
 	return d.Control(ctx, d.List, "members", d.Members())
 }
 
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	var data templateData
-	for number, process := range d.EngineOf {
+	for number, process := range d.EngineProcesses {
 		data.Engines = append(data.Engines, templateEngine{
 			Name:          process.Name,
 			Address:       d.through("", process, "Address"),
@@ -196,7 +196,7 @@
 			ChecksFencing: d.ChecksFencing(number),
 		})
 	}
-	for _, process := range d.ServiceOf {
+	for _, process := range d.ServiceProcesses {
 		data.Services = append(data.Services, d.through("", process, "Address"))
 	}
 	var rendered bytes.Buffer
@@ -245,7 +245,7 @@
 	limit, cancel := context.WithTimeout(ctx, controlLimit)
 	defer cancel()
 	all := []string{
-		"-server", "http://" + d.InstanceOf[instance].Announced("OperatorAddress"),
+		"-server", "http://" + d.InstanceProcesses[instance].Announced("OperatorAddress"),
 		"-token", d.OperatorToken,
 	}
 	command := exec.CommandContext(limit, filepath.Join(d.Binaries, "lacewingctl"), append(all, arguments...)...)
@@ -261,7 +261,7 @@
 // AwaitKeys waits until every instance accepts the keys: a grant takes a moment to be in force
 // everywhere, and a trial that begins before would see refusals that mean nothing.
 func (d *Deployment) AwaitKeys(ctx context.Context, keys ...string) error {
-	for _, process := range d.InstanceOf {
+	for _, process := range d.InstanceProcesses {
 		for _, key := range keys {
 			url := "http://" + process.Announced("CallerAddress") + "/v1/models"
 			err := d.Retry(ctx, func() error { return accepted(ctx, url, key) })
