--- a/internal/standin/deployment/process.go
+++ b/internal/standin/deployment/process.go
@@ -254,8 +254,8 @@
 	return errors.Errorf("%s: does not stand still", p.Name)
 }
 
-// Wake lets a frozen process go on.
-func (p *Process) Wake() error { return p.Signal(syscall.SIGCONT) }
+// Unfreeze lets a frozen process go on.
+func (p *Process) Unfreeze() error { return p.Signal(syscall.SIGCONT) }
 
 // Stop asks the process to stop and waits until it has, or fails when ctx ends first.
 func (p *Process) Stop(ctx context.Context) error {
--- a/internal/standin/deployment/stopped_test.go
+++ b/internal/standin/deployment/stopped_test.go
@@ -22,7 +22,7 @@
 			stopped, err := hasStopped(command.Process.Pid)
 			is.NoErr(err)
 			is.True(stopped)
-			is.NoErr(p.Wake())
+			is.NoErr(p.Unfreeze())
 			is.NoErr(command.Process.Signal(syscall.SIGKILL))
 			_ = command.Wait()
 		})
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -105,7 +105,7 @@
 		}
 		return nil, orderResident
 	}
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.LieAboutLoads) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.LieAboutLoads) }) {
 		return nil, orderLied
 	}
 	if len(s.resident) >= s.Slots {
@@ -149,7 +149,7 @@
 
 // fetch reads the weights.
 func (s *Server) fetch(ordered order) string {
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.FailLoads) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.FailLoads) }) {
 		return orderFailed
 	}
 	if s.WeightsAddress == "" {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -101,9 +101,9 @@
 	defer stop()
 	go s.loop(ended)
 	control := &fault.Control[Faults]{
-		Faults:  &s.faults,
-		Record:  func() any { return s.Record() },
-		Applied: s.apply,
+		Faults:   &s.faults,
+		Record:   func() any { return s.Record() },
+		OnChange: s.apply,
 	}
 	return s.Serve(ctx, s.routes(), control.Routes())
 }
--- a/internal/standin/fault/control.go
+++ b/internal/standin/fault/control.go
@@ -15,9 +15,9 @@
 // it changes; an unknown name is refused, so that a misspelt fault does not pass for a set one.
 // Applied, if not nil, is called with the faults after each change.
 type Control[T any] struct {
-	Faults  *Setting[T]
-	Record  func() any
-	Applied func(T)
+	Faults   *Setting[T]
+	Record   func() any
+	OnChange func(T)
 }
 
 // Routes returns the control routes, to which a stand-in may add its own.
@@ -47,8 +47,8 @@
 		return call.String(http.StatusBadRequest, failure.Error()+"\n")
 	}
 	faults := c.Faults.Get()
-	if c.Applied != nil {
-		c.Applied(faults)
+	if c.OnChange != nil {
+		c.OnChange(faults)
 	}
 	return call.JSON(http.StatusOK, faults)
 }
--- a/internal/standin/fault/setting.go
+++ b/internal/standin/fault/setting.go
@@ -34,8 +34,8 @@
 	return change(&s.value)
 }
 
-// Spend takes one from a counted fault and reports whether there was one to take.
-func Spend(count *int) bool {
+// TakeOne takes one from a counted fault and reports whether there was one to take.
+func TakeOne(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
--- a/internal/standin/kv/routes.go
+++ b/internal/standin/kv/routes.go
@@ -85,7 +85,7 @@
 
 // loses reports whether the answer to this write is to be lost.
 func (s *Server) loses() bool {
-	return s.faults.Update(func(faults *Faults) bool { return fault.Spend(&faults.LoseAnswers) })
+	return s.faults.Update(func(faults *Faults) bool { return fault.TakeOne(&faults.LoseAnswers) })
 }
 
 // -----------------------------------------------------------------------------------------------
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -100,9 +100,9 @@
 	work := fault.NewRouter()
 	work.Any("/*", s.serve)
 	control := &fault.Control[Faults]{
-		Faults:  &s.faults,
-		Record:  func() any { return s.Record() },
-		Applied: s.apply,
+		Faults:   &s.faults,
+		Record:   func() any { return s.Record() },
+		OnChange: s.apply,
 	}
 	return s.Serve(ctx, work, control.Routes())
 }
@@ -151,7 +151,7 @@
 	if err != nil {
 		return c.String(http.StatusBadRequest, "body: not whole\n")
 	}
-	cutFirst := s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeRun) })
+	cutFirst := s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.CutBeforeRun) })
 	call := s.begin(c.Request(), body, cutFirst)
 	if cutFirst {
 		fault.Cut(c.Response().Writer)
@@ -159,7 +159,7 @@
 	}
 	faults := s.faults.Get()
 	time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.CutBeforeAnswer) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.CutBeforeAnswer) }) {
 		s.end(call, OutcomeCut)
 		fault.Cut(c.Response().Writer)
 		return nil
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -119,7 +119,7 @@
 		s.end(load, "left")
 		return nil
 	}
-	if s.faults.Update(func(f *Faults) bool { return fault.Spend(&f.Fail) }) {
+	if s.faults.Update(func(f *Faults) bool { return fault.TakeOne(&f.Fail) }) {
 		s.end(load, "failed")
 		return c.NoContent(http.StatusInternalServerError)
 	}
