--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -293,8 +293,8 @@
 const minRetryAfter = 50 * time.Millisecond
 
 // maxStagger bounds how far retries are staggered beyond the end of the debt. A generation should begin within a
-// second of its caller's first attempt; a later retry misses that whatever happens to it. At several times the rate
-// the schedule would otherwise grow to seconds, and the tokens would go to requests that are already late.
+// second of its caller's first attempt; a later retry is late in any case. At several times the rate the schedule
+// would otherwise grow to seconds, and the tokens would go to requests that are already late.
 const maxStagger = 600 * time.Millisecond
 
 // scheduleRetry returns when a refused request should retry: once the debt is paid and the requests refused before
--- a/internal/caller/api/server.go
+++ b/internal/caller/api/server.go
@@ -24,7 +24,7 @@
 	// Limits on the size and the time of a request's headers, and on the time of its body.
 	MaxHeaderBytes             int
 	HeaderTimeout, BodyTimeout time.Duration
-	// WriteTimeout is the write timeout for each part of an answer.
+	// WriteTimeout is how long a caller may take to accept the next part of its answer.
 	WriteTimeout time.Duration
 	// IdleTimeout is how long a connection is kept open between requests.
 	IdleTimeout time.Duration
@@ -53,8 +53,8 @@
 	}
 }
 
-// Server serves the callers' API. Listener and Pipeline are set before Run. The zero Limits mean DefaultLimits. The
-// optional callback is called after each request. ErrorLog receives the connection errors of net/http, which may
+// Server serves the callers' API. Listener and Pipeline are set before Run. The zero Limits mean DefaultLimits.
+// OnRequestDone, if set, is called after each request. ErrorLog receives the connection errors of net/http, which may
 // contain callers' addresses but no keys.
 type Server struct {
 	Listener      net.Listener
--- a/internal/caller/completion/parse.go
+++ b/internal/caller/completion/parse.go
@@ -12,7 +12,7 @@
 	"lacewingrock.example/lacewingrock/internal/caller/refusal"
 )
 
-// LowestPriority is the least urgent priority; 0 is the limit urgent.
+// LowestPriority is the least urgent priority; 0 is the most urgent.
 const LowestPriority = 9
 
 // defaultPriority applies to requests without a priority.
--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -283,8 +283,8 @@
 	eventually(t, 4*time.Second, "the upstream is removed", func() bool { return member.status("/p/") == 503 })
 }
 
-// Guards against a SIGHUP, which signals a changed settings file, that ends the process and cuts all its requests, as
-// its default action does. Settings that cannot be read must not end the process either.
+// The platform sends SIGHUP when the settings file has changed. The signal's default action would end the process and
+// cut all its requests. Settings that cannot be read must not end the process either.
 func TestHangupReloads(t *testing.T) {
 	s := newStore()
 	s.put(keyConfiguration, configuration(1, "/p/"))
--- a/internal/entry/node/link_end.go
+++ b/internal/entry/node/link_end.go
@@ -173,7 +173,7 @@
 	n.view.mutex.Lock()
 	revision := n.view.replica.Revision()
 	if message.UrgentRevision <= revision && !confirmed.IsZero() {
-		n.confirm(confirmed) // valid whatever non-urgent changes are missing
+		n.confirm(confirmed) // also valid while non-urgent changes are missing
 	}
 	n.view.mutex.Unlock()
 	due := message.UrgentRevision > revision || message.Revision > revision && n.overlay.isFetchDue(time.Now())
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -161,8 +161,8 @@
 }
 
 // isLinkMissing reports whether there has been no link with an instance for some time. The overlay is locked. It does
-// not matter whether messages of the instance arrive through others: the records that it relays arrive only over a link
-// of its own.
+// not matter whether messages of the instance arrive through others: the records that it relays reach this instance
+// only over a direct link between the two.
 func (o *overlay) isLinkMissing(now time.Time, name string) bool {
 	if o.linkCounts[name] > 0 {
 		delete(o.missingSince, name)
--- a/internal/entry/node/outage_test.go
+++ b/internal/entry/node/outage_test.go
@@ -59,7 +59,7 @@
 
 func (keysAsUpstreams) UpstreamID(key string) (id string, ok bool) { return key, true }
 
-// Guards against the retry load in an outage of the store on which all instances of a large fleet retry. If each
+// Guards against too many calls while the store is unreachable and all instances of a large fleet retry. If each
 // retried as often as in a small fleet, the store would come back to hundreds of calls a second, and each of them is
 // billed.
 func TestFailureBackoffGrowsWithFleetSize(t *testing.T) {
--- a/internal/placement/forecast/engine.go
+++ b/internal/placement/forecast/engine.go
@@ -143,7 +143,8 @@
 }
 
 // priorWeights hold the terms at their initial values until answers show otherwise, such as the base while all
-// prompts are long. They are multiples of the weight of one short answer.
+// prompts are long. They are on the scale of the answers' weights, where one short answer has a weight of up to 100
+// (see errorScaleFloor).
 var priorWeights = [terms]float64{10, 5, 5, 20}
 
 func (e *Engine) coefficients() [terms]float64 {
--- a/internal/placement/forecast/forecast.go
+++ b/internal/placement/forecast/forecast.go
@@ -1,6 +1,6 @@
-// Package forecast predicts how long the upstreams of a service take, from the answers that this instance has
-// measured. Nothing about an engine, a service or a weight store is configured. The initial values have the weight of
-// a few answers at most, and some tens of answers replace them.
+// Package forecast predicts how long the upstreams of a service take, from the answers that this instance has measured.
+// Nothing about an engine, a service or a weight store is configured. The initial values count about as little as a
+// single short answer, and some tens of answers outweigh them.
 //
 // The caller supplies the load that each request found at its upstream. The package uses no sockets and no clock.
 package forecast
--- a/internal/placement/forecast/forecast_test.go
+++ b/internal/placement/forecast/forecast_test.go
@@ -44,7 +44,7 @@
 // answersPerSecond is the number of answers a second that an instance of a small fleet sees.
 const answersPerSecond = 7
 
-// observe feeds answers of an engine into the forecast, with 10% jitter and one outlier in twenty.
+// observe feeds answers of an engine into the forecast, with 10% jitter and one answer in twenty far too late.
 func observe(e *forecast.Engine, t actualEngine, random *rand.Rand, answers int) {
 	for range answers {
 		tokens, backlog := randomRequest(random)
--- a/internal/placement/holder/residency.go
+++ b/internal/placement/holder/residency.go
@@ -27,7 +27,8 @@
 
 // residentVersion is a loaded version; it takes one adapter slot. since is when the load became known, usedAt the last
 // use, and protectedUntil the time until which the upstream is assumed to run a request on it that has no pin.
-// orphaned is true from the first report that lists the version until a report shows it without running requests.
+// orphaned is true from the first report that lists the version, if that report shows it with running requests, until a
+// report shows it without.
 type residentVersion struct {
 	since          time.Time
 	usedAt         time.Time
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -33,15 +33,15 @@
 // This is load shedding. If each request is sent to an engine whatever waits there, the queues grow, and soon all
 // requests are answered late, or after their callers are gone, although the engines are busy all the time. If
 // requests that would be late because of the queue are refused, the queue stays as long as it may be for new
-// requests to be on time, and the engines are as busy. A short burst is served, in part late: no later request
-// would be late because of it, and a late answer is better than none. Requests that are late by themselves, such as
-// the longest prompts, are served while the queue is short; otherwise they would never be served.
+// requests to be on time, and the engines stay just as busy. A short burst is served, in part late: no later
+// request would be late because of it, and a late answer is better than none. Requests that are late by themselves,
+// such as the longest prompts, are served while the queue is short; otherwise they would never be served.
 func (p *Pool) Refuse(
 	now time.Time, query Query, choice Choice, budget TimeBudget,
 ) (retryAfter time.Duration, refused bool) {
 	eta := choice.Expected + choice.SlotWait
 	queued := choice.Expected - choice.ExpectedIdle
-	hopeless := eta > budget.Remaining
+	pastDeadline := eta > budget.Remaining
 	maxQueued := scale(maxQueueFraction, budget.Objective)
 	if choice.ExpectedIdle > budget.OnTime-maxQueued {
 		maxQueued = budget.Objective
@@ -49,7 +49,7 @@
 	late := budget.Objective > 0 && eta > budget.OnTime && queued > maxQueued
 	short := queued <= scale(shortQueueFraction, budget.Objective)
 	standing := p.statsOf(query.Service).recordQueue(now, late, short) > budget.Objective
-	if !hopeless && !(late && standing) {
+	if !pastDeadline && !(late && standing) {
 		return 0, false
 	}
 	wait := queued + choice.SlotWait - scale(shortQueueFraction, budget.Objective)
@@ -58,7 +58,8 @@
 
 // recordQueue records whether a request is late because of the queue, and returns how long the queue has been
 // standing: the time since the first late request after which none has found a short queue. A request that finds a
-// short queue shows that the service is not full; at most those of its upstreams are that have some adapter.
+// short queue shows that the service as a whole is not full; at most the upstreams that have one particular adapter
+// are.
 func (s *serviceStats) recordQueue(now time.Time, late, short bool) time.Duration {
 	switch {
 	case short:
--- a/internal/placement/pool/pool_test.go
+++ b/internal/placement/pool/pool_test.go
@@ -396,7 +396,7 @@
 
 // The holder returns the load of the other instances to the instance that asks, which counts its own requests
 // itself.
-func TestBesideExcludesTheAsker(t *testing.T) {
+func TestTotalExcludingLeavesOutTheAsker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool("e1")
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -142,7 +142,7 @@
 	return true
 }
 
-// maxSample limits one sample, so that a single stall does not make an upstream countResult as unusable.
+// maxSample limits one sample, so that a single stall does not make an upstream count as unusable.
 const maxSample = 20
 
 // RecordPause records whether a stream that has ended paused for too long.
@@ -215,7 +215,7 @@
 // soon as the adapter is loaded, until Done.
 //
 // It is needed for popular adapters. All requests that wait for one are sent at the moment when it is loaded.
-// Without the countResult the engine looks idle to each of them, and to those that choose it meanwhile.
+// Without this count the engine would look idle to each of them, and to requests that choose it meanwhile.
 func (p *Pool) Prepare(id string, tokens int) Preparation {
 	u := p.upstreams[id]
 	if u != nil {
@@ -298,8 +298,8 @@
 	u.counted = now
 }
 
-// failureRate is the fraction of requests that fail, from 0 to 1. priorSuccesses keeps one failure from making an
-// upstream countResult as always failureRate.
+// failureRate is the fraction of requests that fail, from 0 to 1. The prior of priorSuccesses keeps a single failure
+// from making an upstream count as one that always fails.
 func (u *upstream) failureRate(now time.Time) float64 {
 	u.decay(now)
 	return u.failures / (u.failures + u.successes + priorSuccesses)
--- a/internal/placement/route/ring.go
+++ b/internal/placement/route/ring.go
@@ -10,7 +10,7 @@
 )
 
 // ring.go assigns each adapter version a home among the upstreams of a base model, the same at every instance. It uses
-// consistent hashing with several points per upstream. Plain rendezvous hashing was considered: its cost grows with the
+// consistent hashing with many points per upstream. Plain rendezvous hashing was considered: its cost grows with the
 // number of upstreams, while the search on the ring grows with its logarithm.
 
 // pointsPerUpstream is the number of points of one upstream. With 64 points the shares of the upstreams differ by
--- a/internal/placement/route/router_test.go
+++ b/internal/placement/route/router_test.go
@@ -170,7 +170,8 @@
 	})
 }
 
-// No new request goes to an upstream that is leaving, that its holder reports unhealthy, or that was retried before.
+// No request goes to an upstream that is leaving, that its holder reports unhealthy, or that the same request has
+// already tried.
 func TestUnavailableUpstreamsGetNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/turn/queue_test.go
+++ b/internal/placement/turn/queue_test.go
@@ -19,25 +19,25 @@
 }
 
 // enqueue adds prompts to a queue, one a millisecond.
-func enqueue(l *turn.Queue, prompts ...*turn.Prompt) []*turn.Prompt {
-	for _, one := range prompts {
-		l.Enqueue(time.Now(), one)
+func enqueue(q *turn.Queue, prompts ...*turn.Prompt) []*turn.Prompt {
+	for _, p := range prompts {
+		q.Enqueue(time.Now(), p)
 		time.Sleep(ms)
 	}
 	return prompts
 }
 
 // dispatchAll dispatches all queued prompts and returns the time at which each was dispatched.
-func dispatchAll(l *turn.Queue, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
+func dispatchAll(q *turn.Queue, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
 	start := time.Now()
 	dispatched := make(map[*turn.Prompt]time.Duration)
 	for len(dispatched) < len(prompts) {
-		for _, one := range prompts {
-			if _, done := dispatched[one]; done {
+		for _, p := range prompts {
+			if _, done := dispatched[p]; done {
 				continue
 			}
-			if _, ok := l.TryDispatch(time.Now(), one, streams); ok {
-				dispatched[one] = time.Since(start)
+			if _, ok := q.TryDispatch(time.Now(), p, streams); ok {
+				dispatched[p] = time.Since(start)
 			}
 		}
 		time.Sleep(ms)
@@ -51,16 +51,16 @@
 func TestBurstOfLongPromptsLeavesTimeForStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
-		prompts := enqueue(&l, prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second),
+		var q turn.Queue
+		prompts := enqueue(&q, prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second),
 			prompt(300*ms, 1, time.Second), prompt(300*ms, 1, time.Second))
-		is.Equal(l.QueuedTokens(), 1200)
-		dispatched := dispatchAll(&l, true, prompts...)
+		is.Equal(q.QueuedTokens(), 1200)
+		dispatched := dispatchAll(&q, true, prompts...)
 		for i := 1; i < len(prompts); i++ {
 			is.True(dispatched[prompts[i]]-dispatched[prompts[i-1]] >= 320*ms) // 300 ms of prefill, and more than 20 ms for the streams
 		}
 		is.True(dispatched[prompts[3]] < 1050*ms) // the engine is almost never idle
-		is.Equal(l.QueuedTokens(), 0)
+		is.Equal(q.QueuedTokens(), 0)
 	})
 }
 
@@ -68,10 +68,10 @@
 func TestPromptsFollowDirectlyWithoutStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
+		var q turn.Queue
 		a, b := prompt(200*ms, 1, time.Second), prompt(200*ms, 1, time.Second)
-		enqueue(&l, a, b)
-		dispatched := dispatchAll(&l, false, a, b)
+		enqueue(&q, a, b)
+		dispatched := dispatchAll(&q, false, a, b)
 		is.True(dispatched[b] <= 200*ms)
 	})
 }
@@ -81,14 +81,14 @@
 func TestPromptsThatCanMeetTheirDeadlineGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
+		var q turn.Queue
 		late := prompt(300*ms, 0, -ms)
 		patient := prompt(300*ms, 2, 5*time.Second)
 		urgent := prompt(20*ms, 0, time.Second)
-		enqueue(&l, late, patient, urgent)
-		is.Equal(l.QueueingDelay(time.Now(), urgent), time.Duration(0))
-		is.Equal(l.QueueingDelay(time.Now(), late), 320*ms)
-		dispatched := dispatchAll(&l, true, late, patient, urgent)
+		enqueue(&q, late, patient, urgent)
+		is.Equal(q.QueueingDelay(time.Now(), urgent), time.Duration(0))
+		is.Equal(q.QueueingDelay(time.Now(), late), 320*ms)
+		dispatched := dispatchAll(&q, true, late, patient, urgent)
 		is.True(dispatched[urgent] < dispatched[patient])
 		is.True(dispatched[patient] < dispatched[late])
 	})
@@ -99,17 +99,17 @@
 func TestCachedPrefixReleasesTheNextPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
+		var q turn.Queue
 		cached, next := prompt(500*ms, 1, time.Second), prompt(100*ms, 1, time.Second)
-		enqueue(&l, cached, next)
-		_, dispatched := l.TryDispatch(time.Now(), cached, true)
+		enqueue(&q, cached, next)
+		_, dispatched := q.TryDispatch(time.Now(), cached, true)
 		is.True(dispatched)
-		l.PrefillDone(time.Now()) // its sender has not reported it yet
-		_, dispatched = l.TryDispatch(time.Now(), next, true)
+		q.PrefillDone(time.Now()) // its sender has not reported it yet
+		_, dispatched = q.TryDispatch(time.Now(), next, true)
 		is.True(!dispatched)
 		time.Sleep(80 * ms)
-		l.PrefillDone(time.Now())
-		_, dispatched = l.TryDispatch(time.Now(), next, true)
+		q.PrefillDone(time.Now())
+		_, dispatched = q.TryDispatch(time.Now(), next, true)
 		is.True(dispatched)
 	})
 }
@@ -119,11 +119,11 @@
 func TestRemovedPromptDoesNotBlockTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
+		var q turn.Queue
 		cancelled, next := prompt(300*ms, 0, time.Second), prompt(300*ms, 1, time.Second)
-		enqueue(&l, cancelled, next)
-		l.Remove(cancelled)
-		_, dispatched := l.TryDispatch(time.Now(), next, true)
+		enqueue(&q, cancelled, next)
+		q.Remove(cancelled)
+		_, dispatched := q.TryDispatch(time.Now(), next, true)
 		is.True(dispatched)
 	})
 }
@@ -133,13 +133,13 @@
 func TestPromptThatWouldBeLateIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var l turn.Queue
-		earlier := enqueue(&l, prompt(400*ms, 1, 5*time.Second), prompt(400*ms, 1, 5*time.Second))
+		var q turn.Queue
+		earlier := enqueue(&q, prompt(400*ms, 1, 5*time.Second), prompt(400*ms, 1, 5*time.Second))
 		tight, relaxed := prompt(100*ms, 1, 600*ms), prompt(100*ms, 1, 5*time.Second)
-		enqueue(&l, tight, relaxed)
-		is.True(l.ShouldReject(time.Now(), tight))
-		is.True(!l.ShouldReject(time.Now(), relaxed))
-		l.Remove(earlier[0])
-		is.True(!l.ShouldReject(time.Now(), tight)) // a wait of 400 ms remains
+		enqueue(&q, tight, relaxed)
+		is.True(q.ShouldReject(time.Now(), tight))
+		is.True(!q.ShouldReject(time.Now(), relaxed))
+		q.Remove(earlier[0])
+		is.True(!q.ShouldReject(time.Now(), tight)) // a wait of 400 ms remains
 	})
 }
