--- a/internal/command/control/apply.go
+++ b/internal/command/control/apply.go
@@ -1,4 +1,4 @@
-// The verb apply: declares the resources of a file, all of them or none.
+// The command apply: declares the resources of a file, all of them or none.
 
 package control
 
@@ -19,10 +19,10 @@
 	wait    time.Duration
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*applyVerb) Name() string { return "apply" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*applyVerb) Synopsis() string { return "declare the resources of a file, all or none" }
 
 // Usage returns the help text.
@@ -35,14 +35,14 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *applyVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.file, "f", "", "the file, or - for standard input")
 	setWait(f, &v.wait)
 }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *applyVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
@@ -76,7 +76,7 @@
 	return os.ReadFile(v.file)
 }
 
-// setWait defines the flag -wait of a verb that makes a change.
+// setWait defines the flag -wait of a command that makes a change.
 func setWait(f *flag.FlagSet, wait *time.Duration) {
 	f.DurationVar(wait, "wait", 0, "wait up to that long until the change is in force on every instance, at most 25s")
 }
--- a/internal/command/control/control.go
+++ b/internal/command/control/control.go
@@ -1,6 +1,6 @@
-// Package control implements the verbs of lacewingctl, the operators' command-line client. Each verb has
-// a file of its own and is listed in the look-up table in this file. A verb calls one instance through the
-// operators' client package and prints a table, or JSON with -o json.
+// Package control implements the commands of lacewingctl, the operators' command-line client. Each
+// command has a file of its own and is listed in the look-up table in this file. A command calls
+// one instance through the operators' client package and prints a table, or JSON with -o json.
 package control
 
 import (
@@ -50,7 +50,8 @@
 	token  string
 }
 
-// verbs returns the look-up table of the verbs by their group; the group "" holds those without one.
+// verbs returns the look-up table of the commands by their group; the group "" holds those without
+// one.
 func (p *Program) verbs() map[string][]subcommands.Command {
 	return map[string][]subcommands.Command{
 		"": {
@@ -72,7 +73,7 @@
 	}
 }
 
-// Run executes the verb that the arguments name, and returns the exit code.
+// Run executes the command that the arguments name, and returns the exit code.
 func (p *Program) Run(ctx context.Context, arguments []string) int {
 	flags := flag.NewFlagSet("lacewingctl", flag.ContinueOnError)
 	flags.SetOutput(p.Err)
@@ -128,7 +129,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// group is a prefix of several verbs, such as key before grant and withdraw.
+// group is a prefix of several commands, such as key before grant and withdraw.
 type group struct {
 	program  *Program
 	prefix   string
@@ -139,10 +140,10 @@
 // Name returns the prefix.
 func (g *group) Name() string { return g.prefix }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (g *group) Synopsis() string { return g.synopsis }
 
-// Usage returns the help texts of the group's verbs.
+// Usage returns the help texts of the group's commands.
 func (g *group) Usage() string {
 	usage := ""
 	for _, verb := range g.verbs {
@@ -151,10 +152,10 @@
 	return usage
 }
 
-// SetFlags defines no flags; the verbs have their own.
+// SetFlags registers no flags; the commands have their own.
 func (g *group) SetFlags(*flag.FlagSet) {}
 
-// Execute executes the verb after the prefix.
+// Execute runs the command after the prefix.
 func (g *group) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	commander := g.program.newCommander(f, "lacewingctl "+g.prefix)
 	for _, verb := range g.verbs {
--- a/internal/command/control/control_test.go
+++ b/internal/command/control/control_test.go
@@ -132,8 +132,8 @@
 		{"version", "", "version -o json", 0, `"Go"`, ""},
 		{"wrong token", "", "-token wrong status", 1, "", "token is needed"},
 		{"unreachable instance", "", "-server http://127.0.0.1:1 status", 5, "", "nothing was sent"},
-		{"no verb", "", "", 2, "", "Exit codes"},
-		{"unknown verb", "", "destroy", 2, "", "Usage"},
+		{"no command", "", "", 2, "", "Exit codes"},
+		{"unknown command", "", "destroy", 2, "", "Usage"},
 		{"too few arguments", "", "get Workspace", 2, "", "KIND NAME"},
 		{"unknown format", "", "status -o xml", 2, "", "table or json"},
 	}
--- a/internal/command/control/delete.go
+++ b/internal/command/control/delete.go
@@ -1,4 +1,4 @@
-// The verb delete: removes a resource.
+// The command delete: removes a resource.
 
 package control
 
@@ -17,10 +17,10 @@
 	wait    time.Duration
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*deleteVerb) Name() string { return "delete" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*deleteVerb) Synopsis() string { return "remove a resource" }
 
 // Usage returns the help text.
@@ -31,14 +31,14 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *deleteVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.Int64Var(&v.version, "version", 0, "the ResourceVersion it was read at; 0: any")
 	setWait(f, &v.wait)
 }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *deleteVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/get.go
+++ b/internal/command/control/get.go
@@ -1,4 +1,4 @@
-// The verb get: shows one resource.
+// The command get: shows one resource.
 
 package control
 
@@ -14,10 +14,10 @@
 	output  output
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*getVerb) Name() string { return "get" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*getVerb) Synopsis() string { return "show one resource" }
 
 // Usage returns the help text.
@@ -28,10 +28,10 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *getVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *getVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/key_grant.go
+++ b/internal/command/control/key_grant.go
@@ -1,4 +1,4 @@
-// The verb key grant: creates a caller's key and shows its secret once.
+// The command key grant: creates a caller's key and shows its secret once.
 
 package control
 
@@ -19,10 +19,10 @@
 	wait      time.Duration
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*keyGrantVerb) Name() string { return "grant" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*keyGrantVerb) Synopsis() string { return "create a caller's key and show its secret once" }
 
 // Usage returns the help text.
@@ -33,7 +33,7 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *keyGrantVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.workspace, "workspace", "", "the workspace the key is for")
@@ -41,7 +41,7 @@
 	setWait(f, &v.wait)
 }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *keyGrantVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/key_withdraw.go
+++ b/internal/command/control/key_withdraw.go
@@ -1,4 +1,4 @@
-// The verb key withdraw: withdraws a caller's key, so that it is no longer accepted.
+// The command key withdraw: withdraws a caller's key, so that it is no longer accepted.
 
 package control
 
@@ -17,10 +17,10 @@
 	wait    time.Duration
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*keyWithdrawVerb) Name() string { return "withdraw" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*keyWithdrawVerb) Synopsis() string { return "withdraw a caller's key" }
 
 // Usage returns the help text.
@@ -31,14 +31,14 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *keyWithdrawVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.StringVar(&v.name, "name", "", "the key's name")
 	setWait(f, &v.wait)
 }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *keyWithdrawVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/list.go
+++ b/internal/command/control/list.go
@@ -1,4 +1,4 @@
-// The verb list: shows all resources of a kind.
+// The command list: shows all resources of a kind.
 
 package control
 
@@ -16,10 +16,10 @@
 	output  output
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*listVerb) Name() string { return "list" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*listVerb) Synopsis() string { return "show all resources of a kind" }
 
 // Usage returns the help text.
@@ -30,10 +30,10 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *listVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *listVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/outcome.go
+++ b/internal/command/control/outcome.go
@@ -1,4 +1,4 @@
-// The arguments of a verb, and the exit code and message of an error.
+// The arguments of a command, and the exit code and message of an error.
 
 package control
 
@@ -70,7 +70,8 @@
 	return exitFailed
 }
 
-// begin parses a verb's arguments, checks its output format, and returns them with the client to call.
+// begin parses a command's arguments, checks its output format, and returns them with the client to
+// call.
 func (p *Program) begin(
 	f *flag.FlagSet, o output, names ...string,
 ) (c *client.Client, values []string, err error) {
--- a/internal/command/control/output.go
+++ b/internal/command/control/output.go
@@ -20,7 +20,7 @@
 	formatJSON  = "json"
 )
 
-// output is the chosen output format, a part of every verb.
+// output is the chosen output format, a part of every command.
 type output struct {
 	format string
 }
--- a/internal/command/control/report_burn.go
+++ b/internal/command/control/report_burn.go
@@ -1,4 +1,4 @@
-// The verb report burn: shows how fast each workspace uses up its error budget.
+// The command report burn: shows how fast each workspace uses up its error budget.
 
 package control
 
@@ -17,10 +17,10 @@
 	output  output
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*reportBurnVerb) Name() string { return "burn" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*reportBurnVerb) Synopsis() string { return "show service-level burn, worst workspace first" }
 
 // Usage returns the help text.
@@ -32,10 +32,10 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *reportBurnVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *reportBurnVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/status.go
+++ b/internal/command/control/status.go
@@ -1,4 +1,4 @@
-// The verb status: shows which revision is in force on each instance, and since when.
+// The command status: shows which revision is in force on each instance, and since when.
 
 package control
 
@@ -19,10 +19,10 @@
 	output  output
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*statusVerb) Name() string { return "status" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*statusVerb) Synopsis() string { return "show which revision is in force on which instance" }
 
 // Usage returns the help text.
@@ -34,10 +34,10 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *statusVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *statusVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
--- a/internal/command/control/version.go
+++ b/internal/command/control/version.go
@@ -1,4 +1,4 @@
-// The verb version: shows the version of this build.
+// The command version: shows the version of this build.
 
 package control
 
@@ -22,10 +22,10 @@
 	Go      string
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*versionVerb) Name() string { return "version" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*versionVerb) Synopsis() string { return "show the version of this build" }
 
 // Usage returns the help text.
@@ -35,10 +35,10 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *versionVerb) SetFlags(f *flag.FlagSet) { v.output.setFlags(f) }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *versionVerb) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(f))
 }
--- a/internal/command/control/watch.go
+++ b/internal/command/control/watch.go
@@ -1,4 +1,4 @@
-// The verb watch: prints changes as they come into force on the instance.
+// The command watch: prints changes as they come into force on the instance.
 
 package control
 
@@ -33,10 +33,10 @@
 	count   int
 }
 
-// Name returns the verb.
+// Name returns the name of the command.
 func (*watchVerb) Name() string { return "watch" }
 
-// Synopsis returns the line in the list of verbs.
+// Synopsis returns the line for the list of commands.
 func (*watchVerb) Synopsis() string { return "print changes as they come into force" }
 
 // Usage returns the help text.
@@ -47,14 +47,14 @@
 `
 }
 
-// SetFlags defines the verb's flags.
+// SetFlags registers the flags of the command.
 func (v *watchVerb) SetFlags(f *flag.FlagSet) {
 	v.output.setFlags(f)
 	f.Int64Var(&v.after, "after", fromNow, "begin after this revision; -1: the one in force")
 	f.IntVar(&v.count, "count", 0, "stop after that many revisions; 0: no limit")
 }
 
-// Execute executes the verb.
+// Execute runs the command.
 func (v *watchVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return v.program.finish(v.run(ctx, f))
 }
