--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -32,7 +32,7 @@
 	// reconcileInterval is how often pins are compared with the lists of their instances. Without the comparison, a lost
 	// release would occupy a batch slot and an adapter slot permanently.
 	reconcileInterval = 5 * time.Second
-	// roleServing is the role that engines already have. Ordering it only makes them record the fence.
+	// roleServing is the role that engines already have. Ordering it only makes them record the fencing token.
 	roleServing = "serve"
 )
 
@@ -89,7 +89,7 @@
 }
 
 // runRequestPins requests the pins of a member until the member has installed the epoch and responds. A member that has
-// stopped is removed from the holder's list by InstanceGone.
+// stopped is removed from the holder's list by InstanceStopped.
 func (r *Runner) runRequestPins(u *heldUpstream, member head.Member, epoch int64) {
 	for {
 		list, err := r.Peers.Pins(u.context, member, u.name(), epoch)
--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -53,7 +53,7 @@
 	return strings.Contains(l.text.String(), text)
 }
 
-// acceptingOrders accepts every order and records its fence.
+// acceptingOrders accepts every order and records its fencing token.
 type acceptingOrders struct {
 	mutex  sync.Mutex
 	fences []int64
@@ -234,7 +234,7 @@
 }
 
 // Guards against an upstream whose holder disappears without revoking its lease. No instance could load adapters there
-// until another one becomes holder, with a higher fence, after the lease has expired.
+// until another one becomes holder, with a higher fencing token, after the lease has expired.
 func TestLostHolderIsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -69,7 +69,8 @@
 // maxRest bounds the pause between two steps, so that newly used adapters are noticed.
 const maxRest = 200 * time.Millisecond
 
-// run carries out steps until the context ends or an order is refused because another holder has a later fence.
+// run carries out steps until the context ends or an order is refused because another holder has a higher fencing
+// token.
 func (h *heldUpstream) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch step := h.next().(type) {
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -37,7 +37,7 @@
 	byID  map[string]*heldUpstream
 	// vacantSince is the time since which an upstream has had no holder. Only the ownership loop uses it.
 	vacantSince map[string]time.Time
-	// lastOrders is when this instance last sent an order to an upstream, under any fence.
+	// lastOrders is when this instance last sent an order to an upstream, under any fencing token.
 	lastOrders map[string]time.Time
 }
 
@@ -172,7 +172,7 @@
 
 // isHolderLost reports whether a holder is silent although this instance receives messages from most of the others. Its
 // lease may still run for seconds, during which nothing would be loaded at its upstreams. If the holder is in fact
-// alive, its next order is refused for its outdated fence, and it stops.
+// alive, its next order is refused for its outdated fencing token, and it stops.
 func (n *Node) isHolderLost(now time.Time, name string) bool {
 	if n.overlay.isAlive(now, name) {
 		return false
--- a/internal/entry/node/holder_requests.go
+++ b/internal/entry/node/holder_requests.go
@@ -66,8 +66,8 @@
 	return n.view.roster.Instance(holder.Instance)
 }
 
-// NotifyHolder notifies the holder of an upstream immediately that this instance begins or ends a send there.
-// Otherwise the slot of an adapter would stay reserved, or count as occupied, for one heartbeat too long,
+// NotifyHolder notifies the holder of an upstream immediately that this instance begins or ends an attempt there.
+// Otherwise the adapter slot would stay reserved, or count as occupied, for one heartbeat too long,
 // and the requests of other instances would queue behind requests that those instances cannot see.
 func (n *Node) NotifyHolder(upstream string) {
 	if held := n.heldUpstreams.get(upstream); held != nil {
--- a/internal/entry/node/order_permission_test.go
+++ b/internal/entry/node/order_permission_test.go
@@ -45,7 +45,7 @@
 	return s.fence, nil
 }
 
-// nodeWithoutFenceChecks returns an instance whose upstreams do not check fences.
+// nodeWithoutFenceChecks returns an instance whose upstreams do not check fencing tokens.
 func nodeWithoutFenceChecks(suspended *time.Duration) *Node {
 	n := &Node{
 		Log: zerolog.Nop(), Store: &leaseStore{}, Orders: noResponseOrders{}, heldUpstreams: newHeldUpstreams(),
@@ -126,9 +126,9 @@
 }
 
 // Guards against the early replacement of a holder that is so short of processor time that its heartbeats are missing
-// for a second while its lease is valid. Where upstreams check fences, another instance may become holder immediately.
-// Where they do not, the next order of the slow holder would be carried out as well, and the two would undo the loads
-// of each other.
+// for a second while its lease is valid. Where upstreams check fencing tokens, another instance may become holder
+// immediately. Where they do not, the next order of the slow holder would be carried out as well, and the two would
+// undo the loads of each other.
 func TestSilentHolderIsReplacedEarlyOnlyWhereFencesAreChecked(t *testing.T) {
 	for _, checked := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/node/prefill_queue.go
+++ b/internal/entry/node/prefill_queue.go
@@ -13,8 +13,8 @@
 // prefill_queue.go queues the prompts that all instances send to an upstream, so that their prefills run one after the
 // other.
 
-// awaitPrefillTurn waits until the prefill of a prompt may start. If the turn would come too late, it returns the
-// expected wait immediately.
+// awaitPrefillTurn waits until the prefill of a prompt may start. If the prefill turn would come too late, it returns
+// the expected wait immediately.
 func (h *heldUpstream) awaitPrefillTurn(ctx context.Context, request mesh.PrepareRequest, deadline time.Time) (time.Duration, bool) {
 	prompt := &turn.Prompt{
 		Tokens: request.Tokens, Priority: request.Priority, LatestDispatch: deadline,
@@ -61,7 +61,7 @@
 }
 
 // tryPrefillTurn queries the queue with the current load of the upstream. If the turn would come too late, the time of
-// the next try is zero.
+// the next attempt is zero.
 func (h *heldUpstream) tryPrefillTurn(now time.Time, prompt *turn.Prompt) (wait time.Duration, nextTry time.Time, taken bool) {
 	var load pool.Load
 	h.node.advice.WithLock(func(a *serve.SharedState) { load = a.Pool.Sent(now, h.upstream.ID) })
--- a/internal/entry/node/settings.go
+++ b/internal/entry/node/settings.go
@@ -47,14 +47,14 @@
 
 // UpstreamSettings are the properties of upstreams that do not come from the store.
 type UpstreamSettings struct {
-	// FencesChecked: upstreams refuse orders with an outdated fence.
+	// FencesChecked: upstreams refuse orders with an outdated fencing token.
 	FencesChecked bool
-	// ReturnAfter applies where fences are not checked. It is how long after its last order to an upstream that it lost
-	// an instance may send orders there again.
+	// ReturnAfter applies where fencing tokens are not checked. It is how long after its last order to an upstream that
+	// it lost an instance may send orders there again.
 	ReturnAfter time.Duration
 }
 
-// RetrySettings limit the sends beyond the first of each request, over all instances and in any Window.
+// RetrySettings limit the attempts beyond the first of each request, over all instances and in any Window.
 type RetrySettings struct {
 	Ratio  float64
 	Slack  float64
--- a/internal/entry/pipeline/completion.go
+++ b/internal/entry/pipeline/completion.go
@@ -153,7 +153,7 @@
 
 // ---------------------------------------------------------------------------------------------
 
-// runAttempts acquires a slot and dispatches the request, until it is answered or no attempt is left.
+// runAttempts acquires a batch slot and dispatches the request, until it is answered or no attempt is left.
 func (p *Pipeline) runAttempts(ctx context.Context, run *completionRun) (err error) {
 	defer func() { err = run.correctRunState(err) }()
 	for {
@@ -188,7 +188,7 @@
 	return err
 }
 
-// errMustRunAlone means that the request became a suspect while it waited, and needs a slot on an upstream
+// errMustRunAlone means that the request became a suspect while it waited, and needs a batch slot on an upstream
 // where no other request runs.
 var errMustRunAlone = errors.New("pipeline: the request became a suspect while queued and must run alone")
 
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// dispatch sends the request to the granted slot. It checks the key, the model and the suspects immediately
+// dispatch sends the request to the granted batch slot. It checks the key, the model and the suspects immediately
 // before, after all steps that may wait. An error means that nothing was sent.
 func (p *Pipeline) dispatch(ctx context.Context, run *completionRun, grant *slotGrant) (engine.Outcome, error) {
 	current, err := p.checkIdentity(run.identity)
--- a/internal/entry/pipeline/completion_failures_test.go
+++ b/internal/entry/pipeline/completion_failures_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// grantAfter delays the grant of a slot until event has returned, as a queue does.
+// grantAfter delays the grant of a batch slot until event has returned, as a queue does.
 func (f *fixture) grantAfter(event func()) {
 	f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
 		startedAt := time.Now()
@@ -43,8 +43,8 @@
 	}
 }
 
-// An operator withdraws a key while one of its requests waits for a slot. Without a check the request would run up
-// to half a minute later; it must be refused immediately and not run.
+// An operator withdraws a key while one of its requests waits for a batch slot. Without a check the request would run
+// up to half a minute later; it must be refused immediately and not run.
 func TestKeyWithdrawnWhileQueued(t *testing.T) {
 	runInBubble(t, 2, func(f *fixture) {
 		f.place = func(ctx context.Context, _ head.Member, _ peer.PlaceRequest) (peer.Placement, error) {
@@ -98,7 +98,7 @@
 	})
 }
 
-// The process is paused after its request was granted a slot. When it resumes, the configuration may have changed
+// The process is paused after its request was granted a batch slot. When it resumes, the configuration may have changed
 // and the holder may have dropped the pin. A request sent then could run for a withdrawn key, or on an adapter
 // version that is being evicted.
 func TestPausedBetweenGrantAndDispatch(t *testing.T) {
@@ -282,7 +282,7 @@
 }
 
 // A grant is delayed for seconds by a paused process or a stalled connection. The holder may have considered it lost
-// and evicted the version, so the request must acquire a new slot.
+// and evicted the version, so the request must acquire a new batch slot.
 func TestLateGrantIsReleased(t *testing.T) {
 	runInBubble(t, 2, func(f *fixture) {
 		f.place = func(ctx context.Context, member head.Member, request peer.PlaceRequest) (peer.Placement, error) {
--- a/internal/entry/pipeline/completion_outcome.go
+++ b/internal/entry/pipeline/completion_outcome.go
@@ -13,10 +13,10 @@
 	"lacewingrock.example/lacewingrock/internal/upstream/engine"
 )
 
-// completion_outcome.go processes the outcome of an attempt: it releases the slot, updates the router and the
+// completion_outcome.go processes the outcome of an attempt: it releases the batch slot, updates the router and the
 // suspects, and decides whether to retry.
 
-// handleOutcome releases the slot, records the outcome and decides whether to retry. A request whose caller has
+// handleOutcome releases the batch slot, records the outcome and decides whether to retry. A request whose caller has
 // already received part of the response is never retried, because the tokens of a new attempt would not continue
 // that part.
 func (p *Pipeline) handleOutcome(
--- a/internal/entry/pipeline/slot_acquisition.go
+++ b/internal/entry/pipeline/slot_acquisition.go
@@ -21,7 +21,7 @@
 // a pin on it.
 
 const (
-	// acquireInterval is the delay before the next attempt to acquire a slot while holders change or no upstream
+	// acquireInterval is the delay before the next attempt to acquire a batch slot while holders change or no upstream
 	// has been reported yet. Heartbeats report upstreams a few times a second.
 	acquireInterval = 50 * time.Millisecond
 	// maxTransit limits the age of a grant beyond the time that the request waited at the holder. An older grant
@@ -41,7 +41,7 @@
 	waited    time.Duration
 }
 
-// acquireSlot requests a slot until one is granted or the request's deadline is reached.
+// acquireSlot requests a batch slot until one is granted or the request's deadline is reached.
 func (p *Pipeline) acquireSlot(ctx context.Context, run *completionRun) (*slotGrant, error) {
 	var lastErr refusal.Refusal
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// tryAcquire requests a slot from the holder of one upstream. It returns whether another attempt may succeed.
+// tryAcquire requests a batch slot from the holder of one upstream. It returns whether another attempt may succeed.
 func (p *Pipeline) tryAcquire(ctx context.Context, run *completionRun) (grant *slotGrant, retry bool, err error) {
 	if _, err := p.checkIdentity(run.identity); err != nil {
 		return nil, false, err
@@ -115,7 +115,7 @@
 	return upstream, nil
 }
 
-// requestSlot requests a slot from the upstream's holder and waits in its queue.
+// requestSlot requests a batch slot from the upstream's holder and waits in its queue.
 func (p *Pipeline) requestSlot(
 	ctx context.Context, run *completionRun, upstream resource.Upstream,
 ) (placement peer.Placement, grantor head.Member, err error) {
--- a/internal/fleet/coordination/coordination.go
+++ b/internal/fleet/coordination/coordination.go
@@ -21,7 +21,7 @@
 	ErrLeaseEnded = errors.New("store: the lease has ended")
 	// ErrUnavailable means that the store refused the call before doing anything.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrUnknown means that there was no answer: the change may have been made, or may still be made.
+	// ErrUnknown means that there was no response: the change may have been made, or may still be made.
 	ErrUnknown = errors.New("store: outcome unknown")
 )
 
--- a/internal/fleet/mesh/messages.go
+++ b/internal/fleet/mesh/messages.go
@@ -68,7 +68,7 @@
 	Receive() (Message, error)
 }
 
-// PrepareRequest asks the holder of an upstream to load an adapter, and for a turn in the prefill queue.
+// PrepareRequest asks the holder of an upstream to load an adapter, and for a prefill turn.
 type PrepareRequest struct {
 	Upstream string
 	Adapter  traffic.Adapter
@@ -79,7 +79,7 @@
 	// OnTime is how long the request can wait and still be answered on time.
 	OnTime   time.Duration
 	Priority int
-	// Tokens is the length of the request's prompt; 0 if it needs no turn.
+	// Tokens is the length of the request's prompt; 0 if it needs no prefill turn.
 	Tokens int
 }
 
@@ -92,7 +92,7 @@
 // NotHolder means that the receiver does not hold the upstream.
 type NotHolder struct{}
 
-// Busy means that no adapter slot or no turn becomes free in time.
+// Busy means that no adapter slot or no prefill turn becomes free in time.
 type Busy struct{ RetryAfter time.Duration }
 
 func (Loaded) isPrepareResult()    {}
--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -93,7 +93,7 @@
 
 // UpstreamLoad is the load that an upstream reports about itself.
 type UpstreamLoad struct {
-	// Running and Waiting count requests. Places is the number of batch slots: how many requests run at once.
+	// Running and Waiting count requests. BatchSlots is how many requests run at once.
 	Running    int
 	Waiting    int
 	BatchSlots int
--- a/internal/gateway/serve/placement.go
+++ b/internal/gateway/serve/placement.go
@@ -115,7 +115,7 @@
 		j.recordBusy(*choice, busy)
 	}
 	_, notHeld := prepared.(mesh.NotHolder)
-	if !ok && (!notHeld || !choice.Loaded || choice.Cold) { // without a holder no turns are granted
+	if !ok && (!notHeld || !choice.Loaded || choice.Cold) { // without a holder no prefill turns are granted
 		return false
 	}
 	valid := false
--- a/internal/placement/holder/actions.go
+++ b/internal/placement/holder/actions.go
@@ -18,7 +18,7 @@
 const (
 	// ReasonNotHolder: this instance is not the upstream's holder, either no longer or not yet.
 	ReasonNotHolder Reason = "not_holder"
-	// ReasonBusy: the queue is too long for the request's patience, or for its workspace's share.
+	// ReasonBusy: the queue is too long for the request's deadline, or for its workspace's share.
 	ReasonBusy Reason = "busy"
 	// ReasonLoadFailed: the adapter version could not be loaded in time.
 	ReasonLoadFailed Reason = "load_failed"
@@ -46,7 +46,7 @@
 	// RequestPins requests the pins on the upstream from every member; answered by one PinsReported per member.
 	RequestPins struct{ Epoch int64 }
 	// OrderFence makes the upstream record the epoch as its fencing token, with any order that changes nothing;
-	// answered by FenceNoted. Without an answer the holder waits for Settings.OrderTimeout instead.
+	// answered by FenceNoted. Without a response the holder waits for Settings.OrderTimeout instead.
 	OrderFence struct{ Fence int64 }
 	// RequestPermit requests a load permit from the load broker; answered by PermitGranted or PermitRefused.
 	// Demand is the number of waiting tokens, Waited the longest wait, Patience the time until the last of the
--- a/internal/placement/holder/events.go
+++ b/internal/placement/holder/events.go
@@ -56,7 +56,7 @@
 	CauseInUse Cause = "in_use"
 	// CauseWeightStore: the weight store refused or failed.
 	CauseWeightStore Cause = "weight_store"
-	// CauseUpstream: no answer from the engine; whether the order took effect is unknown.
+	// CauseUpstream: no response from the engine; whether the order took effect is unknown.
 	CauseUpstream Cause = "upstream"
 )
 
--- a/internal/placement/holder/loads.go
+++ b/internal/placement/holder/loads.go
@@ -12,7 +12,7 @@
 // All requests that wait for a version share one load.
 
 // permitRequestInterval is the interval at which a permit request is repeated with the current demand, as the request
-// or its answer may be lost.
+// or its response may be lost.
 const permitRequestInterval = time.Second
 
 // maxFailures is how many loads of a version may fail before the requests that wait for it are refused.
--- a/internal/placement/pool/capacity.go
+++ b/internal/placement/pool/capacity.go
@@ -51,7 +51,7 @@
 	return s.capacity > 0 && now.Sub(s.capacityAt) < capacityTTL
 }
 
-// RecordStatedLoad records how many requests, running or waiting, the upstream states in its answer.
+// RecordStatedLoad records how many requests, running or waiting, the upstream states in its response.
 func (a *Attempt) RecordStatedLoad(requests int) { a.stated = Load{Running: requests} }
 
 // perSlot is the number of requests in flight per slot of an upstream.
--- a/internal/placement/pool/choose.go
+++ b/internal/placement/pool/choose.go
@@ -77,15 +77,15 @@
 	return !slices.Contains(query.Exclude, u.declared.ID)
 }
 
-// reachableFor is how long an answer from an upstream proves that this instance can reach it.
+// reachableFor is how long a response from an upstream proves that this instance can reach it.
 const reachableFor = time.Second
 
-// isUnreachable reports whether the holder cannot reach the upstream and this instance has had no recent answer
+// isUnreachable reports whether the holder cannot reach the upstream and this instance has had no recent response
 // from it.
 //
 // It is needed when many upstreams fail at once. Their entries stay in the store for some seconds. Each instance
 // would have to find out by itself, while requests wait there for a connection or an adapter until it is too late
-// for another upstream. If only the holder's link to the upstream is lost, instances with recent answers from it
+// for another upstream. If only the holder's link to the upstream is lost, instances with recent responses from it
 // continue to use it.
 func (u *upstream) isUnreachable(now time.Time) bool {
 	return now.Before(u.unreachableUntil) && now.Sub(u.servedAt) > reachableFor
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -17,7 +17,7 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// TimeBudget is how long from now a request can wait for its first event or answer.
+// TimeBudget is how long from now a request can wait for its first event or response.
 type TimeBudget struct {
 	// OnTime is the time until it is late.
 	OnTime time.Duration
--- a/internal/placement/pool/pool.go
+++ b/internal/placement/pool/pool.go
@@ -43,7 +43,7 @@
 // full. The choice is then the upstream with the fewest requests in flight.
 var ErrFull = errors.New("pool: all upstreams are full")
 
-// Query describes a request to place.
+// Query describes a request for which an upstream is to be chosen.
 type Query struct {
 	Service string
 	// Adapter is empty for requests that are not answered by a model.
@@ -69,7 +69,7 @@
 	Upstream traffic.Upstream
 	// Loaded: the adapter is loaded there in a sufficient version. If not, it has to be prepared first.
 	Loaded bool
-	// Expected is the time until the first event or the answer.
+	// Expected is the time until the first event or the response.
 	Expected time.Duration
 	// ExpectedIdle is the same for an upstream with nothing in flight.
 	ExpectedIdle time.Duration
@@ -91,7 +91,7 @@
 type Residency struct {
 	Upstream string
 	// Fence is the fencing token of the holder: reports of an earlier holder are dropped. Version rises under one
-	// fence: a report that arrives through relays may be older than the holder's answer to a report.
+	// fencing token: a report that arrives through relays may be older than the holder's answer to a report.
 	Fence   int64
 	Version int64
 	Loaded  []Resident
@@ -228,8 +228,8 @@
 	return u.declared, true
 }
 
-// RecordSlotWait records how long another adapter would wait for a slot at an upstream, from the holder's answer to a
-// request that got none. It is valid until the holder's next report of its residents.
+// RecordSlotWait records how long another adapter would wait for an adapter slot at an upstream, from the holder's
+// answer to a request that got none. It is valid until the holder's next report of its residents.
 func (p *Pool) RecordSlotWait(id string, wait time.Duration) {
 	if u := p.upstreams[id]; u != nil {
 		u.slotWait = max(u.slotWait, wait)
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -86,7 +86,7 @@
 	return isEngine && query.Adapter.Model != ""
 }
 
-// typicalTime is the time until the first event or the answer at an upstream of typical speed.
+// typicalTime is the time until the first event or the response at an upstream of typical speed.
 func (p *Pool) typicalTime(u *upstream, query Query, load Load) time.Duration {
 	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
@@ -95,7 +95,7 @@
 	return stats.service.Latency(u.queued(load))
 }
 
-// observe records how long a request took until its first event or answer.
+// observe records how long a request took until its first event or response.
 func (p *Pool) observe(attempt *Attempt, took time.Duration) {
 	stats := p.statsOf(attempt.query.Service)
 	if p.isGeneration(attempt.query) {
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -56,11 +56,11 @@
 	failures  float64
 	successes float64
 	counted   time.Time
-	// slow is the ratio of actual to expected answer times.
+	// slow is the ratio of actual to expected response times.
 	slow     float64
 	measured time.Time
 	// unreachableUntil is how long the holder's report counts that it cannot reach the upstream. servedAt is when
-	// this instance last had an answer from there.
+	// this instance last had a response from there.
 	unreachableUntil time.Time
 	servedAt         time.Time
 	cold             cold
@@ -81,7 +81,7 @@
 	typical time.Duration
 	// isFresh: found is from a recent report of the holder.
 	isFresh bool
-	// stated is the load that the upstream stated in its answer, zero if it stated none.
+	// stated is the load that the upstream stated in its response, zero if it stated none.
 	stated   Load
 	answered bool
 }
@@ -119,7 +119,7 @@
 	return load
 }
 
-// RecordAnswer records the first event or the whole answer, and reports whether it is the first call.
+// RecordAnswer records the first event or the whole response, and reports whether it is the first call.
 func (a *Attempt) RecordAnswer(now time.Time) (first bool) {
 	u := a.upstream
 	if a.answered || u == nil {
@@ -153,11 +153,11 @@
 
 // Results of a request.
 const (
-	// EndServed: a complete answer.
+	// EndServed: a complete response.
 	EndServed End = "served"
-	// EndFailed: the answer is a failure of the upstream, or is incomplete.
+	// EndFailed: the response is a failure of the upstream, or is incomplete.
 	EndFailed End = "failed"
-	// EndUnreachable: no connection, or it broke without an answer.
+	// EndUnreachable: no connection, or it broke without a response.
 	EndUnreachable End = "unreachable"
 	// EndRefused: the upstream did not run it, for lack of capacity.
 	EndRefused End = "refused"
@@ -307,7 +307,7 @@
 
 const priorSuccesses = 2
 
-// slowness is the ratio of actual to typical answer times. It decays to 1 without recent samples.
+// slowness is the ratio of actual to typical response times. It decays to 1 without recent samples.
 func (u *upstream) slowness(now time.Time) float64 {
 	return 1 + (u.slow-1)*math.Exp2(-now.Sub(u.measured).Seconds()/slownessHalfLife.Seconds())
 }
--- a/internal/placement/queue/fair_queue_test.go
+++ b/internal/placement/queue/fair_queue_test.go
@@ -79,7 +79,7 @@
 }
 
 // Guards against queueing a request that cannot be served in time: its caller can wait two seconds and the queue is
-// four seconds long. It would wait in vain and take the place of a request that can wait.
+// four seconds long. It would wait in vain and take the slot of a request that can wait.
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/placement/residence/outcomes.go
+++ b/internal/placement/residence/outcomes.go
@@ -9,7 +9,7 @@
 
 // RecordOutcome records an order's outcome.
 //
-// An order without an answer is repeated at once with the same sequence number. If the upstream accepted the first
+// An order without a response is repeated at once with the same sequence number. If the upstream accepted the first
 // copy, it answers the second accordingly. If it did not, the second copy replaces the first, which is void when it
 // arrives late. Waiting for the upstream's report instead would delay every request that waits for an adapter there
 // by half a second each time.
@@ -65,7 +65,7 @@
 func (p *Planner) recordAccepted(now time.Time, order Order) {
 	r := p.residents[order.Adapter]
 	if r != nil && (r.state == unloading && order.Unload || r.loadingVersion > 0 && !order.Unload) {
-		r.pollAt = now.Add(p.pollDelay(order.Adapter, r)) // the answer to a poll: the order is still being executed
+		r.pollAt = now.Add(p.pollDelay(order.Adapter, r)) // the response to a poll: the order is still being executed
 		return
 	}
 	p.sequence = order.Sequence + 1
--- a/internal/placement/residence/planner.go
+++ b/internal/placement/residence/planner.go
@@ -23,7 +23,7 @@
 	maxConcurrentLoads = 4
 	// pollInterval is the poll interval for an order that loads no adapter.
 	pollInterval = 30 * time.Millisecond
-	// maxRepeats is how often an order without an answer is repeated before the upstream is considered
+	// maxRepeats is how often an order without a response is repeated before the upstream is considered
 	// unreachable and the planner waits for its report. repeatDelay is the delay before each repeat.
 	maxRepeats  = 6
 	repeatDelay = 15 * time.Millisecond
@@ -52,7 +52,7 @@
 	// ReloadEstimate is the same for a load from a recent copy near the upstream.
 	ReloadEstimate time.Duration
 
-	// stateKnown is true while sequence and residents match the upstream's state as far as its answers show.
+	// stateKnown is true while sequence and residents match the upstream's state as far as its responses show.
 	stateKnown bool
 	// reported is true once a report was applied, confirmed once a second one agreed; see ApplyReport.
 	reported   bool
@@ -71,7 +71,7 @@
 	reloads   forecast.LoadTime
 	grantedAt time.Time
 	grantPace time.Duration
-	// unanswered is the last order if it got no answer; repeats counts how often it was given.
+	// unanswered is the last order if it got no response; repeats counts how often it was given.
 	unanswered *Order
 	repeats    int
 	repeatAt   time.Time
@@ -100,7 +100,7 @@
 	reload    bool
 	polls     int
 	usedAt    time.Time
-	// unloadOrdered is true while an unload order has no answer yet. A request sent to the adapter meanwhile would
+	// unloadOrdered is true while an unload order has no response yet. A request sent to the adapter meanwhile would
 	// find it unloaded, or would be running when the order is executed.
 	unloadOrdered bool
 	// reservedUntil protects the adapter for a request whose use has not been reported yet.
--- a/internal/placement/residence/planner_test.go
+++ b/internal/placement/residence/planner_test.go
@@ -378,7 +378,7 @@
 func TestNoOrderOverfillsOrEvictsWhatIsUsed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fault := bubble.Check(t, func() string {
-			adapterSlots := rapid.IntRange(1, 4).Draw(rt, "places")
+			adapterSlots := rapid.IntRange(1, 4).Draw(rt, "adapter slots")
 			p, e := newPlanner(adapterSlots), newEngine(adapterSlots)
 			names := []string{"a", "b", "c", "d", "e", "f", "g"}
 			fault := func() (bool, time.Duration) {
--- a/internal/placement/residence/residence.go
+++ b/internal/placement/residence/residence.go
@@ -3,7 +3,7 @@
 // does no I/O; the caller reads the clock and passes the time in.
 //
 // An upstream counts the orders that it has accepted, and each order carries the count it was made for as its sequence
-// number. So an order whose answer was lost, and that the upstream may execute seconds later, is void as soon as
+// number. So an order whose response was lost, and that the upstream may execute seconds later, is void as soon as
 // any other order was accepted: it can neither evict an adapter needed by then nor load more than fits.
 package residence
 
@@ -40,7 +40,7 @@
 	OtherUpstream Outcome = "other_upstream"
 	// Rejected: the upstream rejected the order as invalid.
 	Rejected Outcome = "rejected"
-	// NoAnswer: no answer arrived; the order may have been accepted, or may still be.
+	// NoAnswer: no response arrived; the order may have been accepted, or may still be.
 	NoAnswer Outcome = "no_answer"
 )
 
--- a/internal/placement/retry/budget.go
+++ b/internal/placement/retry/budget.go
@@ -1,21 +1,21 @@
 // Package retry implements retry budgets, which bound the load that an instance's own retries add.
 package retry
 
-// Budget is a token bucket for retries: each first try adds a fraction of a retry. The zero value allows no retries,
-// use New. It is not safe for concurrent use.
+// Budget is a token bucket for retries: each first attempt adds a fraction of a retry. The zero value allows no
+// retries, use New. It is not safe for concurrent use.
 type Budget struct {
 	ratio   float64
 	max     float64
 	balance float64
 }
 
-// DefaultRatio is the ratio of retries to first tries that operators have set as the limit.
+// DefaultRatio is the ratio of retries to first attempts that operators have set as the limit.
 const DefaultRatio = 0.1
 
 // DefaultMaxUnused is the maximum number of unused retries. It bounds the burst of retries after an hour of low traffic.
 const DefaultMaxUnused = 10
 
-// New returns an empty budget. Retries never exceed ratio times the first tries.
+// New returns an empty budget. Retries never exceed ratio times the first attempts.
 func New(ratio, most float64) *Budget {
 	return &Budget{ratio: ratio, max: most}
 }
@@ -33,10 +33,10 @@
 	b.balance = min(b.balance, most)
 }
 
-// CountFirstTry counts a first try.
+// CountFirstTry counts a first attempt.
 //
 // In an outage every request fails and is retried. Without a budget the retries multiply the load when capacity is
-// lowest, and the number of sends per answered request rises.
+// lowest, and the number of attempts per answered request rises.
 func (b *Budget) CountFirstTry() {
 	b.balance = min(b.balance+b.ratio, b.max)
 }
--- a/internal/placement/retry/budget_test.go
+++ b/internal/placement/retry/budget_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a retry storm in an outage, when every request fails and would be retried. In any order of first
-// tries and retries, the retries stay at a tenth of the first tries.
+// attempts and retries, the retries stay at a tenth of the first attempts.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.New(retry.DefaultRatio, retry.DefaultMaxUnused)
@@ -23,7 +23,7 @@
 				retries++
 			}
 			if float64(retries) > retry.DefaultRatio*float64(first)+1e-9 {
-				t.Fatalf("%d retries for %d first tries", retries, first)
+				t.Fatalf("%d retries for %d first attempts", retries, first)
 			}
 		}
 	})
--- a/internal/placement/route/route.go
+++ b/internal/placement/route/route.go
@@ -54,7 +54,7 @@
 	ReasonProbe Reason = "probe"
 )
 
-// Choice is the upstream to request a slot from. Expected is the estimated time until dispatch.
+// Choice is the upstream to request a batch slot from. Expected is the estimated time until dispatch.
 type Choice struct {
 	Upstream  string
 	Reason    Reason
--- a/internal/placement/route/router.go
+++ b/internal/placement/route/router.go
@@ -190,8 +190,8 @@
 	return !u.hasFailed() || !now.Before(u.nextProbe)
 }
 
-// estimate computes when the request would be completed at the upstream: the wait for a slot, the load, and the work
-// at the measured speed of the upstream.
+// estimate computes when the request would be completed at the upstream: the wait for a batch slot, the load, and the
+// work at the measured speed of the upstream.
 func (r *Router) estimate(now time.Time, u *upstream, query Query, why Reason, load time.Duration) candidate {
 	c := candidate{upstream: u, reason: why, needsLoad: why != ReasonResident}
 	c.wait = u.wait(now, r.Settings.StaleAfter) + load
--- a/internal/placement/route/upstream.go
+++ b/internal/placement/route/upstream.go
@@ -58,8 +58,8 @@
 
 func (u *upstream) hasFailed() bool { return u.failures >= probeAfterFailures }
 
-// wait returns the expected wait for a slot. Summaries lag behind, so requests that this instance sent since the last
-// one count too. Otherwise all requests between two heartbeats would go to the same idle upstream.
+// wait returns the expected wait for a batch slot. Summaries lag behind, so requests that this instance sent since the
+// last one count too. Otherwise all requests between two heartbeats would go to the same idle upstream.
 func (u *upstream) wait(now time.Time, staleAfter time.Duration) time.Duration {
 	if !u.isFresh(now, staleAfter) {
 		return 0
--- a/internal/placement/turn/queue.go
+++ b/internal/placement/turn/queue.go
@@ -61,7 +61,7 @@
 }
 
 // TryDispatch dispatches the prompt if it is at the head of the queue and the engine is ready for it. Otherwise it returns
-// the latest time at which to try again.
+// the time of the next attempt at the latest.
 func (q *Queue) TryDispatch(now time.Time, prompt *Prompt, streams bool) (retryAt time.Time, dispatched bool) {
 	if now.Before(q.nextDispatch) {
 		return q.nextDispatch, false
