--- a/internal/entry/daemon/configuration.go
+++ b/internal/entry/daemon/configuration.go
@@ -89,15 +89,15 @@
 	d.ledger.Install(ledgerHead(d.self, current))
 	d.pipeline.RunningRequests.CancelWithdrawn(current.Configuration)
 	d.pipeline.Pins.Install(current.Head)
-	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
-		a.Router.SetUpstreams(current.Configuration.Upstreams())
+	d.pipeline.State.WithLock(func(state *pipeline.SharedState) {
+		state.Router.SetUpstreams(current.Configuration.Upstreams())
 	})
-	d.holding.SetAssignment(ctx, d.tenure(previous, current))
+	d.holding.SetAssignment(ctx, d.assignment(previous, current))
 	d.detector.handle(membership.HeadInstalled{Head: current.Head})
 	d.departures.record(previous.Head, current.Head)
 	d.leaving.dropNonMembers(current.Head)
 	d.settlement.install(current.Head)
-	d.directory.CloseExcept(addresses(current.Head))
+	d.peers.CloseExcept(addresses(current.Head))
 	// The read or swap that returned the head confirms it. Without this call, each change of the configuration would
 	// cause refusals until the next read.
 	d.tracker.RecordRead(current.ConfirmedAt, current.Head.Revision)
@@ -116,10 +116,10 @@
 	return found && member.Incarnation == d.self.Incarnation
 }
 
-// tenure returns the upstreams that the head assigns to this instance. An upstream counts as continued if this
+// assignment returns the upstreams that the head assigns to this instance. An upstream counts as continued if this
 // instance certainly held it in the epoch directly before: the previous head assigned it too, and no epoch between
 // the two heads was missed.
-func (d *Daemon) tenure(previous, current repository.Snapshot) holding.Assignment {
+func (d *Daemon) assignment(previous, current repository.Snapshot) holding.Assignment {
 	tenure := holding.Assignment{Epoch: current.Head.Epoch, Members: current.Head.Members, Continued: map[string]bool{}}
 	noEpochMissed := current.Head.Epoch <= previous.Head.Revision+1
 	for _, upstream := range current.Configuration.Upstreams() {
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -107,7 +107,7 @@
 	heartbeat := d.newHeartbeat(ctx)
 	heartbeat.Returns = d.ledger.PendingReturns(lender)
 	sentAt := time.Now()
-	reply, err := d.directory.Ping(ctx, member.Address, heartbeat)
+	reply, err := d.peers.Ping(ctx, member.Address, heartbeat)
 	if err != nil {
 		d.scope.Counter("heartbeats_failed").Inc(1)
 		d.Log.Info().Err(err).Str("Peer", member.Name).Int64("TookMillis", time.Since(sentAt).Milliseconds()).
@@ -136,11 +136,11 @@
 		d.leaving.set(heartbeat.Instance, heartbeat.Leaving)
 	}
 	now := time.Now()
-	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
+	d.pipeline.State.WithLock(func(state *pipeline.SharedState) {
 		for _, summary := range heartbeat.Upstreams {
-			a.Router.UpdateSummary(now, routeSummary(summary, sampledAt))
+			state.Router.UpdateSummary(now, routeSummary(summary, sampledAt))
 		}
-		a.Suspects.SetPeerCounts(now, heartbeat.Instance, heartbeat.Suspects)
+		state.Suspects.SetPeerCounts(now, heartbeat.Instance, heartbeat.Suspects)
 	})
 }
 
@@ -148,9 +148,9 @@
 func (d *Daemon) updateOwnSummaries(ctx context.Context) {
 	now := time.Now()
 	summaries := d.holding.Summaries(ctx)
-	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
+	d.pipeline.State.WithLock(func(state *pipeline.SharedState) {
 		for _, summary := range summaries {
-			a.Router.UpdateSummary(now, routeSummary(summary, now))
+			state.Router.UpdateSummary(now, routeSummary(summary, now))
 		}
 	})
 }
@@ -185,8 +185,8 @@
 	if reportedRevision, bitmap := d.tracker.ReportBitmap(); reportedRevision == revision {
 		heartbeat.InForceMembers = bitmap
 	}
-	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
-		heartbeat.Suspects = a.Suspects.LocalCounts(time.Now())
+	d.pipeline.State.WithLock(func(state *pipeline.SharedState) {
+		heartbeat.Suspects = state.Suspects.LocalCounts(time.Now())
 	})
 	return heartbeat
 }
--- a/internal/entry/daemon/leaving.go
+++ b/internal/entry/daemon/leaving.go
@@ -98,8 +98,8 @@
 	}
 	names := d.leaving.all()
 	d.Log.Info().Strs("Names", names).Msg("LeavingChanged")
-	d.pipeline.State.WithLock(func(a *pipeline.SharedState) {
-		a.Router.SetLeaving(names)
+	d.pipeline.State.WithLock(func(state *pipeline.SharedState) {
+		state.Router.SetLeaving(names)
 	})
 	leaving := holding.Leaving{}
 	for _, name := range names {
--- a/internal/entry/daemon/members.go
+++ b/internal/entry/daemon/members.go
@@ -181,6 +181,6 @@
 func (d *Daemon) answersHeartbeat(m head.Member) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	reply, err := d.directory.Ping(ctx, m.Address, d.newHeartbeat(ctx))
+	reply, err := d.peers.Ping(ctx, m.Address, d.newHeartbeat(ctx))
 	return err == nil && reply.Incarnation == m.Incarnation
 }
--- a/internal/entry/daemon/start_and_stop_test.go
+++ b/internal/entry/daemon/start_and_stop_test.go
@@ -125,12 +125,12 @@
 
 func ready(address string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	answer, err := client.Get("http://" + address + "/ready")
+	response, err := client.Get("http://" + address + "/ready")
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
 func waitUntil(t *testing.T, limit time.Duration, what string, condition func() bool) {
--- a/internal/entry/node/crash_detection.go
+++ b/internal/entry/node/crash_detection.go
@@ -74,9 +74,9 @@
 			continue
 		}
 		now := time.Now()
-		n.advice.WithLock(func(a *serve.SharedState) {
-			a.Suspects.RecordCrash(now, fingerprints)
-			a.Pool.RecordCrash(now, id)
+		n.sharedState.WithLock(func(state *serve.SharedState) {
+			state.Suspects.RecordCrash(now, fingerprints)
+			state.Pool.RecordCrash(now, id)
 		})
 		n.Log.Warn().Str("Upstream", id).Int("Requests", len(fingerprints)).Msg("UpstreamCrashed")
 		n.overlay.requestStateSend()
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -60,14 +60,14 @@
 	if service.Engine != nil {
 		h.planner.Engine = *service.Engine
 	}
-	n.advice.WithLock(func(a *serve.SharedState) {
-		h.planner.LoadEstimate, h.planner.ReloadEstimate = a.Pool.LoadTimes(upstream.Service)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		h.planner.LoadEstimate, h.planner.ReloadEstimate = state.Pool.LoadTimes(upstream.Service)
 	})
 	return h
 }
 
-// maxRest bounds the pause between two steps, so that newly used adapters are noticed.
-const maxRest = 200 * time.Millisecond
+// maxIdle bounds the pause between two steps, so that newly used adapters are noticed.
+const maxIdle = 200 * time.Millisecond
 
 // run carries out steps until the context ends or an order is refused because another holder has a higher fencing
 // token.
@@ -79,7 +79,7 @@
 		case residence.FetchReport:
 			h.inspect(ctx)
 		case residence.Idle:
-			h.pause(ctx, min(time.Until(step.Until), maxRest))
+			h.pause(ctx, min(time.Until(step.Until), maxIdle))
 		}
 		if h.isFenced() {
 			h.node.Log.Warn().Str("Upstream", h.upstream.ID).Int64("Fence", h.fence).Msg("Fenced")
@@ -98,7 +98,7 @@
 func (h *heldUpstream) next() residence.Step {
 	now := time.Now()
 	var inUse []traffic.Adapter
-	h.node.advice.WithLock(func(a *serve.SharedState) { inUse = a.Pool.InUse(now, h.upstream.ID) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { inUse = state.Pool.InUse(now, h.upstream.ID) })
 	var versions map[traffic.Adapter]int64
 	versions, h.declarations = h.node.view.newestSince(h.declarations)
 	h.mutex.Lock()
@@ -123,7 +123,7 @@
 func (h *heldUpstream) sendOrder(ctx context.Context, order residence.Order) {
 	start := time.Now()
 	if !h.mayOrder(start) {
-		h.pause(ctx, maxRest)
+		h.pause(ctx, maxIdle)
 		return
 	}
 	h.node.heldUpstreams.recordOrder(h.upstream.ID, start)
@@ -143,7 +143,7 @@
 	h.notifyWaiters()
 	h.mutex.Unlock()
 	if outcome == residence.OtherUpstream {
-		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordCrash(time.Now(), h.upstream.ID) })
+		h.node.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.RecordCrash(time.Now(), h.upstream.ID) })
 	}
 	h.updateOwnPool()
 }
@@ -153,7 +153,7 @@
 	now := time.Now()
 	residency, known := h.residency(now)
 	if known {
-		h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.RecordResidency(now, residency) })
+		h.node.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.RecordResidency(now, residency) })
 	}
 }
 
@@ -235,7 +235,7 @@
 
 // admitCold counts a request against the load that the upstream can take while it is cold.
 func (h *heldUpstream) admitCold() (wait time.Duration, admitted bool) {
-	h.node.advice.WithLock(func(a *serve.SharedState) { wait, admitted = a.Pool.AdmitCold(time.Now(), h.upstream.ID) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { wait, admitted = state.Pool.AdmitCold(time.Now(), h.upstream.ID) })
 	return wait, admitted
 }
 
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -166,7 +166,7 @@
 
 // isOpen reports whether an upstream takes new requests.
 func (n *Node) isOpen(upstream traffic.Upstream) (open bool) {
-	n.advice.WithLock(func(a *serve.SharedState) { open = a.Pool.AcceptsRequests(upstream) })
+	n.sharedState.WithLock(func(state *serve.SharedState) { open = state.Pool.AcceptsRequests(upstream) })
 	return open
 }
 
@@ -215,8 +215,8 @@
 		}
 	}
 	held := n.heldUpstreams.ids()
-	n.advice.WithLock(func(a *serve.SharedState) {
-		list = a.Pool.Declared(func(upstream *traffic.Upstream) bool {
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		list = state.Pool.Declared(func(upstream *traffic.Upstream) bool {
 			_, configured := table.Configuration.Services[upstream.Service]
 			return configured && (held[upstream.ID] || !heldByOther[holders[upstream.ID]])
 		})
@@ -230,7 +230,7 @@
 	for id := range n.heldUpstreams.ids() {
 		var upstream traffic.Upstream
 		declared := false
-		n.advice.WithLock(func(a *serve.SharedState) { upstream, declared = a.Pool.Upstream(id) })
+		n.sharedState.WithLock(func(state *serve.SharedState) { upstream, declared = state.Pool.Upstream(id) })
 		configured := false
 		if table != nil {
 			_, configured = table.Configuration.Services[upstream.Service]
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -37,7 +37,7 @@
 
 // Decoder maps the items of the store to what they declare.
 type Decoder interface {
-	// Decode returns the fact that an item declares, or nil if the key declares nothing.
+	// Decode returns what an item declares, or nil if the key declares nothing.
 	Decode(key string, value []byte) (traffic.Declaration, error)
 	// UpstreamID returns the upstream that a key belongs to.
 	UpstreamID(key string) (id string, ok bool)
@@ -75,7 +75,7 @@
 	startedAt       time.Time
 	self            roster.Instance
 	view            storeView
-	advice          *serve.SharedState
+	sharedState     *serve.SharedState
 	peers           *mesh.Peers
 	overlay         overlay
 	refreshed       refresh
@@ -165,9 +165,9 @@
 	n.lease.suspended = timeSuspended
 	n.heldUpstreams = newHeldUpstreams()
 	n.overlay.initialise(n.self.Name)
-	n.assembleAdvice()
+	n.assembleSharedState()
 	n.handler = &serve.Handler{
-		Dialect: n.Dialect, Fleet: n, Forward: n.forward, State: n.advice, Log: n.Log, Scope: scope,
+		Dialect: n.Dialect, Fleet: n, Forward: n.forward, State: n.sharedState, Log: n.Log, Scope: scope,
 	}
 	n.callers = &http.Server{
 		Handler:           n.handler,
@@ -183,10 +183,10 @@
 	n.mesh = mesh.NewServer(n)
 }
 
-func (n *Node) assembleAdvice() {
+func (n *Node) assembleSharedState() {
 	settings := pool.DefaultSettings()
 	settings.DataCentre = n.self.DataCentre
-	n.advice = &serve.SharedState{
+	n.sharedState = &serve.SharedState{
 		Pool:     &pool.Pool{Settings: settings},
 		Ledger:   &quota.Ledger{Self: n.self.Name},
 		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
--- a/internal/entry/node/order_permission_test.go
+++ b/internal/entry/node/order_permission_test.go
@@ -52,7 +52,7 @@
 		self: roster.Instance{Name: "self", Incarnation: "first"},
 	}
 	n.current.Store(&Settings{Upstreams: UpstreamSettings{FencesChecked: false, ReturnAfter: 3 * time.Second}})
-	n.advice = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+	n.sharedState = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 	n.overlay.initialise(n.self.Name)
 	n.lease.suspended = func() time.Duration { return *suspended }
 	n.view.table.Store(traffic.NewTable(traffic.Configuration{}))
--- a/internal/entry/node/outage_test.go
+++ b/internal/entry/node/outage_test.go
@@ -34,7 +34,7 @@
 				n := nodeWithoutFenceChecks(&suspended)
 				n.Decoder = keysAsUpstreams{}
 				upstream := traffic.Upstream{ID: "u", Service: "s"}
-				n.advice.Pool.Declare(time.Now(), upstream)
+				n.sharedState.Pool.Declare(time.Now(), upstream)
 				n.merge(replica.Batch{Snapshot: true, Through: 1}, time.Now(), sourceStore)
 				time.Sleep(outageThreshold + 50*time.Millisecond)
 				if c.ownFailed {
@@ -48,7 +48,7 @@
 				}
 				removed := replica.Item{Key: "u", Revision: 2, Removed: true}
 				is.True(n.merge(replica.Batch{After: 1, Through: 2, Items: []replica.Item{removed}}, time.Now(), sourceStore))
-				is.Equal(n.advice.Pool.IsChoiceValid(upstream), c.stillAccepted)
+				is.Equal(n.sharedState.Pool.IsChoiceValid(upstream), c.stillAccepted)
 			})
 		})
 	}
--- a/internal/entry/node/periodic.go
+++ b/internal/entry/node/periodic.go
@@ -69,9 +69,9 @@
 	v.mutex.Unlock()
 	n.setSharedLimits(len(names))
 	silentAfter := missedHeartbeats * n.overlay.currentStateInterval()
-	n.advice.WithLock(func(a *serve.SharedState) {
-		a.Ledger.PeerTimeout = silentAfter
-		a.Ledger.SetPeers(now, names)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		state.Ledger.PeerTimeout = silentAfter
+		state.Ledger.SetPeers(now, names)
 	})
 }
 
@@ -84,7 +84,7 @@
 // closeStaleUpstreamConnections closes the connections to upstreams that are gone.
 func (n *Node) closeStaleUpstreamConnections() {
 	var names map[string]bool
-	n.advice.WithLock(func(a *serve.SharedState) { names, n.upstreamChanges = a.Pool.NamesSince(n.upstreamChanges) })
+	n.sharedState.WithLock(func(state *serve.SharedState) { names, n.upstreamChanges = state.Pool.NamesSince(n.upstreamChanges) })
 	if names != nil {
 		n.forward.CloseIdleExcept(names)
 	}
--- a/internal/entry/node/prefill_queue.go
+++ b/internal/entry/node/prefill_queue.go
@@ -19,7 +19,7 @@
 	prompt := &turn.Prompt{
 		Tokens: request.Tokens, Priority: request.Priority, LatestDispatch: deadline,
 	}
-	h.node.advice.WithLock(func(a *serve.SharedState) { prompt.Prefill = a.Pool.Prefill(h.upstream.ID, request.Tokens) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { prompt.Prefill = state.Pool.Prefill(h.upstream.ID, request.Tokens) })
 	h.enqueuePrompt(prompt)
 	defer h.dequeuePrompt(prompt)
 	for {
@@ -49,7 +49,7 @@
 	h.prefillQueue.Enqueue(time.Now(), prompt)
 	tokens := h.prefillQueue.QueuedTokens()
 	h.mutex.Unlock()
-	h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
 func (h *heldUpstream) dequeuePrompt(prompt *turn.Prompt) {
@@ -57,14 +57,14 @@
 	h.prefillQueue.Remove(prompt)
 	tokens := h.prefillQueue.QueuedTokens()
 	h.mutex.Unlock()
-	h.node.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.SetAwaitingTurn(h.upstream.ID, tokens) })
 }
 
 // tryPrefillTurn queries the queue with the current load of the upstream. If the turn would come too late, the time of
 // the next attempt is zero.
 func (h *heldUpstream) tryPrefillTurn(now time.Time, prompt *turn.Prompt) (wait time.Duration, nextTry time.Time, taken bool) {
 	var load pool.Load
-	h.node.advice.WithLock(func(a *serve.SharedState) { load = a.Pool.Sent(now, h.upstream.ID) })
+	h.node.sharedState.WithLock(func(state *serve.SharedState) { load = state.Pool.Sent(now, h.upstream.ID) })
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if load.PromptTokens == 0 {
--- a/internal/entry/node/reload.go
+++ b/internal/entry/node/reload.go
@@ -52,7 +52,7 @@
 	n.current.Store(&settings)
 	n.ApplySettings(settings)
 	if settings.Retries != previous.Retries {
-		n.advice.WithLock(func(a *serve.SharedState) { a.Retries = retryBudgets(settings.Retries) })
+		n.sharedState.WithLock(func(state *serve.SharedState) { state.Retries = retryBudgets(settings.Retries) })
 	}
 	if settings.Instance != previous.Instance {
 		n.Log.Warn().Msg("RestartNeeded") // addresses and names change only with a restart
--- a/internal/entry/node/reports.go
+++ b/internal/entry/node/reports.go
@@ -104,8 +104,8 @@
 func (n *Node) loadReport(holder string) mesh.LoadReport {
 	holders := n.view.liveHolders()
 	report := mesh.LoadReport{Instance: n.self.Name}
-	n.advice.WithLock(func(a *serve.SharedState) {
-		report.Loads = a.Pool.Report(func(upstream string) bool { return holders[upstream] == holder })
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		report.Loads = state.Pool.Report(func(upstream string) bool { return holders[upstream] == holder })
 	})
 	return report
 }
@@ -113,12 +113,12 @@
 // applyHeldReport applies the response of a holder.
 func (n *Node) applyHeldReport(held mesh.HeldReport) {
 	now := time.Now()
-	n.advice.WithLock(func(a *serve.SharedState) {
+	n.sharedState.WithLock(func(state *serve.SharedState) {
 		for _, residency := range held.Residencies {
-			a.Pool.RecordResidency(now, residency)
+			state.Pool.RecordResidency(now, residency)
 		}
 		for id, load := range held.Loads {
-			a.Pool.RecordHolderLoad(now, id, load)
+			state.Pool.RecordHolderLoad(now, id, load)
 		}
 	})
 }
@@ -128,10 +128,10 @@
 	now := time.Now()
 	n.overlay.recordContact(report.Instance, now)
 	held = mesh.HeldReport{Residencies: n.heldUpstreams.residencies(now), Loads: make(map[string]pool.Load)}
-	n.advice.WithLock(func(a *serve.SharedState) {
-		a.Pool.RecordPeerReport(now, report.Instance, report.Loads)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		state.Pool.RecordPeerReport(now, report.Instance, report.Loads)
 		for _, residency := range held.Residencies {
-			held.Loads[residency.Upstream] = a.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
+			held.Loads[residency.Upstream] = state.Pool.TotalExcluding(now, residency.Upstream, report.Instance)
 		}
 	})
 	n.heldUpstreams.wakeWaiting()
@@ -149,8 +149,8 @@
 func (n *Node) refreshReports() {
 	holders := n.view.liveHolders()
 	var loads map[string]pool.Load
-	n.advice.WithLock(func(a *serve.SharedState) {
-		loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] != "" })
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		loads = state.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] != "" })
 	})
 	for upstream := range loads {
 		if holder := holders[upstream]; holder != n.self.Name {
@@ -169,7 +169,7 @@
 		return
 	}
 	inFlight := false
-	n.advice.WithLock(func(a *serve.SharedState) { inFlight = a.Pool.HasOwnLoad(upstream) })
+	n.sharedState.WithLock(func(state *serve.SharedState) { inFlight = state.Pool.HasOwnLoad(upstream) })
 	if inFlight {
 		n.scheduleReport(holder.Instance)
 	}
--- a/internal/entry/node/reports_test.go
+++ b/internal/entry/node/reports_test.go
@@ -30,7 +30,7 @@
 	n := &Node{self: roster.Instance{Name: "self"}, heldUpstreams: newHeldUpstreams(), Log: zerolog.Nop()}
 	n.overlay.initialise("self")
 	n.peers = &mesh.Peers{Links: link.Links{Credentials: insecure.NewCredentials()}}
-	n.advice = &serve.SharedState{
+	n.sharedState = &serve.SharedState{
 		Pool: &pool.Pool{Settings: pool.DefaultSettings()}, Ledger: &quota.Ledger{Self: "self"},
 		Suspects: &suspect.Tracker{Settings: suspect.DefaultSettings()},
 	}
@@ -42,9 +42,9 @@
 		})
 	}
 	for upstream, holder := range holders {
-		n.advice.Pool.Declare(time.Now(), traffic.Upstream{ID: upstream, Service: "s", BatchSlots: 1})
+		n.sharedState.Pool.Declare(time.Now(), traffic.Upstream{ID: upstream, Service: "s", BatchSlots: 1})
 		n.setHolder(t, upstream, holder, int64(others+1))
-		n.advice.Pool.Begin(time.Now(), pool.Choice{Upstream: traffic.Upstream{ID: upstream}}, pool.Query{Service: "s"})
+		n.sharedState.Pool.Begin(time.Now(), pool.Choice{Upstream: traffic.Upstream{ID: upstream}}, pool.Query{Service: "s"})
 	}
 	return n
 }
--- a/internal/entry/node/shared_limits.go
+++ b/internal/entry/node/shared_limits.go
@@ -21,11 +21,11 @@
 	slack := n.current.Load().Retries.Slack
 	interval := n.overlay.currentStateInterval()
 	loadsFor := time.Duration(loadValidHeartbeats * float64(interval))
-	n.advice.WithLock(func(a *serve.SharedState) {
-		a.Retries.SetMax(slack / parts)
-		a.Pool.Settings.Instances = int(math.Ceil(parts))
-		a.Pool.Settings.HeartbeatInterval = interval
-		a.Pool.Settings.HolderLoadTTL = loadsFor
-		a.Pool.Settings.PeerLoadTTL = max(loadsFor, pool.DefaultSettings().PeerLoadTTL)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		state.Retries.SetMax(slack / parts)
+		state.Pool.Settings.Instances = int(math.Ceil(parts))
+		state.Pool.Settings.HeartbeatInterval = interval
+		state.Pool.Settings.HolderLoadTTL = loadsFor
+		state.Pool.Settings.PeerLoadTTL = max(loadsFor, pool.DefaultSettings().PeerLoadTTL)
 	})
 }
--- a/internal/entry/node/state_exchange.go
+++ b/internal/entry/node/state_exchange.go
@@ -84,7 +84,7 @@
 	}
 	n.refreshed.spentAt = now
 	var spent quota.Totals
-	n.advice.WithLock(func(a *serve.SharedState) { spent = a.Ledger.OwnTotals() })
+	n.sharedState.WithLock(func(state *serve.SharedState) { spent = state.Ledger.OwnTotals() })
 	recent := spent.ChangedSince(n.refreshed.spent)
 	n.refreshed.spent = spent
 	if delivery != spentWithState && len(recent) > 0 {
@@ -113,11 +113,11 @@
 		StoreUnreachable: n.storeUnreachable.Load(),
 	}
 	holders := n.view.liveHolders()
-	n.advice.WithLock(func(a *serve.SharedState) {
-		state.Spent = a.Ledger.OwnTotals()
-		state.Suspects = a.Suspects.LocalCounts(now)
-		state.Evidence = a.Pool.Evidence()
-		state.Loads = a.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
+	n.sharedState.WithLock(func(shared *serve.SharedState) {
+		state.Spent = shared.Ledger.OwnTotals()
+		state.Suspects = shared.Suspects.LocalCounts(now)
+		state.Evidence = shared.Pool.Evidence()
+		state.Loads = shared.Pool.OwnLoads(func(upstream string) bool { return holders[upstream] == "" })
 	})
 	return state
 }
@@ -125,9 +125,9 @@
 // heldReport returns the state of the held upstreams that is sent to all others.
 func (n *Node) heldReport(now time.Time, residencies []pool.Residency) mesh.HeldReport {
 	held := mesh.HeldReport{Residencies: residencies, Loads: make(map[string]pool.Load)}
-	n.advice.WithLock(func(a *serve.SharedState) {
+	n.sharedState.WithLock(func(state *serve.SharedState) {
 		for _, residency := range residencies {
-			held.Loads[residency.Upstream] = a.Pool.Total(now, residency.Upstream)
+			held.Loads[residency.Upstream] = state.Pool.Total(now, residency.Upstream)
 		}
 	})
 	return held
@@ -170,13 +170,13 @@
 	}
 	n.overlay.setStoreUnreachable(now, record.Instance, state.StoreUnreachable)
 	outdated := !n.overlay.recordSpentVersion(record)
-	n.advice.WithLock(func(a *serve.SharedState) {
+	n.sharedState.WithLock(func(shared *serve.SharedState) {
 		if !outdated {
-			a.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
+			shared.Ledger.MergeTotals(now, record.Instance, state.Incarnation, state.Spent)
 		}
-		a.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
-		a.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
-		a.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
+		shared.Suspects.SetPeerCounts(now, record.Instance, state.Suspects)
+		shared.Pool.RecordPeerLoads(now, record.Instance, state.Loads)
+		shared.Pool.RecordPeerEvidence(now, record.Instance, state.Evidence)
 	})
 	if len(state.Loads) > 0 {
 		n.heldUpstreams.wakeWaiting()
@@ -189,8 +189,8 @@
 	if err != nil || !n.overlay.recordSpentVersion(record) {
 		return err
 	}
-	n.advice.WithLock(func(a *serve.SharedState) {
-		a.Ledger.MergePartialTotals(now, record.Instance, state.Incarnation, state.Spent)
+	n.sharedState.WithLock(func(shared *serve.SharedState) {
+		shared.Ledger.MergePartialTotals(now, record.Instance, state.Incarnation, state.Spent)
 	})
 	return nil
 }
@@ -204,12 +204,12 @@
 	if !direct {
 		at = now.Add(-assumedRelayDelay)
 	}
-	n.advice.WithLock(func(a *serve.SharedState) {
+	n.sharedState.WithLock(func(state *serve.SharedState) {
 		for _, residency := range held.Residencies {
-			a.Pool.RecordResidency(now, residency)
+			state.Pool.RecordResidency(now, residency)
 		}
 		for id, load := range held.Loads {
-			a.Pool.RecordHolderTotal(at, id, load)
+			state.Pool.RecordHolderTotal(at, id, load)
 		}
 	})
 	return nil
--- a/internal/entry/node/store_view.go
+++ b/internal/entry/node/store_view.go
@@ -163,16 +163,16 @@
 	if item.Removed {
 		return false
 	}
-	fact, err := n.Decoder.Decode(item.Key, item.Value)
+	declaration, err := n.Decoder.Decode(item.Key, item.Value)
 	if err != nil {
 		n.Log.Warn().Err(err).Int64("Revision", item.Revision).Msg("EntryUnreadable")
 		return false
 	}
-	switch f := fact.(type) {
+	switch d := declaration.(type) {
 	case traffic.Configuration:
-		n.applyConfiguration(f, item.Revision, source)
+		n.applyConfiguration(d, item.Revision, source)
 	case traffic.AdapterVersion:
-		n.applyVersion(f, item.Revision)
+		n.applyVersion(d, item.Revision)
 	}
 	return true
 }
@@ -188,9 +188,9 @@
 	for _, workspace := range configuration.Workspaces {
 		limits[workspace.Name] = quota.Limit{Rate: workspace.Rate, Burst: workspace.Burst}
 	}
-	n.advice.WithLock(func(a *serve.SharedState) {
-		a.Pool.Configure(configuration.Services)
-		a.Ledger.SetLimits(time.Now(), limits)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		state.Pool.Configure(configuration.Services)
+		state.Ledger.SetLimits(time.Now(), limits)
 	})
 	n.Log.Info().Int64("Version", configuration.Version).Int64("Revision", revision).
 		Int("Routes", len(configuration.Routes)).Int("Workspaces", len(configuration.Workspaces)).
--- a/internal/entry/node/unreachable_upstream_test.go
+++ b/internal/entry/node/unreachable_upstream_test.go
@@ -31,9 +31,9 @@
 func heldUpstreamAt(address string) *heldUpstream {
 	n := &Node{Log: zerolog.Nop(), Orders: noResponseOrders{}, heldUpstreams: newHeldUpstreams()}
 	n.current.Store(&Settings{Upstreams: UpstreamSettings{FencesChecked: true}})
-	n.advice = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
+	n.sharedState = &serve.SharedState{Pool: &pool.Pool{Settings: pool.DefaultSettings()}}
 	upstream := traffic.Upstream{ID: "u", Service: "s", Address: address}
-	n.advice.Pool.Declare(time.Now(), upstream)
+	n.sharedState.Pool.Declare(time.Now(), upstream)
 	return &heldUpstream{node: n, upstream: upstream, fence: 1, wake: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
--- a/internal/entry/node/upstream_entries.go
+++ b/internal/entry/node/upstream_entries.go
@@ -16,7 +16,7 @@
 
 // applyEvacuation begins or ends the evacuation of a data centre.
 func (n *Node) applyEvacuation(dataCentre string, evacuated bool, revision int64) {
-	n.advice.WithLock(func(a *serve.SharedState) { a.Pool.SetEvacuated(time.Now(), dataCentre, evacuated) })
+	n.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.SetEvacuated(time.Now(), dataCentre, evacuated) })
 	n.Log.Info().Str("DataCentre", dataCentre).Bool("Evacuated", evacuated).Int64("Revision", revision).
 		Msg("DataCentreEvacuated")
 }
@@ -41,8 +41,8 @@
 		return true
 	}
 	delete(v.expired, id)
-	fact, err := n.Decoder.Decode(item.Key, item.Value)
-	upstream, ok := fact.(traffic.Upstream)
+	declaration, err := n.Decoder.Decode(item.Key, item.Value)
+	upstream, ok := declaration.(traffic.Upstream)
 	if err != nil || !ok {
 		n.Log.Warn().Err(err).Str("Upstream", id).Int64("Revision", item.Revision).Msg("EntryUnreadable")
 		n.removeUpstream(id, "unreadable", item.Revision)
@@ -50,9 +50,9 @@
 	}
 	var previous traffic.Upstream
 	known := false
-	n.advice.WithLock(func(a *serve.SharedState) {
-		previous, known = a.Pool.Upstream(id)
-		a.Pool.Declare(time.Now(), upstream)
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		previous, known = state.Pool.Upstream(id)
+		state.Pool.Declare(time.Now(), upstream)
 	})
 	urgent = !known || previous.Draining != upstream.Draining || previous.StartedMillis != upstream.StartedMillis ||
 		previous.Address != upstream.Address || previous.Service != upstream.Service ||
@@ -66,7 +66,7 @@
 }
 
 func (n *Node) removeUpstream(id, why string, revision int64) {
-	n.advice.WithLock(func(a *serve.SharedState) { a.Pool.Remove(id) })
+	n.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.Remove(id) })
 	n.Log.Info().Str("Upstream", id).Str("Why", why).Int64("Revision", revision).Msg("UpstreamGone")
 }
 
