--- a/internal/admission/claim/fuzz_test.go
+++ b/internal/admission/claim/fuzz_test.go
@@ -150,7 +150,7 @@
 	c := &call{instance: i}
 	c.key = rapid.SampledFrom(keys).Draw(rt, "key")
 	c.body = rapid.SampledFrom([]string{"ten", "ten", "twenty"}).Draw(rt, "body")
-	timeout := rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience")
+	timeout := rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 5 * time.Second}).Draw(rt, "timeout")
 	go w.claim(c, timeout)
 }
 
--- a/internal/caller/api/bad_input_test.go
+++ b/internal/caller/api/bad_input_test.go
@@ -101,8 +101,8 @@
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	_, _ = io.WriteString(conn, text)
-	answer, _ := io.ReadAll(conn)
-	return string(answer)
+	response, _ := io.ReadAll(conn)
+	return string(response)
 }
 
 func requestHead(lines ...string) string {
@@ -129,9 +129,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			answer := sendRaw(t, server.address, c.text)
-			if !strings.Contains(answer, c.want) {
-				t.Fatalf("unexpected answer %q", answer)
+			response := sendRaw(t, server.address, c.text)
+			if !strings.Contains(response, c.want) {
+				t.Fatalf("unexpected response %q", response)
 			}
 		})
 	}
@@ -172,10 +172,10 @@
 	held, err := net.Dial("tcp", server.address)
 	is.NoErr(err)
 	for {
-		answer := sendRaw(t, server.address, "")
-		if strings.Contains(answer, "503") {
-			is.True(strings.Contains(answer, "Retry-After: 1"))
-			is.True(strings.Contains(answer, `"code":"busy"`))
+		response := sendRaw(t, server.address, "")
+		if strings.Contains(response, "503") {
+			is.True(strings.Contains(response, "Retry-After: 1"))
+			is.True(strings.Contains(response, `"code":"busy"`))
 			break
 		}
 	}
--- a/internal/caller/api/forwarding_benchmark_test.go
+++ b/internal/caller/api/forwarding_benchmark_test.go
@@ -237,17 +237,17 @@
 		return err
 	}
 	request.Header.Set("Authorization", "Bearer secret")
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
 	if got := strings.Count(string(text), " paint"); got != tokens || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
-		return fmt.Errorf("status %d, %d tokens", answer.StatusCode, got)
+		return fmt.Errorf("status %d, %d tokens", response.StatusCode, got)
 	}
 	return nil
 }
--- a/internal/caller/api/services.go
+++ b/internal/caller/api/services.go
@@ -28,21 +28,21 @@
 		return err
 	}
 	state := stateOf(c)
-	answer, err := s.Pipeline.Call(c.Request().Context(), state.identity, call)
+	response, err := s.Pipeline.Call(c.Request().Context(), state.identity, call)
 	if err != nil {
 		return err
 	}
 	header := c.Response().Header()
-	for name, values := range service.ForwardableHeader(answer.Header) {
+	for name, values := range service.ForwardableHeader(response.Header) {
 		header[name] = values
 	}
 	header.Set(refusal.HeaderRun, string(refusal.Ran))
 	s.extendWriteDeadline(c)
-	c.Response().WriteHeader(answer.Status)
-	if len(answer.Body) == 0 {
+	c.Response().WriteHeader(response.Status)
+	if len(response.Body) == 0 {
 		return nil
 	}
-	_, err = c.Response().Write(answer.Body)
+	_, err = c.Response().Write(response.Body)
 	return err
 }
 
--- a/internal/entry/pipeline/service_call.go
+++ b/internal/entry/pipeline/service_call.go
@@ -29,7 +29,7 @@
 // Call calls a plain service.
 func (p *Pipeline) Call(
 	ctx context.Context, identity api.Identity, call api.ServiceCall,
-) (answer service.Response, err error) {
+) (response service.Response, err error) {
 	startedAt := time.Now()
 	defer func() { p.reportServiceCall(identity, call, startedAt, err) }()
 	target, err := p.resolveService(identity, call.Service)
@@ -76,20 +76,20 @@
 // callRepeatable tries the service's addresses in random order until one answers.
 func (p *Pipeline) callRepeatable(
 	ctx context.Context, identity api.Identity, target resource.Service, call service.Call,
-) (answer service.Response, err error) {
+) (response service.Response, err error) {
 	ctx, done := p.RunningRequests.add(ctx, identity)
 	defer done()
 	p.State.WithLock(func(state *SharedState) {
 		state.Retries.CountFirstTry()
 	})
-	noAnswer := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
+	noResponse := refusal.New(refusal.ServiceUnavailable, "no address of the service answers").
 		WithRetryAfter(time.Second)
 	for i, index := range rand.Perm(len(target.Addresses)) {
 		if i > 0 && !p.allowRetry() {
 			break
 		}
 		if _, err := p.checkIdentity(identity); err != nil {
-			return service.Response{}, refusal.From(err).WithRun(noAnswer.Run())
+			return service.Response{}, refusal.From(err).WithRun(noResponse.Run())
 		}
 		outcome := p.Services.Do(ctx, target.Addresses[index], call)
 		if ran, ok := outcome.(service.Ran); ok {
@@ -99,10 +99,10 @@
 			return service.Response{}, contextRefusal(ctx, refusal.Unknown)
 		}
 		if _, unknown := outcome.(service.Unknown); unknown {
-			noAnswer = noAnswer.WithRun(refusal.Unknown)
+			noResponse = noResponse.WithRun(refusal.Unknown)
 		}
 	}
-	return service.Response{}, noAnswer
+	return service.Response{}, noResponse
 }
 
 // callOnce claims the call's idempotency key and sends the call at most once.
@@ -124,7 +124,7 @@
 	case claim.Proceed:
 		return p.sendOnce(ctx, identity, target, call, d.Ticket)
 	case claim.Replay:
-		return replayedAnswer(d)
+		return replayedResponse(d)
 	case claim.InProgress:
 		return service.Response{}, refusal.New(refusal.InProgress, "a call with this idempotency key is running").
 			WithRetryAfter(d.RetryAfter)
@@ -145,16 +145,16 @@
 		WithRetryAfter(retryAfter)
 }
 
-// replayedAnswer returns the recorded response of the first call to a repeated one.
-func replayedAnswer(d claim.Replay) (service.Response, error) {
+// replayedResponse returns the recorded response of the first call to a repeated one.
+func replayedResponse(d claim.Replay) (service.Response, error) {
 	if !d.Kept {
 		return service.Response{}, refusal.New(refusal.IdempotencyKeyReused,
 			"the call ran; its answer was too large to be kept").WithRun(refusal.Ran)
 	}
-	answer := service.Response{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
-	answer.Header.Set("Content-Type", d.Response.ContentType)
-	answer.Header.Set("Idempotency-Replayed", "true")
-	return answer, nil
+	response := service.Response{Status: d.Response.Status, Body: d.Response.Body, Header: map[string][]string{}}
+	response.Header.Set("Content-Type", d.Response.ContentType)
+	response.Header.Set("Idempotency-Replayed", "true")
+	return response, nil
 }
 
 // sendOnce sends a claimed call. The call is completed even if the caller disconnects, so that its outcome is known
--- a/internal/entry/pipeline/service_call_test.go
+++ b/internal/entry/pipeline/service_call_test.go
@@ -51,10 +51,10 @@
 		_, err := second.callService(t.Context(), http.MethodPost, "payment-1")
 		checkRefused(t, err, refusal.InProgress, refusal.Unknown)
 		time.Sleep(5 * time.Second)
-		answer, err := second.callService(t.Context(), http.MethodPost, "payment-1")
+		response, err := second.callService(t.Context(), http.MethodPost, "payment-1")
 		is := is.New(t)
 		is.NoErr(err)
-		is.Equal(string(answer.Body), "booked")
+		is.Equal(string(response.Body), "booked")
 		is.Equal(first.calls+second.calls, 1)
 	})
 }
--- a/internal/fleet/mesh/compression.go
+++ b/internal/fleet/mesh/compression.go
@@ -98,7 +98,7 @@
 	return buffer.Bytes(), nil
 }
 
-// decompress returns the items of a reply, which may be compressed or not.
+// decompress returns the items of a response, which may be compressed or not.
 func decompress(reply *meshpb.CatchUpReply) (items []replica.Item, err error) {
 	defer func() { err = errors.WithMessage(err, "mesh: decompress batch") }()
 	if len(reply.GetPacked()) == 0 {
--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -18,8 +18,8 @@
 // Client calls peers by address. Set Links.Credentials before the first call.
 type Client struct{ link.Links }
 
-func (d *Client) client(address string) (fleetpb.FleetClient, error) {
-	connection, err := d.Connection(address)
+func (c *Client) client(address string) (fleetpb.FleetClient, error) {
+	connection, err := c.Connection(address)
 	if err != nil {
 		return nil, err
 	}
@@ -29,9 +29,9 @@
 // ---------------------------------------------------------------------------------------------
 
 // Ping sends a heartbeat and returns the peer's.
-func (d *Client) Ping(ctx context.Context, address string, heartbeat Heartbeat) (_ Heartbeat, err error) {
+func (c *Client) Ping(ctx context.Context, address string, heartbeat Heartbeat) (_ Heartbeat, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: ping") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return Heartbeat{}, err
 	}
@@ -44,9 +44,9 @@
 
 // BorrowTokens borrows tokens from a peer. After an error the tokens may have been deducted there; the lender takes them
 // back once they can no longer be spent.
-func (d *Client) BorrowTokens(ctx context.Context, address string, request TokenRequest) (_ rate.Loan, err error) {
+func (c *Client) BorrowTokens(ctx context.Context, address string, request TokenRequest) (_ rate.Loan, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: borrow tokens") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return rate.Loan{}, err
 	}
@@ -70,9 +70,9 @@
 
 // Place asks the holder at address to place a request, and waits in its queue. After an error a pin may have been granted
 // there; release it by the ID of the request.
-func (d *Client) Place(ctx context.Context, address string, request PlaceRequest) (_ Placement, err error) {
+func (c *Client) Place(ctx context.Context, address string, request PlaceRequest) (_ Placement, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: place request") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return nil, err
 	}
@@ -84,9 +84,9 @@
 }
 
 // Release ends a pin.
-func (d *Client) Release(ctx context.Context, address string, request ReleaseRequest) (err error) {
+func (c *Client) Release(ctx context.Context, address string, request ReleaseRequest) (err error) {
 	defer func() { err = errors.WithMessage(err, "peer: release pin") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return err
 	}
@@ -95,9 +95,9 @@
 }
 
 // Pins requests the list of a member's pins on an upstream.
-func (d *Client) Pins(ctx context.Context, address, upstream string, epoch int64) (_ PinList, err error) {
+func (c *Client) Pins(ctx context.Context, address, upstream string, epoch int64) (_ PinList, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: list pins") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return PinList{}, err
 	}
@@ -109,9 +109,9 @@
 }
 
 // PermitLoad requests a load permit from the load broker at address, and waits for its decision.
-func (d *Client) PermitLoad(ctx context.Context, address string, request broker.PermitRequested) (_ LoadPermit, err error) {
+func (c *Client) PermitLoad(ctx context.Context, address string, request broker.PermitRequested) (_ LoadPermit, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: request load permit") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return LoadPermit{}, err
 	}
@@ -128,9 +128,9 @@
 }
 
 // EndLoad notifies the load broker that a load has ended, or that its permit is returned unused.
-func (d *Client) EndLoad(ctx context.Context, address string, load broker.Load, unused bool) (err error) {
+func (c *Client) EndLoad(ctx context.Context, address string, load broker.Load, unused bool) (err error) {
 	defer func() { err = errors.WithMessage(err, "peer: end load") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return err
 	}
@@ -144,9 +144,9 @@
 }
 
 // BurnCounts requests the counts that a peer contributes to the burn report.
-func (d *Client) BurnCounts(ctx context.Context, address string) (_ []burn.Count, err error) {
+func (c *Client) BurnCounts(ctx context.Context, address string) (_ []burn.Count, err error) {
 	defer func() { err = errors.WithMessage(err, "peer: get burn counts") }()
-	client, err := d.client(address)
+	client, err := c.client(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -14,8 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Heartbeat is the state that an instance reports to its peers; the response to a heartbeat is another one. ConfirmedAge is
-// the time since a read of the store showed Revision as the newest; negative if unknown.
+// Heartbeat is the state that an instance reports to its peers; the reply to a heartbeat is another one. ConfirmedAge
+// is the time since a read of the store showed Revision as the newest; negative if unknown.
 type Heartbeat struct {
 	Instance     string
 	Incarnation  string
@@ -98,7 +98,7 @@
 
 // Handler handles calls from peers. Calls with a context may block; the context ends when the caller disconnects.
 type Handler interface {
-	Heartbeat(beat Heartbeat) Heartbeat
+	Heartbeat(heartbeat Heartbeat) Heartbeat
 	LendTokens(request TokenRequest) rate.Loan
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
--- a/internal/fleet/peer/round_trip_test.go
+++ b/internal/fleet/peer/round_trip_test.go
@@ -248,7 +248,7 @@
 	pins := pinsRequest{upstream: name.Draw(t, "upstream"), epoch: number.Draw(t, "epoch")}
 	handler.pins = peer.PinList{
 		Instance: name.Draw(t, "instance"), Incarnation: name.Draw(t, "incarnation"),
-		EpochInstalled: rapid.Bool().Draw(t, "noted"), Pins: listOf(t, pin),
+		EpochInstalled: rapid.Bool().Draw(t, "epoch installed"), Pins: listOf(t, pin),
 	}
 	pinList, err := client.Pins(ctx, address, pins.upstream, pins.epoch)
 	same("Pins", err, pins, handler.pins, pinList)
--- a/internal/placement/pool/overload.go
+++ b/internal/placement/pool/overload.go
@@ -41,7 +41,7 @@
 ) (retryAfter time.Duration, refused bool) {
 	eta := choice.Expected + choice.SlotWait
 	queued := choice.Expected - choice.ExpectedIdle
-	hopeless := eta > budget.Remaining
+	exceedsBudget := eta > budget.Remaining
 	maxQueued := scale(maxQueueFraction, budget.Objective)
 	if choice.ExpectedIdle > budget.OnTime-maxQueued {
 		maxQueued = budget.Objective
@@ -49,7 +49,7 @@
 	late := budget.Objective > 0 && eta > budget.OnTime && queued > maxQueued
 	short := queued <= scale(shortQueueFraction, budget.Objective)
 	standing := p.statsOf(query.Service).recordQueue(now, late, short) > budget.Objective
-	if !hopeless && !(late && standing) {
+	if !exceedsBudget && !(late && standing) {
 		return 0, false
 	}
 	wait := queued + choice.SlotWait - scale(shortQueueFraction, budget.Objective)
--- a/internal/placement/suspect/tracker_test.go
+++ b/internal/placement/suspect/tracker_test.go
@@ -14,8 +14,8 @@
 	return &suspect.Tracker{Settings: suspect.DefaultSettings()}
 }
 
-func verdict(r *suspect.Tracker, f suspect.Fingerprint) suspect.Verdict {
-	v, _ := r.Judge(time.Now(), f)
+func verdict(tracker *suspect.Tracker, f suspect.Fingerprint) suspect.Verdict {
+	v, _ := tracker.Judge(time.Now(), f)
 	return v
 }
 
--- a/internal/placement/turn/queue_test.go
+++ b/internal/placement/turn/queue_test.go
@@ -19,16 +19,16 @@
 }
 
 // enqueue adds prompts to a queue, one a millisecond.
-func enqueue(l *turn.Queue, prompts ...*turn.Prompt) []*turn.Prompt {
+func enqueue(q *turn.Queue, prompts ...*turn.Prompt) []*turn.Prompt {
 	for _, one := range prompts {
-		l.Enqueue(time.Now(), one)
+		q.Enqueue(time.Now(), one)
 		time.Sleep(ms)
 	}
 	return prompts
 }
 
 // dispatchAll dispatches all queued prompts and returns the time at which each was dispatched.
-func dispatchAll(l *turn.Queue, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
+func dispatchAll(q *turn.Queue, streams bool, prompts ...*turn.Prompt) map[*turn.Prompt]time.Duration {
 	start := time.Now()
 	dispatched := make(map[*turn.Prompt]time.Duration)
 	for len(dispatched) < len(prompts) {
@@ -36,7 +36,7 @@
 			if _, done := dispatched[one]; done {
 				continue
 			}
-			if _, ok := l.TryDispatch(time.Now(), one, streams); ok {
+			if _, ok := q.TryDispatch(time.Now(), one, streams); ok {
 				dispatched[one] = time.Since(start)
 			}
 		}
