--- a/internal/admission/rate/ledger.go
+++ b/internal/admission/rate/ledger.go
@@ -128,20 +128,20 @@
 
 func (l *Ledger) insufficientTokens(b *bucket, missing float64) *InsufficientTokensError {
 	fleetRate := b.rate()
-	elsewhere := 0.0
+	peerTokens := 0.0
 	for _, peer := range l.peers() {
-		elsewhere += l.estimate(b, peer)
+		peerTokens += l.estimate(b, peer)
 	}
 	if fraction := b.current().fraction; fraction > 0 {
 		fleetRate = b.current().rate
 	}
 	wait := time.Second
 	if fleetRate > 0 {
-		wait = time.Duration(max(missing-elsewhere, 0) / fleetRate * float64(time.Second))
+		wait = time.Duration(max(missing-peerTokens, 0) / fleetRate * float64(time.Second))
 	}
 	return &InsufficientTokensError{
-		Missing: missing, RetryAfter: max(wait, time.Millisecond), WithinRate: elsewhere >= missing,
-		Level: b.level, OwnCapacity: b.own(), PeerTokens: elsewhere, PendingShares: len(b.shares) - 1,
+		Missing: missing, RetryAfter: max(wait, time.Millisecond), WithinRate: peerTokens >= missing,
+		Level: b.level, OwnCapacity: b.own(), PeerTokens: peerTokens, PendingShares: len(b.shares) - 1,
 	}
 }
 
--- a/internal/admission/rate/simulation_test.go
+++ b/internal/admission/rate/simulation_test.go
@@ -125,12 +125,12 @@
 
 // heartbeat returns the delivery of a heartbeat that is sent now; it queues the delivery of the reply.
 func (w *simulation) heartbeat(from, to *node) func() bool {
-	asked := time.Now()
+	sentAt := time.Now()
 	return w.toNode(to, func() {
 		revision, age := to.tracker.Confirmed()
 		reply := freshness.Reply{
 			Member: freshness.Member{Name: to.member.Name, Incarnation: to.member.Incarnation},
-			SentAt: asked, Revision: revision, ConfirmedAge: age,
+			SentAt: sentAt, Revision: revision, ConfirmedAge: age,
 		}
 		w.inTransit = append(w.inTransit, w.toNode(from, func() { from.tracker.RecordReply(reply) }))
 	})
--- a/internal/catalog/configuration/apply.go
+++ b/internal/catalog/configuration/apply.go
@@ -80,7 +80,8 @@
 	resources draft[resource.Resource]
 	keyNames  draft[string]
 	referrers draft[int]
-	// listsChanged says that an upstream or a service changed, so that their lists must be rebuilt.
+	// listsChanged means that an upstream or a service changed, so that their lists must be
+	// rebuilt.
 	listsChanged bool
 	// duplicateHashes are the keys whose hash another key already had when they were declared.
 	duplicateHashes []resource.ID
--- a/internal/catalog/repository/commit.go
+++ b/internal/catalog/repository/commit.go
@@ -27,7 +27,8 @@
 	maxValueBytes = 1 << 20
 )
 
-// ErrTooLarge says that the change would make a part larger than the store accepts; nothing was changed.
+// ErrTooLarge means that the change would make a part larger than the store accepts; nothing was
+// changed.
 var ErrTooLarge = errors.New("repository: the configuration is too large for the store")
 
 // Mutation returns the next head and configuration, given the newest ones. It may be called several
--- a/internal/catalog/repository/repository.go
+++ b/internal/catalog/repository/repository.go
@@ -20,14 +20,14 @@
 // HeadKey is the store key of the pointer to the head.
 const HeadKey = "head"
 
-// ErrRevisionRegressed says that the store returned a head of a lower revision than one it returned
-// before, or another head of the same revision. Either the read was stale, and the next one is not, or
-// the store has lost writes and an operator has to investigate. The instance keeps its head, unconfirmed,
-// because installing the old one would make a withdrawn key valid again.
+// ErrRevisionRegressed means that the store returned a head of a lower revision than one it
+// returned before, or another head of the same revision. Either the read was stale, and the next
+// one is not, or the store has lost writes and an operator has to investigate. The instance keeps
+// its head, unconfirmed, because installing the old one would make a withdrawn key valid again.
 var ErrRevisionRegressed = errors.New("repository: the store's head is older than the one known")
 
-// ErrPartMissing says that a part that the head references is not in the store, although the head was
-// read again.
+// ErrPartMissing means that a part that the head references is not in the store, although the head
+// was read again.
 var ErrPartMissing = errors.New("repository: a part of the configuration is missing")
 
 // Snapshot is an instance's immutable copy of the head and the configuration.
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -45,11 +45,11 @@
 // Run sweeps one index after the other until the context ends. An index that cannot be swept because the
 // store is unavailable is swept again in the next round.
 func (s *Sweeper) Run(ctx context.Context) error {
-	every := s.SweepInterval
-	if every <= 0 {
-		every = DefaultSweepInterval
+	interval := s.SweepInterval
+	if interval <= 0 {
+		interval = DefaultSweepInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for index := 0; ; {
 		select {
@@ -140,10 +140,10 @@
 		s.unreferencedSince[key] = time.Now()
 		return false
 	}
-	return time.Since(since) >= s.grace()
+	return time.Since(since) >= s.gracePeriod()
 }
 
-func (s *Sweeper) grace() time.Duration {
+func (s *Sweeper) gracePeriod() time.Duration {
 	if s.GracePeriod > 0 {
 		return s.GracePeriod
 	}
--- a/internal/entry/holding/runner.go
+++ b/internal/entry/holding/runner.go
@@ -24,7 +24,7 @@
 // Peers makes the calls of holders to the members, including this instance.
 type Peers interface {
 	Pins(ctx context.Context, member head.Member, upstream string, epoch int64) (peer.PinList, error)
-	PermitLoad(ctx context.Context, asked broker.PermitRequested) (peer.LoadPermit, error)
+	PermitLoad(ctx context.Context, request broker.PermitRequested) (peer.LoadPermit, error)
 	EndLoad(ctx context.Context, load broker.Load, unused bool) error
 }
 
--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -31,7 +31,7 @@
 	stop     context.CancelFunc
 	ended    chan error
 	mutex    sync.Mutex
-	reread   func() (node.Settings, error)
+	reload   func() (node.Settings, error)
 	log      *logBuffer
 }
 
@@ -99,7 +99,7 @@
 		Upstreams: node.UpstreamSettings{FencesChecked: true},
 		Retries:   node.RetrySettings{Ratio: 0.2, Slack: 54},
 	}
-	i.reread = func() (node.Settings, error) { return i.settings, nil }
+	i.reload = func() (node.Settings, error) { return i.settings, nil }
 	n := &node.Node{
 		Settings: i.settings, Store: i.client, Decoder: decoder{}, Dialect: dialect{},
 		Orders: &acceptingOrders{}, ReadyPath: pathReady, Log: zerolog.New(i.log).With().Timestamp().Logger(),
@@ -108,7 +108,7 @@
 		ReloadSettings: func() (node.Settings, error) {
 			i.mutex.Lock()
 			defer i.mutex.Unlock()
-			return i.reread()
+			return i.reload()
 		},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -291,7 +291,7 @@
 	member := start(t, s, "a")
 	eventually(t, 2*time.Second, "ready", member.ready)
 	member.mutex.Lock()
-	member.reread = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
+	member.reload = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
 	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	changed := member.settings
 	changed.Retries.Slack = 5
 	member.mutex.Lock()
-	member.reread = func() (node.Settings, error) { return changed, nil }
+	member.reload = func() (node.Settings, error) { return changed, nil }
 	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/internal/entry/node/held_upstream.go
+++ b/internal/entry/node/held_upstream.go
@@ -77,7 +77,7 @@
 		case residence.SendOrder:
 			h.sendOrder(ctx, step.Order)
 		case residence.FetchReport:
-			h.inspect(ctx)
+			h.fetchReport(ctx)
 		case residence.Idle:
 			h.pause(ctx, min(time.Until(step.Until), maxIdle))
 		}
@@ -157,7 +157,7 @@
 	}
 }
 
-func (h *heldUpstream) inspect(ctx context.Context) {
+func (h *heldUpstream) fetchReport(ctx context.Context) {
 	report, err := h.node.Orders.Report(ctx, h.upstream)
 	unreachable := err != nil && !h.isReachable(ctx)
 	if ctx.Err() != nil {
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -145,7 +145,7 @@
 	holder, found := n.view.roster.Holder(id)
 	revision := n.view.replica.Revision()
 	n.view.mutex.Unlock()
-	if !n.isOpen(upstream) {
+	if !n.acceptsRequests(upstream) {
 		n.stopHolding(id) // stop loading adapters, and notify waiting requests immediately
 		return 0, false
 	}
@@ -164,8 +164,8 @@
 	return holder.Fence, !found || n.mayReplaceEarly() && n.isHolderLost(now, holder.Instance)
 }
 
-// isOpen reports whether an upstream takes new requests.
-func (n *Node) isOpen(upstream traffic.Upstream) (open bool) {
+// acceptsRequests reports whether an upstream takes new requests.
+func (n *Node) acceptsRequests(upstream traffic.Upstream) (open bool) {
 	n.sharedState.WithLock(func(state *serve.SharedState) { open = state.Pool.AcceptsRequests(upstream) })
 	return open
 }
--- a/internal/entry/node/periodic.go
+++ b/internal/entry/node/periodic.go
@@ -68,9 +68,9 @@
 	}
 	v.mutex.Unlock()
 	n.setSharedLimits(len(names))
-	silentAfter := missedHeartbeats * n.overlay.currentStateInterval()
+	peerTimeout := missedHeartbeats * n.overlay.currentStateInterval()
 	n.sharedState.WithLock(func(state *serve.SharedState) {
-		state.Ledger.PeerTimeout = silentAfter
+		state.Ledger.PeerTimeout = peerTimeout
 		state.Ledger.SetPeers(now, names)
 	})
 }
--- a/internal/entry/node/unreachable_upstream_test.go
+++ b/internal/entry/node/unreachable_upstream_test.go
@@ -66,7 +66,7 @@
 			}
 			go func() { responses <- h.prepare(ctx, request) }()
 			time.Sleep(50 * time.Millisecond)
-			h.inspect(ctx)
+			h.fetchReport(ctx)
 			select {
 			case prepared := <-responses:
 				_, busy := prepared.(mesh.Busy)
--- a/internal/entry/node/upstream_entries.go
+++ b/internal/entry/node/upstream_entries.go
@@ -65,9 +65,9 @@
 	return urgent
 }
 
-func (n *Node) removeUpstream(id, why string, revision int64) {
+func (n *Node) removeUpstream(id, reason string, revision int64) {
 	n.sharedState.WithLock(func(state *serve.SharedState) { state.Pool.Remove(id) })
-	n.Log.Info().Str("Upstream", id).Str("Why", why).Int64("Revision", revision).Msg("UpstreamGone")
+	n.Log.Info().Str("Upstream", id).Str("Why", reason).Int64("Revision", revision).Msg("UpstreamGone")
 }
 
 // removeExpired removes the upstreams that have not written their entry again after an outage.
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -104,7 +104,7 @@
 func (d *Detector) findFailed() []Action {
 	alive, failed := d.partition()
 	if len(failed) == 0 || len(alive) <= len(d.head.Members)/2 {
-		// An instance without answers from a majority is more likely partitioned than the only one alive. It must
+		// An instance without replies from a majority is more likely partitioned than the only one alive. It must
 		// not remove the others one after the other.
 		return nil
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -2,7 +2,7 @@
 // head. The daemon reads the head, computes the next one here and swaps it in the store.
 //
 // Members change one at a time, and each change waits until the previous one is in force everywhere. While the store is
-// down, instances stay fresh by answers from a majority of the members of their head (package freshness). Any two
+// down, instances stay fresh by replies from a majority of the members of their head (package freshness). Any two
 // majorities of two heads that differ by one member have a member in common. With heads that differ by more they need
 // not: a group of instances partitioned with an old head would go on serving what a newer head, in force for all
 // others, had withdrawn. The alternative, requiring a majority of every member list since the last one in force, was
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -92,7 +92,7 @@
 	is.True(!found)
 }
 
-// One member stops answering heartbeats. Few of the others may try to remove it, and none that gets no answers from a
+// One member stops answering heartbeats. Few of the others may try to remove it, and none that gets no replies from a
 // majority: otherwise a partitioned instance would remove the whole fleet.
 func TestFewMembersRemoveAFailedOne(t *testing.T) {
 	tests := []struct {
@@ -123,7 +123,7 @@
 	}
 }
 
-// runDetector gives one detector the answers of all members but the unresponsive ones, and returns its last actions.
+// runDetector gives one detector the replies of all members but the unresponsive ones, and returns its last actions.
 func runDetector(self string, names, unresponsive []string) []membership.Action {
 	d := &membership.Detector{Self: self}
 	d.Handle(membership.HeadInstalled{Head: fleet(names...)})
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -42,8 +42,8 @@
 	SpareOnly bool
 }
 
-// PlaceRequest asks the holder of Upstream to place a request. Request.Deadline is sent as the remaining time, because
-// the clocks of instances differ. Epoch is the newest epoch that the caller knows.
+// PlaceRequest requests a batch slot from the holder of Upstream. Request.Deadline is sent as the remaining time,
+// because the clocks of instances differ. Epoch is the newest epoch that the caller knows.
 type PlaceRequest struct {
 	Upstream string
 	Epoch    int64
@@ -103,7 +103,7 @@
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
 	Pins(upstream string, epoch int64) PinList
-	PermitLoad(ctx context.Context, asked broker.PermitRequested) LoadPermit
+	PermitLoad(ctx context.Context, request broker.PermitRequested) LoadPermit
 	EndLoad(load broker.Load, unused bool)
 	BurnCounts() []burn.Count
 }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -22,7 +22,7 @@
 	return string(found.Value)
 }
 
-// A peer's answer is in flight while the store's watch delivers a newer value. If the late answer were applied, the
+// A peer's response is in flight while the store's watch delivers a newer value. If the late response were applied, the
 // instance would return to an older configuration.
 func TestOlderValueIsDropped(t *testing.T) {
 	is := is.New(t)
@@ -65,7 +65,7 @@
 	is.Equal(value(&r, "new"), "z")
 }
 
-// An instance starts with a snapshot, in which a removed key is missing. A peer's answer to an earlier request then
+// An instance starts with a snapshot, in which a removed key is missing. A peer's response to an earlier request then
 // contains the key's last value. If it were applied, the upstream that left would be used again.
 func TestLateAnswerDoesNotBringARemovedKeyBack(t *testing.T) {
 	is := is.New(t)
--- a/internal/gateway/serve/dispatch.go
+++ b/internal/gateway/serve/dispatch.go
@@ -190,8 +190,8 @@
 		Version:     query.Version,
 		LastEventID: j.call.LastEventID,
 	}
-	if j.lastEvent != "" {
-		info.LastEventID = j.lastEvent
+	if j.lastEventID != "" {
+		info.LastEventID = j.lastEventID
 	}
 	silenceTimer := time.AfterFunc(j.silenceTimeout(choice), func() { cancel(errNoData) })
 	defer silenceTimer.Stop()
@@ -256,11 +256,11 @@
 }
 
 // refuseUnplaced returns the refusal for a request if no upstream can be chosen.
-func (j *job) refuseUnplaced(why error, choice pool.Choice, query pool.Query, last error) error {
+func (j *job) refuseUnplaced(cause error, choice pool.Choice, query pool.Query, last error) error {
 	if j.mayHaveRun || j.shortestWait > 0 {
 		return j.exhausted(last)
 	}
-	if errors.Is(why, pool.ErrFull) {
+	if errors.Is(cause, pool.ErrFull) {
 		var retryAfter time.Duration
 		j.handler.State.WithLock(func(state *SharedState) { retryAfter = state.Pool.RetryWhenFull(time.Now(), query) })
 		j.step("full").Str("Upstream", choice.Upstream.ID).Int("Running", choice.Running).
--- a/internal/gateway/serve/holder_busy_test.go
+++ b/internal/gateway/serve/holder_busy_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a refusal after a few of many upstreams had no free adapter slot although another upstream has one,
-// and against a retry time at which no holder expects a free slot.
+// and against a retry time at which no holder expects a free adapter slot.
 func TestAllBusyHoldersAreQueried(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/gateway/serve/job.go
+++ b/internal/gateway/serve/job.go
@@ -55,7 +55,7 @@
 	firstByte time.Time
 	// longestPause is the longest time between two events of a stream from the same upstream.
 	longestPause time.Duration
-	lastEvent    string
+	lastEventID  string
 	upstream     string
 	// bytes is the number of bytes of the response body that were sent to the caller.
 	bytes int64
--- a/internal/gateway/serve/relay.go
+++ b/internal/gateway/serve/relay.go
@@ -183,7 +183,7 @@
 	}
 	r.measurePause(time.Now())
 	if id := lastID(data); id != "" {
-		j.lastEvent = id
+		j.lastEventID = id
 	}
 	return http.NewResponseController(j.writer).Flush()
 }
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -248,7 +248,7 @@
 	j.fingerprint = suspect.FingerprintOf(j.workspace.Name, j.call.Method+" "+j.call.Host+j.call.Target, j.call.Body)
 	var retryAfter time.Duration
 	admitted := false
-	shareSpent := false
+	publishSpent := false
 	verdict := suspect.Free
 	j.handler.State.WithLock(func(state *SharedState) {
 		verdict, retryAfter = state.Suspects.Judge(now, j.fingerprint)
@@ -256,10 +256,10 @@
 			retryAfter, admitted = state.Ledger.Admit(now, j.workspace.Name, j.cost)
 		}
 		if admitted {
-			shareSpent = len(state.Ledger.TakeUrgentRecipients(now)) > 0
+			publishSpent = len(state.Ledger.TakeUrgentRecipients(now)) > 0
 		}
 	})
-	if shareSpent {
+	if publishSpent {
 		j.handler.Fleet.PublishSpent()
 	}
 	j.alone = verdict == suspect.Alone
--- a/internal/placement/pool/in_flight.go
+++ b/internal/placement/pool/in_flight.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// RecordHolderLoad records what all instances but this one have in flight at an upstream, from its holder's answer to a
-// report.
+// RecordHolderLoad records what all instances but this one have in flight at an upstream, from its holder's response to
+// a report.
 func (p *Pool) RecordHolderLoad(now time.Time, id string, load Load) {
 	if u := p.upstreams[id]; u != nil {
 		u.holderLoad = load
@@ -136,7 +136,7 @@
 	return total
 }
 
-// Total is what all instances have in flight at an upstream, plus the prompts that wait for their turn, for the
+// Total is what all instances have in flight at an upstream, plus the prompts that wait for their prefill turn, for the
 // instance that holds it.
 func (p *Pool) Total(now time.Time, id string) (total Load) {
 	u := p.upstreams[id]
@@ -158,7 +158,7 @@
 	return u.own.plus(u.peerLoad)
 }
 
-// SetAwaitingTurn records the tokens of the prompts that wait for their turn at an upstream that this instance
+// SetAwaitingTurn records the tokens of the prompts that wait for their prefill turn at an upstream that this instance
 // holds.
 func (p *Pool) SetAwaitingTurn(id string, tokens int) {
 	if u := p.upstreams[id]; u != nil {
--- a/internal/placement/pool/pool.go
+++ b/internal/placement/pool/pool.go
@@ -91,7 +91,7 @@
 type Residency struct {
 	Upstream string
 	// Fence is the fencing token of the holder: reports of an earlier holder are dropped. Version rises under one
-	// fencing token: a report that arrives through relays may be older than the holder's answer to a report.
+	// fencing token: a report that arrives through relays may be older than the holder's response to a report.
 	Fence   int64
 	Version int64
 	Loaded  []Resident
@@ -229,7 +229,7 @@
 }
 
 // RecordSlotWait records how long another adapter would wait for an adapter slot at an upstream, from the holder's
-// answer to a request that got none. It is valid until the holder's next report of its residents.
+// response to a request that got none. It is valid until the holder's next report of its residents.
 func (p *Pool) RecordSlotWait(id string, wait time.Duration) {
 	if u := p.upstreams[id]; u != nil {
 		u.slotWait = max(u.slotWait, wait)
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -29,7 +29,7 @@
 	// standingSince is the start of a standing queue: a request was late because of the queue, and none has found a
 	// short queue since. Zero if the queue is not standing.
 	standingSince time.Time
-	// pauseRate is the fraction of the latest streams that paused for too long. inTurn: prompts take turns.
+	// pauseRate is the fraction of the latest streams that paused for too long. inTurn: prompts take prefill turns.
 	pauseRate float64
 	inTurn    bool
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// PromptsTakeTurns reports whether prompts take turns at the engines of a service.
+// PromptsTakeTurns reports whether prompts take prefill turns at the engines of a service.
 func (p *Pool) PromptsTakeTurns(service string) bool {
 	p.prepare()
 	return p.statsOf(service).inTurn
--- a/internal/placement/pool/upstream.go
+++ b/internal/placement/pool/upstream.go
@@ -40,7 +40,7 @@
 	holderLoadAt time.Time
 	// reported is what this instance had in flight there when it last reported to the holder.
 	reported Load
-	// awaitingTurn is the tokens of the prompts that wait for their turn, if this instance holds the upstream.
+	// awaitingTurn is the tokens of the prompts that wait for their prefill turn, if this instance holds the upstream.
 	awaitingTurn int
 	// loads are the load times there, if its holder has reported them.
 	loads loadTimes
--- a/internal/placement/residence/load_times.go
+++ b/internal/placement/residence/load_times.go
@@ -16,8 +16,8 @@
 	return p.fullLoads.Expected(), p.reloads.Expected(), p.fullLoads.HasMeasurement()
 }
 
-// firstPoll returns the delay between a load order and the first poll of its completion.
-func (p *Planner) firstPoll(adapter traffic.Adapter, r *resident) time.Duration {
+// firstPollDelay returns the delay between a load order and the first poll of its completion.
+func (p *Planner) firstPollDelay(adapter traffic.Adapter, r *resident) time.Duration {
 	if adapter.Name == "" {
 		for _, model := range p.Engine.Models {
 			if model.Name == adapter.Model {
--- a/internal/placement/residence/outcomes.go
+++ b/internal/placement/residence/outcomes.go
@@ -85,7 +85,7 @@
 	r.reload = slices.Contains(p.recent, order.Adapter)
 	r.orderedAt = now
 	r.polls = 0
-	r.pollAt = now.Add(p.firstPoll(order.Adapter, r))
+	r.pollAt = now.Add(p.firstPollDelay(order.Adapter, r))
 	p.rememberRecent(order.Adapter)
 }
 
--- a/internal/placement/retry/budget.go
+++ b/internal/placement/retry/budget.go
@@ -16,21 +16,21 @@
 const DefaultMaxUnused = 10
 
 // New returns an empty budget. Retries never exceed ratio times the first attempts.
-func New(ratio, most float64) *Budget {
-	return &Budget{ratio: ratio, max: most}
+func New(ratio, maxUnused float64) *Budget {
+	return &Budget{ratio: ratio, max: maxUnused}
 }
 
 // NewHalfFull returns a budget that is half full, for a limit that allows some retries beyond its ratio. The other half is
 // held back for instances that are killed and restart within one window.
-func NewHalfFull(ratio, most float64) *Budget {
-	return &Budget{ratio: ratio, max: most, balance: most / 2}
+func NewHalfFull(ratio, maxUnused float64) *Budget {
+	return &Budget{ratio: ratio, max: maxUnused, balance: maxUnused / 2}
 }
 
 // SetMax changes the maximum number of unused retries, and discards those above it. Instances share a limit, so the
 // maximum of each changes with the size of the fleet.
-func (b *Budget) SetMax(most float64) {
-	b.max = most
-	b.balance = min(b.balance, most)
+func (b *Budget) SetMax(maxUnused float64) {
+	b.max = maxUnused
+	b.balance = min(b.balance, maxUnused)
 }
 
 // CountFirstTry counts a first attempt.
--- a/internal/placement/retry/budgets.go
+++ b/internal/placement/retry/budgets.go
@@ -28,9 +28,9 @@
 }
 
 // SetMax changes the maximum number of unused retries per service.
-func (b *Budgets) SetMax(most float64) {
-	b.MaxUnused = most
+func (b *Budgets) SetMax(maxUnused float64) {
+	b.MaxUnused = maxUnused
 	for _, budget := range b.services {
-		budget.SetMax(most)
+		budget.SetMax(maxUnused)
 	}
 }
--- a/internal/placement/route/router.go
+++ b/internal/placement/route/router.go
@@ -158,7 +158,7 @@
 // appendHomes appends the upstreams that follow the hash of the version on the ring.
 func (r *Router) appendHomes(now time.Time, query Query, list []candidate) []candidate {
 	points := r.rings[query.BaseModel]
-	why := ReasonHome
+	reason := ReasonHome
 	start := points.start(query.Model)
 	found := 0
 	for i := 0; i < len(points) && found < maxHomeCandidates; i++ {
@@ -170,8 +170,8 @@
 			continue
 		}
 		found++
-		list = append(list, r.estimate(now, u, query, why, r.loadCost(now, u)))
-		why = ReasonSpill
+		list = append(list, r.estimate(now, u, query, reason, r.loadCost(now, u)))
+		reason = ReasonSpill
 	}
 	return list
 }
@@ -192,8 +192,8 @@
 
 // estimate computes when the request would be completed at the upstream: the wait for a batch slot, the load, and the
 // work at the measured speed of the upstream.
-func (r *Router) estimate(now time.Time, u *upstream, query Query, why Reason, load time.Duration) candidate {
-	c := candidate{upstream: u, reason: why, needsLoad: why != ReasonResident}
+func (r *Router) estimate(now time.Time, u *upstream, query Query, reason Reason, load time.Duration) candidate {
+	c := candidate{upstream: u, reason: reason, needsLoad: reason != ReasonResident}
 	c.wait = u.wait(now, r.Settings.StaleAfter) + load
 	c.total = c.wait + r.workTime(now, u, query)
 	if u.hasFailed() {
