--- a/internal/entry/node/fleet_test.go
+++ b/internal/entry/node/fleet_test.go
@@ -31,7 +31,7 @@
 	stop     context.CancelFunc
 	ended    chan error
 	mutex    sync.Mutex
-	reread   func() (node.Settings, error)
+	reload   func() (node.Settings, error)
 	log      *logBuffer
 }
 
@@ -53,7 +53,7 @@
 	return strings.Contains(l.text.String(), text)
 }
 
-// acceptingOrders accepts every order and records its fence.
+// acceptingOrders accepts every order and records its fencing token.
 type acceptingOrders struct {
 	mutex  sync.Mutex
 	fences []int64
@@ -99,7 +99,7 @@
 		Upstreams: node.UpstreamSettings{FencesChecked: true},
 		Retries:   node.RetrySettings{Ratio: 0.2, Slack: 54},
 	}
-	i.reread = func() (node.Settings, error) { return i.settings, nil }
+	i.reload = func() (node.Settings, error) { return i.settings, nil }
 	n := &node.Node{
 		Settings: i.settings, Store: i.client, Decoder: decoder{}, Dialect: dialect{},
 		Orders: &acceptingOrders{}, ReadyPath: pathReady, Log: zerolog.New(i.log).With().Timestamp().Logger(),
@@ -108,7 +108,7 @@
 		ReloadSettings: func() (node.Settings, error) {
 			i.mutex.Lock()
 			defer i.mutex.Unlock()
-			return i.reread()
+			return i.reload()
 		},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -234,7 +234,7 @@
 }
 
 // Guards against an upstream whose holder disappears without revoking its lease. No instance could load adapters there
-// until another one becomes holder, with a higher fence, after the lease has expired.
+// until another one becomes holder, with a higher fencing token, after the lease has expired.
 func TestLostHolderIsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -291,7 +291,7 @@
 	member := start(t, s, "a")
 	eventually(t, 2*time.Second, "ready", member.ready)
 	member.mutex.Lock()
-	member.reread = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
+	member.reload = func() (node.Settings, error) { return node.Settings{}, errors.New("no such file") }
 	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	changed := member.settings
 	changed.Retries.Slack = 5
 	member.mutex.Lock()
-	member.reread = func() (node.Settings, error) { return changed, nil }
+	member.reload = func() (node.Settings, error) { return changed, nil }
 	member.mutex.Unlock()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/internal/entry/node/held_upstreams.go
+++ b/internal/entry/node/held_upstreams.go
@@ -37,7 +37,7 @@
 	byID  map[string]*heldUpstream
 	// vacantSince is the time since which an upstream has had no holder. Only the ownership loop uses it.
 	vacantSince map[string]time.Time
-	// lastOrders is when this instance last sent an order to an upstream, under any fence.
+	// lastOrders is when this instance last sent an order to an upstream, under any fencing token.
 	lastOrders map[string]time.Time
 }
 
@@ -145,7 +145,7 @@
 	holder, found := n.view.roster.Holder(id)
 	revision := n.view.replica.Revision()
 	n.view.mutex.Unlock()
-	if !n.isOpen(upstream) {
+	if !n.acceptsRequests(upstream) {
 		n.stopHolding(id) // stop loading adapters, and notify waiting requests immediately
 		return 0, false
 	}
@@ -164,15 +164,15 @@
 	return holder.Fence, !found || n.mayReplaceEarly() && n.isHolderLost(now, holder.Instance)
 }
 
-// isOpen reports whether an upstream takes new requests.
-func (n *Node) isOpen(upstream traffic.Upstream) (open bool) {
-	n.advice.WithLock(func(a *serve.SharedState) { open = a.Pool.AcceptsRequests(upstream) })
+// acceptsRequests reports whether an upstream takes new requests.
+func (n *Node) acceptsRequests(upstream traffic.Upstream) (open bool) {
+	n.sharedState.WithLock(func(state *serve.SharedState) { open = state.Pool.AcceptsRequests(upstream) })
 	return open
 }
 
 // isHolderLost reports whether a holder is silent although this instance receives messages from most of the others. Its
 // lease may still run for seconds, during which nothing would be loaded at its upstreams. If the holder is in fact
-// alive, its next order is refused for its outdated fence, and it stops.
+// alive, its next order is refused for its outdated fencing token, and it stops.
 func (n *Node) isHolderLost(now time.Time, name string) bool {
 	if n.overlay.isAlive(now, name) {
 		return false
@@ -215,8 +215,8 @@
 		}
 	}
 	held := n.heldUpstreams.ids()
-	n.advice.WithLock(func(a *serve.SharedState) {
-		list = a.Pool.Declared(func(upstream *traffic.Upstream) bool {
+	n.sharedState.WithLock(func(state *serve.SharedState) {
+		list = state.Pool.Declared(func(upstream *traffic.Upstream) bool {
 			_, configured := table.Configuration.Services[upstream.Service]
 			return configured && (held[upstream.ID] || !heldByOther[holders[upstream.ID]])
 		})
@@ -230,7 +230,7 @@
 	for id := range n.heldUpstreams.ids() {
 		var upstream traffic.Upstream
 		declared := false
-		n.advice.WithLock(func(a *serve.SharedState) { upstream, declared = a.Pool.Upstream(id) })
+		n.sharedState.WithLock(func(state *serve.SharedState) { upstream, declared = state.Pool.Upstream(id) })
 		configured := false
 		if table != nil {
 			_, configured = table.Configuration.Services[upstream.Service]
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -14,8 +14,8 @@
 	"lacewingrock.example/lacewingrock/internal/report/burn"
 )
 
-// Heartbeat is the state that an instance reports to its peers; the response to a heartbeat is another one. ConfirmedAge is
-// the time since a read of the store showed Revision as the newest; negative if unknown.
+// Heartbeat is the state that an instance reports to its peers; the reply to a heartbeat is another one. ConfirmedAge
+// is the time since a read of the store showed Revision as the newest; negative if unknown.
 type Heartbeat struct {
 	Instance     string
 	Incarnation  string
@@ -42,8 +42,8 @@
 	SpareOnly bool
 }
 
-// PlaceRequest asks the holder of Upstream to place a request. Request.Deadline is sent as the remaining time, because
-// the clocks of instances differ. Epoch is the newest epoch that the caller knows.
+// PlaceRequest requests a batch slot from the holder of Upstream. Request.Deadline is sent as the remaining time,
+// because the clocks of instances differ. Epoch is the newest epoch that the caller knows.
 type PlaceRequest struct {
 	Upstream string
 	Epoch    int64
@@ -98,12 +98,12 @@
 
 // Handler handles calls from peers. Calls with a context may block; the context ends when the caller disconnects.
 type Handler interface {
-	Heartbeat(beat Heartbeat) Heartbeat
+	Heartbeat(heartbeat Heartbeat) Heartbeat
 	LendTokens(request TokenRequest) rate.Loan
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
 	Pins(upstream string, epoch int64) PinList
-	PermitLoad(ctx context.Context, asked broker.PermitRequested) LoadPermit
+	PermitLoad(ctx context.Context, request broker.PermitRequested) LoadPermit
 	EndLoad(load broker.Load, unused bool)
 	BurnCounts() []burn.Count
 }
--- a/internal/placement/pool/service_stats.go
+++ b/internal/placement/pool/service_stats.go
@@ -29,7 +29,7 @@
 	// standingSince is the start of a standing queue: a request was late because of the queue, and none has found a
 	// short queue since. Zero if the queue is not standing.
 	standingSince time.Time
-	// pauseRate is the fraction of the latest streams that paused for too long. inTurn: prompts take turns.
+	// pauseRate is the fraction of the latest streams that paused for too long. inTurn: prompts take prefill turns.
 	pauseRate float64
 	inTurn    bool
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// PromptsTakeTurns reports whether prompts take turns at the engines of a service.
+// PromptsTakeTurns reports whether prompts take prefill turns at the engines of a service.
 func (p *Pool) PromptsTakeTurns(service string) bool {
 	p.prepare()
 	return p.statsOf(service).inTurn
@@ -86,7 +86,7 @@
 	return isEngine && query.Adapter.Model != ""
 }
 
-// typicalTime is the time until the first event or the answer at an upstream of typical speed.
+// typicalTime is the time until the first event or the response at an upstream of typical speed.
 func (p *Pool) typicalTime(u *upstream, query Query, load Load) time.Duration {
 	stats := p.statsOf(query.Service)
 	if p.isGeneration(query) {
@@ -95,7 +95,7 @@
 	return stats.service.Latency(u.queued(load))
 }
 
-// observe records how long a request took until its first event or answer.
+// observe records how long a request took until its first event or response.
 func (p *Pool) observe(attempt *Attempt, took time.Duration) {
 	stats := p.statsOf(attempt.query.Service)
 	if p.isGeneration(attempt.query) {
