--- a/internal/catalog/repository/repository_test.go
+++ b/internal/catalog/repository/repository_test.go
@@ -17,7 +17,7 @@
 	"lacewingrock.example/lacewingrock/internal/platform/store"
 )
 
-// hookedStore calls before ahead of each compare-and-swap.
+// hookedStore calls its hook before each compare-and-swap.
 type hookedStore struct {
 	store.Store
 	before func(key string)
--- a/internal/catalog/repository/sweep.go
+++ b/internal/catalog/repository/sweep.go
@@ -125,8 +125,8 @@
 	return wholeHeadKey(pointer), err
 }
 
-// isDue reports whether an unreferenced value has been so for the grace period, and records when it was
-// first seen to be unreferenced.
+// isDue reports whether a value has been unreferenced for the grace period, and records when it was first
+// seen to be unreferenced. A value is never due while its revision is above current, the head's.
 func (s *Sweeper) isDue(key, prefix string, current int64) bool {
 	revision, valid := revisionOf(key, prefix)
 	if !valid || revision > current {
--- a/internal/catalog/resource/resource.go
+++ b/internal/catalog/resource/resource.go
@@ -9,7 +9,8 @@
 // Kind is one of the seven kinds of resource, spelled as operators write it.
 type Kind string
 
-// The kinds, ordered so that a kind refers only to kinds before it.
+// The kinds, ordered so that a kind refers only to kinds before it, except that an adapter names its
+// current version.
 const (
 	KindBaseModel      Kind = "BaseModel"
 	KindWorkspace      Kind = "Workspace"
@@ -20,7 +21,8 @@
 	KindService        Kind = "Service"
 )
 
-// Kinds returns all kinds, each after the kinds that it refers to.
+// Kinds returns all kinds, each after the kinds that it refers to, except that an adapter names its current
+// version.
 func Kinds() []Kind {
 	return []Kind{
 		KindBaseModel, KindWorkspace, KindKey, KindAdapter, KindAdapterVersion, KindUpstream, KindService,
--- a/internal/command/control/control_test.go
+++ b/internal/command/control/control_test.go
@@ -205,7 +205,7 @@
 
 // The whole path over TCP: command line, API, repository, the store's client and the stand-in for the
 // store, which cuts the connection after it has executed a write.
-func TestOverTCPWithLostAnswers(t *testing.T) {
+func TestOverTCPWithLostResponses(t *testing.T) {
 	is := is.New(t)
 	service := &kv.Server{}
 	is.NoErr(service.Listen())
--- a/internal/command/control/watch.go
+++ b/internal/command/control/watch.go
@@ -121,7 +121,7 @@
 	}
 	lines := ""
 	if !changes.Complete {
-		lines = fmt.Sprintf("revision %d: earlier changes are no longer available; list the resources again\n", changes.Revision)
+		lines = fmt.Sprintf("revision %d: changes before it are not kept any more; list again\n", changes.Revision)
 	}
 	for _, change := range changes.Changes {
 		lines += fmt.Sprintf("revision %d: %s/%s version %d %s\n",
--- a/internal/entry/daemon/assemble.go
+++ b/internal/entry/daemon/assemble.go
@@ -45,7 +45,7 @@
 	}
 	scope, exposition, scopeCloser := metrics.New("lacewingd")
 	d.scope = scope
-	d.directory = &peer.Client{Links: link.Links{Credentials: clientCredentials}}
+	d.peerRPC = &peer.Client{Links: link.Links{Credentials: clientCredentials}}
 	d.assembleConfiguration()
 	policy := d.policy()
 	d.assemblePlacement(policy)
@@ -60,7 +60,7 @@
 		ReadTimeout:       operatorBodyTimeout,
 	}
 	return func() {
-		d.directory.Close()
+		d.peerRPC.Close()
 		_ = scopeCloser.Close()
 	}, nil
 }
--- a/internal/entry/daemon/burn_report.go
+++ b/internal/entry/daemon/burn_report.go
@@ -63,7 +63,7 @@
 }
 
 func (c *burnCountCollector) collect(ctx context.Context, d *Daemon, member head.Member) {
-	counts, err := d.directory.BurnCounts(ctx, member.Address)
+	counts, err := d.peerRPC.BurnCounts(ctx, member.Address)
 	if err != nil {
 		d.Log.Warn().Str("Member", member.Name).Err(err).Msg("BurnCountsMissing")
 		return
--- a/internal/entry/daemon/configuration.go
+++ b/internal/entry/daemon/configuration.go
@@ -97,7 +97,7 @@
 	d.departures.record(previous.Head, current.Head)
 	d.leaving.dropNonMembers(current.Head)
 	d.settlement.install(current.Head)
-	d.directory.CloseExcept(addresses(current.Head))
+	d.peerRPC.CloseExcept(addresses(current.Head))
 	// The read or swap that returned the head confirms it. Without this call, each change of the configuration would
 	// cause refusals until the next read.
 	d.tracker.RecordRead(current.ConfirmedAt, current.Head.Revision)
--- a/internal/entry/daemon/daemon.go
+++ b/internal/entry/daemon/daemon.go
@@ -49,7 +49,7 @@
 	tracker    *freshness.Tracker
 	ledger     *rate.Ledger
 	claims     *claim.Registry
-	directory  *peer.Client
+	peerRPC    *peer.Client
 	holding    *holding.Runner
 	brokering  *brokering.Runner
 	pipeline   *pipeline.Pipeline
--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -31,8 +31,8 @@
 	heartbeatTimeout = time.Second
 )
 
-// runHeartbeats sends heartbeats to a few members each interval, in random order, and to all of them at once when
-// requestHeartbeatsToAll asks for that.
+// runHeartbeats sends heartbeats to a few members each interval, to each in turn in a shuffled order, and to all of
+// them at once when requestHeartbeatsToAll asks for that.
 func (d *Daemon) runHeartbeats(ctx context.Context) error {
 	var queue []head.Member
 	for {
@@ -107,7 +107,7 @@
 	heartbeat := d.newHeartbeat(ctx)
 	heartbeat.Returns = d.ledger.PendingReturns(lender)
 	sentAt := time.Now()
-	reply, err := d.directory.Ping(ctx, member.Address, heartbeat)
+	reply, err := d.peerRPC.Ping(ctx, member.Address, heartbeat)
 	if err != nil {
 		d.scope.Counter("heartbeats_failed").Inc(1)
 		d.Log.Info().Err(err).Str("Peer", member.Name).Int64("TookMillis", time.Since(sentAt).Milliseconds()).
--- a/internal/entry/daemon/members.go
+++ b/internal/entry/daemon/members.go
@@ -27,9 +27,9 @@
 	listInterval = time.Second
 	listReaders  = 3
 	listDuty     = "list"
-	// unlistedTimeout is how long a member that answers no heartbeat must be missing from the platform's list before
-	// it counts as ended. The list lags by seconds. A member that is only partitioned from this instance is still on
-	// it.
+	// unlistedTimeout is how long a member from which no heartbeat or reply arrives must be missing from the platform's
+	// list before it counts as ended. The list lags by seconds. A member that is only partitioned from this instance is
+	// still on it.
 	unlistedTimeout = 10 * time.Second
 )
 
@@ -181,6 +181,6 @@
 func (d *Daemon) answersHeartbeat(m head.Member) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	reply, err := d.directory.Ping(ctx, m.Address, d.newHeartbeat(ctx))
+	reply, err := d.peerRPC.Ping(ctx, m.Address, d.newHeartbeat(ctx))
 	return err == nil && reply.Incarnation == m.Incarnation
 }
--- a/internal/entry/daemon/peer_calls.go
+++ b/internal/entry/daemon/peer_calls.go
@@ -33,7 +33,7 @@
 	if c.isSelf(member) {
 		return c.local.Place(ctx, request), nil
 	}
-	return c.daemon.directory.Place(ctx, member.Address, request)
+	return c.daemon.peerRPC.Place(ctx, member.Address, request)
 }
 
 // Release releases a pin.
@@ -42,12 +42,12 @@
 		c.local.Release(request)
 		return nil
 	}
-	return c.daemon.directory.Release(ctx, member.Address, request)
+	return c.daemon.peerRPC.Release(ctx, member.Address, request)
 }
 
 // BorrowTokens requests a loan of tokens from a member.
 func (c peerClient) BorrowTokens(ctx context.Context, member head.Member, request peer.TokenRequest) (rate.Loan, error) {
-	return c.daemon.directory.BorrowTokens(ctx, member.Address, request)
+	return c.daemon.peerRPC.BorrowTokens(ctx, member.Address, request)
 }
 
 // Pins returns the pins of a member on an upstream.
@@ -55,7 +55,7 @@
 	if c.isSelf(member) {
 		return c.local.Pins(upstream, epoch), nil
 	}
-	return c.daemon.directory.Pins(ctx, member.Address, upstream, epoch)
+	return c.daemon.peerRPC.Pins(ctx, member.Address, upstream, epoch)
 }
 
 // PermitLoad requests a permit for a load from the load broker.
@@ -67,7 +67,7 @@
 	if c.isSelf(member) {
 		return c.local.PermitLoad(ctx, request), nil
 	}
-	return c.daemon.directory.PermitLoad(ctx, member.Address, request)
+	return c.daemon.peerRPC.PermitLoad(ctx, member.Address, request)
 }
 
 // EndLoad notifies the load broker that a load has ended.
@@ -80,5 +80,5 @@
 		c.local.EndLoad(load, unused)
 		return nil
 	}
-	return c.daemon.directory.EndLoad(ctx, member.Address, load, unused)
+	return c.daemon.peerRPC.EndLoad(ctx, member.Address, load, unused)
 }
--- a/internal/entry/holding/orders.go
+++ b/internal/entry/holding/orders.go
@@ -89,7 +89,7 @@
 }
 
 // runRequestPins requests the pins of a member until the member has installed the epoch and responds. A member that has
-// stopped is removed from the holder's list by InstanceGone.
+// stopped is removed from the holder's list by the event InstanceStopped.
 func (r *Runner) runRequestPins(u *heldUpstream, member head.Member, epoch int64) {
 	for {
 		list, err := r.Peers.Pins(u.context, member, u.name(), epoch)
--- a/internal/entry/pipeline/pipeline.go
+++ b/internal/entry/pipeline/pipeline.go
@@ -83,9 +83,9 @@
 	Scope           tally.Scope
 }
 
-// SharedState is the state on which all requests of this instance are placed: the router, the requests suspected of
-// crashing upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one
-// lock guards all of them; each use takes microseconds.
+// SharedState is the state that all requests of this instance share: the router, the requests suspected of crashing
+// upstreams, the retry budget and the workspaces' shares. Its parts are not safe for concurrent use, so one lock guards
+// all of them; each use takes microseconds.
 type SharedState struct {
 	Router   *route.Router
 	Suspects *suspect.Tracker
--- a/internal/fleet/freshness/store_reads.go
+++ b/internal/fleet/freshness/store_reads.go
@@ -15,10 +15,11 @@
 
 // ShouldReadStore reports whether this instance should read the head from the store now. If every instance read each
 // second, 330 instances would use a sixth of all the reads that the store can serve. So a few readers, chosen by
-// rendezvous hashing, read once per ReadInterval. The others read only when the last confirmation is older than a third
-// of Bound, times their own interval factor: then the readers have failed, or their confirmations do not arrive. While
-// the reads of the others succeed, they read as often as the readers do. While these fail, they read less often the
-// larger the fleet is, so that a recovering store is not hit by all at once.
+// rendezvous hashing, read once per ReadInterval. The others, unless they lack a newer head (see behindReadRate), read
+// only when the last confirmation is older than a third of Bound, times their own interval factor: then the readers
+// have failed, or their confirmations do not arrive. While the reads of the others succeed, they read as often as the
+// readers do. While these fail, they read less often the larger the fleet is, so that a recovering store is not hit by
+// all at once.
 func (t *Tracker) ShouldReadStore() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -40,7 +41,7 @@
 	return sinceRead >= max(t.readInterval(), time.Duration(float64(meanInterval)*t.intervalFactor()))
 }
 
-// isReader ranks the members by rendezvous hashing. An instance that is not a member yet always reads.
+// isReader ranks the members by rendezvous hashing. An instance that is not a member yet counts as a reader.
 func (t *Tracker) isReader() bool {
 	if !t.isMember(t.Self.identity()) {
 		return true
--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// Guards against a number of links per instance that grows in proportion to the fleet.
+// The number of links of an instance must grow slower than the fleet.
 func TestLinksOfOneInstanceGrowSlowerThanTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ instances, dataCentres, mostRelay, mostOther int }{
--- a/internal/fleet/gossip/table.go
+++ b/internal/fleet/gossip/table.go
@@ -1,8 +1,8 @@
-// Package gossip distributes the latest state of each instance to all others, at a cost per instance that grows slower
-// than the fleet. Some instances are relays; each of the others is attached to one relay (see Topology). An attached
-// instance sends its state to its relay, the relay sends it to all relays, and each of them sends it to its attached
-// instances, so that every instance receives it once. The content of a state is opaque. The package has no sockets and
-// reads no clock; the caller passes the time in.
+// Package gossip distributes the latest state of each instance to all others, at a cost per instance that grows far
+// slower than the fleet: links grow with its square root, see NewTopology. Some instances are relays; each of the
+// others is attached to one relay (see Topology). An attached instance sends its state to its relay, the relay sends it
+// to all relays, and each of them sends it to its attached instances, so that every instance receives it once. The
+// content of a state is opaque. The package has no sockets and reads no clock; the caller passes the time in.
 package gossip
 
 import "time"
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -19,7 +19,7 @@
 	sealedEvent()
 }
 
-// HeartbeatAnswered reports that a process answered a heartbeat.
+// HeartbeatAnswered reports that a heartbeat or a reply of a process has arrived.
 type HeartbeatAnswered struct {
 	Name        string
 	Incarnation string
@@ -56,14 +56,14 @@
 type Detector struct {
 	// Self is the name of this process.
 	Self string
-	// FailureTimeout is how long a member must not have answered a heartbeat before it is removed.
+	// FailureTimeout is how long no heartbeat or reply of a member must have arrived before the member is removed.
 	FailureTimeout time.Duration
 
 	head         head.Head
 	lastContacts map[string]lastContact
 }
 
-// lastContact is when a member last answered a heartbeat, or was first listed.
+// lastContact is when a heartbeat or reply of a member last arrived, or when it was first listed.
 type lastContact struct {
 	incarnation string
 	at          time.Time
@@ -104,8 +104,8 @@
 func (d *Detector) findFailed() []Action {
 	alive, failed := d.partition()
 	if len(failed) == 0 || len(alive) <= len(d.head.Members)/2 {
-		// An instance without answers from a majority is more likely partitioned than the only one alive. It must
-		// not remove the others one after the other.
+		// An instance without contact to a majority is more likely partitioned than the only one alive. It must not
+		// remove the others one after the other.
 		return nil
 	}
 	target := failed[0]
@@ -117,8 +117,8 @@
 	return []Action{Remove{Name: target.Name, Incarnation: target.Incarnation}}
 }
 
-// partition divides the members into live ones, this process among them, and failed ones, the one that has not answered
-// for longest first.
+// partition divides the members into live ones, this process among them, and failed ones, the one with the oldest last
+// contact first.
 func (d *Detector) partition() (alive, failed []head.Member) {
 	now := time.Now()
 	for _, m := range d.head.Members {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -92,8 +92,8 @@
 	is.True(!found)
 }
 
-// One member stops answering heartbeats. Few of the others may try to remove it, and none that gets no answers from a
-// majority: otherwise a partitioned instance would remove the whole fleet.
+// No more heartbeats or replies of one member arrive. Few of the others may try to remove it, and none without contact
+// to a majority: otherwise a partitioned instance would remove the whole fleet.
 func TestFewMembersRemoveAFailedOne(t *testing.T) {
 	tests := []struct {
 		name         string
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -77,7 +77,7 @@
 	return peer, peers, listener.Addr().String()
 }
 
-func TestMessagesRoundTrip(t *testing.T) {
+func TestGossipMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	peer, peers, address := serveEcho(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/fleet/peer/messages.go
+++ b/internal/fleet/peer/messages.go
@@ -98,12 +98,12 @@
 
 // Handler handles calls from peers. Calls with a context may block; the context ends when the caller disconnects.
 type Handler interface {
-	Heartbeat(beat Heartbeat) Heartbeat
+	Heartbeat(heartbeat Heartbeat) Heartbeat
 	LendTokens(request TokenRequest) rate.Loan
 	Place(ctx context.Context, request PlaceRequest) Placement
 	Release(request ReleaseRequest)
 	Pins(upstream string, epoch int64) PinList
-	PermitLoad(ctx context.Context, asked broker.PermitRequested) LoadPermit
+	PermitLoad(ctx context.Context, request broker.PermitRequested) LoadPermit
 	EndLoad(load broker.Load, unused bool)
 	BurnCounts() []burn.Count
 }
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -195,9 +195,10 @@
 	return slices.SortedFunc(slices.Values(names), func(a, b string) int { return cmp.Compare(weights[b], weights[a]) })
 }
 
-// TakeoverRanks returns, for each subject without a holder, the rank of an instance among the candidates to take it
-// over. The candidates are sorted by the number of subjects they hold, fewest first, and equal ones by Rank. A subject
-// is counted as held by its first candidate before the next subject is ranked. The instance must be one of the names.
+// TakeoverRanks returns, for each upstream without a holder (the subjects), the rank of an instance among the live
+// instances (names) that may take it over. These are sorted by the number of upstreams they hold, fewest first, and
+// equal ones by Rank. A subject is counted as held by the first of them before the next subject is ranked. instance
+// must be one of names.
 //
 // This balances the fleet during a rolling restart. By Rank alone, what a stopping instance held would go to those that
 // have not stopped yet and never return, so that in the end one instance would hold nearly all: when that one freezes,
--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -24,8 +24,8 @@
 	Body   []byte
 	// Key is the caller's API key. It is not forwarded.
 	Key string
-	// Received is when the request's headers were read. Patience is how long the caller waits from then, 0 if it states
-	// no limit.
+	// Received is when the request's headers were read. CallerTimeout is how long the caller waits from then, 0 if it
+	// states no limit.
 	Received      time.Time
 	CallerTimeout time.Duration
 	Generation    Generation
@@ -93,7 +93,7 @@
 
 // UpstreamLoad is the load that an upstream reports about itself.
 type UpstreamLoad struct {
-	// Running and Waiting count requests. Places is the number of batch slots: how many requests run at once.
+	// Running and Waiting count requests. BatchSlots is how many requests run at once.
 	Running    int
 	Waiting    int
 	BatchSlots int
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -1,5 +1,5 @@
 // Package forward sends calls to upstreams over HTTP and reads the headers of their responses. The returned error says
-// whether the call may have run: see ErrUnreached and ErrBroken.
+// whether the call may have run: see ErrNotConnected and ErrBrokenResponse.
 package forward
 
 import (
--- a/internal/gateway/serve/server.go
+++ b/internal/gateway/serve/server.go
@@ -45,7 +45,8 @@
 	QueryHolder(ctx context.Context, upstream string)
 	// PublishSpent sends the totals that this instance has admitted to the other instances at once.
 	PublishSpent()
-	// NotifyHolder reports to the holder that this instance has started or ended an attempt at the upstream.
+	// NotifyHolder reports to the holder that the load of this instance at the upstream has changed (preparation,
+	// attempt or first event).
 	NotifyHolder(upstream string)
 	// ReportBrokenResponse reports that a response broke with its connection: the upstream may have crashed.
 	ReportBrokenResponse(upstream traffic.Upstream, fingerprint suspect.Fingerprint)
--- a/internal/gateway/traffic/traffic.go
+++ b/internal/gateway/traffic/traffic.go
@@ -115,8 +115,8 @@
 	// Rate, in units a second, and Burst, in units, limit the whole fleet; a rate of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// ByTokens: one unit is one token, and a request that states no tokens costs PlainCost. Otherwise each request
-	// costs 1 unit.
+	// ByTokens: one unit is one token, and a request that states no tokens costs DefaultCost units. Otherwise each
+	// request costs 1 unit.
 	ByTokens    bool
 	DefaultCost float64
 }
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -46,7 +46,7 @@
 	// force.
 	Revision     int64
 	InForceSince time.Time
-	// Reachable is false when no heartbeat of the instance has arrived recently.
+	// Reachable is false when neither a heartbeat nor a reply of the instance has arrived recently.
 	Reachable bool
 }
 
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -65,7 +65,7 @@
 // Error states whether anything can have been changed.
 func (u *NoResponseError) Error() string {
 	if u.Sent {
-		return "the response was lost: " + u.Cause.Error()
+		return "the answer was lost: " + u.Cause.Error()
 	}
 	return "the instance cannot be reached, and nothing was sent: " + u.Cause.Error()
 }
@@ -186,7 +186,7 @@
 		return refused(response.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return &NoResponseError{Sent: true, Cause: errors.WithMessage(err, "the response cannot be decoded")}
+		return &NoResponseError{Sent: true, Cause: errors.WithMessage(err, "the answer is not understood")}
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 	var failure message.Failure
 	err := json.Unmarshal(body, &failure)
 	if err != nil || failure.Error.Code == "" {
-		return &NoResponseError{Sent: true, Cause: fmt.Errorf("unexpected response with status %d", status)}
+		return &NoResponseError{Sent: true, Cause: fmt.Errorf("unexpected answer with status %d", status)}
 	}
 	return &RefusedError{Status: status, Detail: failure.Error}
 }
