--- a/internal/entry/daemon/heartbeats.go
+++ b/internal/entry/daemon/heartbeats.go
@@ -31,8 +31,8 @@
 	heartbeatTimeout = time.Second
 )
 
-// runHeartbeats sends heartbeats to a few members each interval, in random order, and to all of them at once when
-// requestHeartbeatsToAll asks for that.
+// runHeartbeats sends heartbeats to a few members each interval, to each in turn in a shuffled order, and to all of
+// them at once when requestHeartbeatsToAll asks for that.
 func (d *Daemon) runHeartbeats(ctx context.Context) error {
 	var queue []head.Member
 	for {
--- a/internal/entry/daemon/members.go
+++ b/internal/entry/daemon/members.go
@@ -27,9 +27,9 @@
 	listInterval = time.Second
 	listReaders  = 3
 	listDuty     = "list"
-	// unlistedTimeout is how long a member that answers no heartbeat must be missing from the platform's list before
-	// it counts as ended. The list lags by seconds. A member that is only partitioned from this instance is still on
-	// it.
+	// unlistedTimeout is how long a member from which no heartbeat or reply arrives must be missing from the platform's
+	// list before it counts as ended. The list lags by seconds. A member that is only partitioned from this instance is
+	// still on it.
 	unlistedTimeout = 10 * time.Second
 )
 
--- a/internal/gateway/call/call.go
+++ b/internal/gateway/call/call.go
@@ -24,8 +24,8 @@
 	Body   []byte
 	// Key is the caller's API key. It is not forwarded.
 	Key string
-	// Received is when the request's headers were read. Patience is how long the caller waits from then, 0 if it states
-	// no limit.
+	// Received is when the request's headers were read. CallerTimeout is how long the caller waits from then, 0 if it
+	// states no limit.
 	Received      time.Time
 	CallerTimeout time.Duration
 	Generation    Generation
