--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -23,7 +23,7 @@
 	// ErrNotConnected: no connection was established, so the call cannot have run.
 	ErrNotConnected = errors.New("forward: could not connect to upstream")
 	// ErrBrokenResponse: the connection or the response broke, and the call may have run.
-	ErrBrokenResponse = errors.New("forward: connection or response broken")
+	ErrBrokenResponse = errors.New("forward: answer broken")
 )
 
 const (
